--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -19,7 +19,7 @@
   run.worker = worker;
   run.crashed = end.end == RunEnd::kWorkerCrashed;
   run.began = end.began != Time{};
-  run.borne = end.borne;
+  run.survived = end.survived;
   return run;
 }
 
@@ -209,7 +209,7 @@
   if (taken) TellGivenUp(end.task);
   if (end.number > 0) {
     EndMark& mark = unrecorded_ends_[worker];
-    if (end.life != mark.life) mark = {end.life, 0};
+    if (end.incarnation != mark.life) mark = {end.incarnation, 0};
     mark.number = std::max(mark.number, end.number);
   }
   SchedulePlanning();
--- a/src/libs/coordination/fleet_orders.cc
+++ b/src/libs/coordination/fleet_orders.cc
@@ -84,8 +84,8 @@
     handlers_.on_ticket_refused(task.step, worker);
   }
   if (result.last_answer == StartOutcome::kFenced) handlers_.on_fenced();
-  if (result.outcome == StartOutcome::kOtherLife) {
-    return Bury(worker, LifeEnd::kCrashed);
+  if (result.outcome == StartOutcome::kOtherIncarnation) {
+    return Bury(worker, IncarnationEnd::kCrashed);
   }
   Deliver(worker, tracker->OnStartAnswer(task, run, result.outcome, now));
   Link& link = links_[worker];
@@ -136,7 +136,7 @@
                     return handlers_.on_fenced();
                   }
                   if (outcome == CallOutcome::kOtherLife) {
-                    return Bury(id, LifeEnd::kCrashed);
+                    return Bury(id, IncarnationEnd::kCrashed);
                   }
                   if (outcome != CallOutcome::kOk) {
                     links_[id].next_stop = Now() + settings_.report_retry;
--- a/src/libs/coordination/metered_worker_calls.cc
+++ b/src/libs/coordination/metered_worker_calls.cc
@@ -20,7 +20,7 @@
       return "fenced";
     case StartOutcome::kNoAnswer:
       return "no_answer";
-    case StartOutcome::kOtherLife:
+    case StartOutcome::kOtherIncarnation:
       return "other_life";
   }
   return "no_answer";
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -27,13 +27,13 @@
 
 Time Now() { return std::chrono::steady_clock::now(); }
 
-const char* ToReason(LifeEnd end) {
+const char* ToReason(IncarnationEnd end) {
   switch (end) {
-    case LifeEnd::kLeft:
+    case IncarnationEnd::kLeft:
       return "it has left as announced";
-    case LifeEnd::kCrashed:
+    case IncarnationEnd::kCrashed:
       return "another life answers at its address";
-    case LifeEnd::kSilent:
+    case IncarnationEnd::kSilent:
       return "its leases have ended";
   }
   return "";
@@ -74,10 +74,10 @@
   const std::string id = registration->id;
   const auto dead = dead_.find(id);
   if (dead != dead_.end()) {
-    if (dead->second == registration->birth.born) return;
+    if (dead->second == registration->incarnation_start.time) return;
     dead_.erase(dead);
   }
-  TellBirthFault(id, registration->birth);
+  TellBirthFault(id, registration->incarnation_start);
   WorkerTracker* tracker = Find(id);
   Link& link = links_[id];
   link.missing_since.reset();
@@ -113,9 +113,9 @@
 
 // Where no worker says it, one line tells as much as one for each.
 void WorkerFleet::TellBirthFault(const std::string& id,
-                                 const BirthMark& birth) {
-  if (birth.fault.empty() || !birth_faults_.insert(birth.fault).second) return;
-  LogEvent(events::kBirthUnreadable, {{"worker", id}, {"reason", birth.fault}});
+                                 const IncarnationStart& birth) {
+  if (birth.error.empty() || !birth_faults_.insert(birth.error).second) return;
+  LogEvent(events::kBirthUnreadable, {{"worker", id}, {"reason", birth.error}});
 }
 
 void WorkerFleet::TellCapacity(const WorkerTracker& worker,
@@ -137,7 +137,7 @@
   link.missing_since = now;
   const Milliseconds heartbeat = settings_.bounds.heartbeat;
   if (link.departure.IsDeparture(heartbeat, contact_, now)) {
-    Bury(id, LifeEnd::kLeft);
+    Bury(id, IncarnationEnd::kLeft);
   }
 }
 
@@ -309,7 +309,7 @@
     case CallOutcome::kFenced:
       return handlers_.on_fenced();
     case CallOutcome::kOtherLife:
-      return Bury(id, LifeEnd::kCrashed);
+      return Bury(id, IncarnationEnd::kCrashed);
     case CallOutcome::kNobodyThere:
       link.departure.OnNobodyThere(now);
       [[fallthrough]];
@@ -331,17 +331,18 @@
               {"clock_before_ms", tracker->clock().count()},
               {"ends_before", tracker->processed_ends()}});
   }
-  TellBirthFault(id, answer.report.birth);
-  if (tracker->IsOfFormerLife(answer.report, sent)) return Drive(id, now);
+  TellBirthFault(id, answer.report.incarnation_start);
+  if (tracker->IsFromPastIncarnation(answer.report, sent))
+    return Drive(id, now);
   link.departure.OnAnswer();
   const bool first = !tracker->synchronized();
   link.told_ends = std::max(link.told_ends, recorded);
   if (renewed) link.leased_until = sent + settings_.bounds.lease_term();
-  const int life = tracker->life();
+  const int life = tracker->incarnation();
   std::vector<RunReport> unexpected;
   const std::vector<RunEndReport> ends =
       tracker->OnReport(answer.report, sent, now, &unexpected);
-  if (tracker->life() != life) OnRestart(id, ends, now);
+  if (tracker->incarnation() != life) OnRestart(id, ends, now);
   for (const RunReport& run : answer.report.running) {
     handlers_.on_progress(run);
   }
@@ -369,7 +370,7 @@
   link.departure = DepartureWatch();
   LogEvent(events::kWorkerRestarted,
            {{"worker", id},
-            {"born_ms", ToUnixMilliseconds(*tracker->born())},
+            {"born_ms", ToUnixMilliseconds(*tracker->incarnation_start())},
             {"ended", ends.size()},
             {"runs", tracker->runs().size()}});
   // Deadlines of the life before lie far ahead on the clock of this one.
@@ -414,10 +415,10 @@
       !tracker->reachable() || tracker->registration().address.empty();
   if (unreachable &&
       link.departure.HasLeft(settings_.bounds.heartbeat, contact_, now)) {
-    return Bury(id, LifeEnd::kLeft);
+    return Bury(id, IncarnationEnd::kLeft);
   }
   if (unreachable && !tracker->runs().empty() && tracker->LeasesOver(now)) {
-    if (Lose(id, LifeEnd::kSilent)) return;
+    if (Lose(id, IncarnationEnd::kSilent)) return;
   }
   const bool listed_long_ago =
       link.missing_since && now - *link.missing_since > settings_.missing_grace;
@@ -444,17 +445,19 @@
   return it != trackers_.end() && it->second.registration().rack == rack;
 }
 
-void WorkerFleet::Bury(const std::string& id, LifeEnd end) {
-  const std::optional<WallTime>& born = Find(id)->registration().birth.born;
+void WorkerFleet::Bury(const std::string& id, IncarnationEnd end) {
+  const std::optional<WallTime>& born =
+      Find(id)->registration().incarnation_start.time;
   if (!dead_.emplace(id, born).second) return;
   links_[id].missing_since = Now();
   Lose(id, end);
 }
 
 // True when the worker itself was forgotten.
-bool WorkerFleet::Lose(const std::string& id, LifeEnd end) {
+bool WorkerFleet::Lose(const std::string& id, IncarnationEnd end) {
   WorkerTracker* tracker = Find(id);
-  const std::vector<RunEndReport> ends = tracker->OnGone(end, Now());
+  const std::vector<RunEndReport> ends =
+      tracker->OnIncarnationEnded(end, Now());
   LogEvent(events::kWorkerGone,
            {{"worker", id}, {"reason", ToReason(end)}, {"runs", ends.size()}});
   const bool forget = links_[id].missing_since.has_value();
--- a/src/libs/coordination/worker_fleet.h
+++ b/src/libs/coordination/worker_fleet.h
@@ -141,7 +141,7 @@
   // The worker has restarted under its id; `ends` are those of the life before.
   void OnRestart(const std::string& id, const std::vector<RunEndReport>& ends,
                  Time now);
-  void TellBirthFault(const std::string& id, const BirthMark& birth);
+  void TellBirthFault(const std::string& id, const IncarnationStart& birth);
   // What a report may tell the worker to forget.
   int64_t EndsToTell(const WorkerTracker& tracker, const Link& link) const;
   void SendStops(const std::string& id, Time now);
@@ -149,8 +149,8 @@
   void Judge(const std::string& id, Time now);
   void JudgeGangs(Time now);
   // The life is proved to be over for good.
-  void Bury(const std::string& id, LifeEnd end);
-  bool Lose(const std::string& id, LifeEnd end);
+  void Bury(const std::string& id, IncarnationEnd end);
+  bool Lose(const std::string& id, IncarnationEnd end);
   WorkerTracker* Find(const std::string& id);
 
   WorkerCalls& calls_;
--- a/src/libs/workload/crash_record.cc
+++ b/src/libs/workload/crash_record.cc
@@ -23,13 +23,13 @@
   if (step.estimate > Milliseconds::zero()) {
     phase = std::min<Duration>(phase, step.estimate / kEstimateError);
   }
-  return run.crashed && run.began && run.borne < phase;
+  return run.crashed && run.began && run.survived < phase;
 }
 
 }  // namespace
 
 void CrashRecord::OnLost(const LostRun& run, const StepSpec& step) {
-  if (step.long_running && run.borne >= kProvenWork) {
+  if (step.long_running && run.survived >= kProvenWork) {
     *this = CrashRecord();
     return;
   }
--- a/src/libs/workload/crash_record.h
+++ b/src/libs/workload/crash_record.h
@@ -27,7 +27,7 @@
   // The worker had taken the order.
   bool began = false;
   // From its begin until the worker fell silent.
-  Duration borne{};
+  Duration survived{};
 };
 
 struct CrashRecord {
--- a/src/libs/workload/worker_life.h
+++ b/src/libs/workload/worker_incarnation.h
@@ -3,8 +3,8 @@
 // A worker says with all that it reports when its life began. Reports overtake
 // each other, and clocks are set back: a later time is a later life, and so is
 // another one that answers a call which was sent when this life was known.
-#ifndef THORNPLANK_WORKLOAD_WORKER_LIFE_H_
-#define THORNPLANK_WORKLOAD_WORKER_LIFE_H_
+#ifndef THORNPLANK_WORKLOAD_WORKER_INCARNATION_H_
+#define THORNPLANK_WORKLOAD_WORKER_INCARNATION_H_
 
 #include <optional>
 
@@ -12,31 +12,31 @@
 
 namespace thornplank {
 
-class WorkerLife {
+class WorkerIncarnation {
  public:
   enum class Verdict {
     kSame,
     // Another life has begun; this one is over.
     kNext,
     // Said by a life that was over before this one began.
-    kFormer,
+    kPast,
   };
 
   // On a report that says `born` and answers a call sent at `sent`. One that
   // says nothing is taken for this life's.
-  Verdict Judge(const std::optional<WallTime>& born, Time sent) const;
+  Verdict Classify(const std::optional<WallTime>& start, Time sent) const;
   // A report of this life, or the first of the next one, came.
-  void Note(const std::optional<WallTime>& born, Time now);
+  void Record(const std::optional<WallTime>& start, Time now);
 
   // Nullopt: no report has said it.
-  const std::optional<WallTime>& born() const { return born_; }
+  const std::optional<WallTime>& start() const { return start_; }
 
  private:
-  std::optional<WallTime> born_;
+  std::optional<WallTime> start_;
   // When a report first said so.
-  Time heard_{};
+  Time first_heard_{};
 };
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_WORKLOAD_WORKER_LIFE_H_
+#endif  // THORNPLANK_WORKLOAD_WORKER_INCARNATION_H_
--- a/src/libs/workload/worker_report.h
+++ b/src/libs/workload/worker_report.h
@@ -15,17 +15,17 @@
 namespace thornplank {
 
 // When the life of a worker began, as it says itself.
-struct BirthMark {
-  std::optional<WallTime> born = std::nullopt;
+struct IncarnationStart {
+  std::optional<WallTime> time = std::nullopt;
   // Why it cannot be told; "" where it can.
-  std::string fault = "";
+  std::string error = "";
 };
 
 // An entry of the directory of workers: one life of one worker.
 struct WorkerRegistration {
   // A worker that has restarted may have the id of the life before.
   std::string id;
-  BirthMark birth;
+  IncarnationStart incarnation_start;
   std::string address;
   std::string service;
   std::string failure_domain;
@@ -65,15 +65,15 @@
   Duration kept{};
   // From then until its worker fell silent; filled in there for a run that
   // ended with its worker.
-  Duration borne{};
+  Duration survived{};
   // Which of the lives that were seen under the worker's id; filled in there.
-  int life = 0;
+  int incarnation = 0;
 };
 
 struct WorkerStatusReport {
   // Begins anew with each life.
   Milliseconds clock{0};
-  BirthMark birth;
+  IncarnationStart incarnation_start;
   std::vector<RunReport> running;
   std::vector<RunEndReport> ended;
 };
--- a/src/libs/workload/worker_tracker.cc
+++ b/src/libs/workload/worker_tracker.cc
@@ -28,13 +28,13 @@
   return settled;
 }
 
-RunEnd ToRunEnd(LifeEnd end) {
+RunEnd ToRunEnd(IncarnationEnd end) {
   switch (end) {
-    case LifeEnd::kLeft:
+    case IncarnationEnd::kLeft:
       return RunEnd::kWorkerLeft;
-    case LifeEnd::kCrashed:
+    case IncarnationEnd::kCrashed:
       return RunEnd::kWorkerCrashed;
-    case LifeEnd::kSilent:
+    case IncarnationEnd::kSilent:
       return RunEnd::kWorkerSilent;
   }
   return RunEnd::kLost;
@@ -80,10 +80,11 @@
     : registration_(std::move(registration)) {}
 
 void WorkerTracker::Update(WorkerRegistration registration, Time now) {
-  const std::optional<WallTime>& born = registration.birth.born;
-  const bool is_news = born && born != registration_.birth.born;
+  const std::optional<WallTime>& start = registration.incarnation_start.time;
+  const bool is_news = start && start != registration_.incarnation_start.time;
   // Until a report tells, nothing is known of the life that has begun.
-  if (is_news && life_.born() && born != life_.born()) synchronized_ = false;
+  if (is_news && incarnation_.start() && start != incarnation_.start())
+    synchronized_ = false;
   registration_ = std::move(registration);
   missing_since_.reset();
   leaves_.reset();
@@ -170,8 +171,8 @@
         tracked.since = now;
       }
       return {};
-    case StartOutcome::kOtherLife:
-      return OnGone(LifeEnd::kCrashed, now);
+    case StartOutcome::kOtherIncarnation:
+      return OnIncarnationEnded(IncarnationEnd::kCrashed, now);
     case StartOutcome::kRefused:
     case StartOutcome::kTicketRefused:
     case StartOutcome::kFenced:
@@ -191,9 +192,10 @@
   if (acknowledged) tracked->stop_acknowledged = now;
 }
 
-bool WorkerTracker::IsOfFormerLife(const WorkerStatusReport& report,
-                                   Time sent) const {
-  return life_.Judge(report.birth.born, sent) == WorkerLife::Verdict::kFormer;
+bool WorkerTracker::IsFromPastIncarnation(const WorkerStatusReport& report,
+                                          Time sent) const {
+  return incarnation_.Classify(report.incarnation_start.time, sent) ==
+         WorkerIncarnation::Verdict::kPast;
 }
 
 bool WorkerTracker::OutlivesRestart(const TrackedRun& run,
@@ -220,9 +222,9 @@
   return false;
 }
 
-std::vector<RunEndReport> WorkerTracker::BeginLife(
+std::vector<RunEndReport> WorkerTracker::BeginIncarnation(
     const WorkerStatusReport& report, Time sent, Time now) {
-  const RunEnd end = RunEndFor(LifeEnd::kCrashed, now);
+  const RunEnd end = RunEndFor(IncarnationEnd::kCrashed, now);
   std::vector<RunEndReport> ended;
   for (auto it = runs_.begin(); it != runs_.end();) {
     const auto run = it++;
@@ -231,10 +233,10 @@
       run->second.order_deadline = Milliseconds::max();
       continue;
     }
-    ended.push_back(LostWithLife(run->second, end, now));
+    ended.push_back(LostWithIncarnation(run->second, end, now));
     Erase(run);
   }
-  ++life_number_;
+  ++incarnation_number_;
   clock_ = Milliseconds::zero();
   processed_ends_ = 0;
   recorded_ends_ = 0;
@@ -245,11 +247,13 @@
 std::vector<RunEndReport> WorkerTracker::OnReport(
     const WorkerStatusReport& report, Time sent, Time now,
     std::vector<RunReport>* unexpected) {
-  const WorkerLife::Verdict life = life_.Judge(report.birth.born, sent);
-  if (life == WorkerLife::Verdict::kFormer) return {};
+  const WorkerIncarnation::Verdict verdict =
+      incarnation_.Classify(report.incarnation_start.time, sent);
+  if (verdict == WorkerIncarnation::Verdict::kPast) return {};
   std::vector<RunEndReport> ended;
-  if (life == WorkerLife::Verdict::kNext) ended = BeginLife(report, sent, now);
-  life_.Note(report.birth.born, now);
+  if (verdict == WorkerIncarnation::Verdict::kNext)
+    ended = BeginIncarnation(report, sent, now);
+  incarnation_.Record(report.incarnation_start.time, now);
   if (report.clock >= clock_) {
     clock_ = report.clock;
     clock_heard_ = now;
@@ -262,7 +266,7 @@
     if (end.number <= processed_ends_) continue;
     processed_ends_ = end.number;
     ended.push_back(end);
-    ended.back().life = life_number_;
+    ended.back().incarnation = incarnation_number_;
     const auto it = runs_.find(end.task);
     if (it == runs_.end() || it->second.run > end.run) continue;
     ended.back().began = it->second.began;
@@ -344,9 +348,10 @@
                                  : WorkerBelief::kUsable;
 }
 
-RunEnd WorkerTracker::RunEndFor(LifeEnd end, Time now) const {
-  const bool left = end == LifeEnd::kCrashed && leaves_ && now >= *leaves_;
-  return ToRunEnd(left ? LifeEnd::kLeft : end);
+RunEnd WorkerTracker::RunEndFor(IncarnationEnd end, Time now) const {
+  const bool left =
+      end == IncarnationEnd::kCrashed && leaves_ && now >= *leaves_;
+  return ToRunEnd(left ? IncarnationEnd::kLeft : end);
 }
 
 // An order without an answer was not taken by a worker that was silent before
@@ -357,28 +362,30 @@
   return known || (silent_since_ && *silent_since_ >= run.sent);
 }
 
-RunEndReport WorkerTracker::LostWithLife(const TrackedRun& run, RunEnd end,
-                                         Time now) const {
+RunEndReport WorkerTracker::LostWithIncarnation(const TrackedRun& run,
+                                                RunEnd end, Time now) const {
   RunEndReport lost =
       Settled(run, MayHaveBegun(run) ? end : RunEnd::kLost, now);
-  if (run.began != Time{}) lost.borne = silent_since_.value_or(now) - run.began;
+  if (run.began != Time{})
+    lost.survived = silent_since_.value_or(now) - run.began;
   return lost;
 }
 
-std::vector<RunEndReport> WorkerTracker::OnGone(LifeEnd end, Time now) {
+std::vector<RunEndReport> WorkerTracker::OnIncarnationEnded(IncarnationEnd end,
+                                                            Time now) {
   const RunEnd run_end = RunEndFor(end, now);
   std::vector<RunEndReport> ended;
   ended.reserve(runs_.size());
   for (const auto& [task, run] : runs_) {
-    ended.push_back(LostWithLife(run, run_end, now));
+    ended.push_back(LostWithIncarnation(run, run_end, now));
   }
   runs_.clear();
   used_ = Resources();
   return ended;
 }
 
-void WorkerTracker::OnEndsRecorded(int life, int64_t number) {
-  if (life != life_number_) return;
+void WorkerTracker::OnEndsRecorded(int incarnation, int64_t number) {
+  if (incarnation != incarnation_number_) return;
   recorded_ends_ = std::max(recorded_ends_, std::min(number, processed_ends_));
 }
 
--- a/src/libs/workload/worker_tracker.h
+++ b/src/libs/workload/worker_tracker.h
@@ -17,7 +17,7 @@
 
 #include "base/time.h"
 #include "workload/pace_control.h"
-#include "workload/worker_life.h"
+#include "workload/worker_incarnation.h"
 #include "workload/worker_report.h"
 #include "workload/worker_trust.h"
 
@@ -119,7 +119,7 @@
   kFenced,
   kNoAnswer,
   // Another life of the worker answers at its address.
-  kOtherLife,
+  kOtherIncarnation,
 };
 
 // Whether a worker may be given tasks, and if not, why.
@@ -141,7 +141,7 @@
 std::string_view ToText(WorkerBelief belief);
 
 // How the life of a worker ended, as far as that is known.
-enum class LifeEnd {
+enum class IncarnationEnd {
   // As it had announced.
   kLeft,
   // Another life is at its address.
@@ -189,7 +189,7 @@
   void OnStopAnswer(const TaskRef& task, int run, bool acknowledged, Time now);
 
   // Whether the report comes from a life that is over: nothing of it counts.
-  bool IsOfFormerLife(const WorkerStatusReport& report, Time sent) const;
+  bool IsFromPastIncarnation(const WorkerStatusReport& report, Time sent) const;
   // A report whose call was sent at `sent`. Returns what has ended since the
   // last one, in order; `unexpected` gets runs that nobody here decided on.
   // Where it is the first of another life, all that ran in the life before has
@@ -201,18 +201,20 @@
   void OnNoReport(Time now);
   // Its life is over: everything on it has ended. One that had announced to
   // leave by now has left, whatever is found at its address.
-  std::vector<RunEndReport> OnGone(LifeEnd end, Time now);
+  std::vector<RunEndReport> OnIncarnationEnded(IncarnationEnd end, Time now);
 
   // The number of the last end that was processed; the worker may forget ends
   // up to `recorded_ends`.
   int64_t processed_ends() const { return processed_ends_; }
   int64_t recorded_ends() const { return recorded_ends_; }
   // Ends up to `number` of that life.
-  void OnEndsRecorded(int life, int64_t number);
+  void OnEndsRecorded(int incarnation, int64_t number);
   // The life that is told of now, of those that were seen under its id.
-  int life() const { return life_number_; }
+  int incarnation() const { return incarnation_number_; }
   // Nullopt: it does not say.
-  const std::optional<WallTime>& born() const { return life_.born(); }
+  const std::optional<WallTime>& incarnation_start() const {
+    return incarnation_.start();
+  }
   // Something may hold a lease as long as `term` from now.
   void AllowLease(Milliseconds term, Time now);
 
@@ -248,21 +250,22 @@
   void Progress(TrackedRun* run, const RunReport& report, Time now);
   void Erase(std::map<TaskRef, TrackedRun>::iterator run);
   // A report shows that the life before is over.
-  std::vector<RunEndReport> BeginLife(const WorkerStatusReport& report,
-                                      Time sent, Time now);
+  std::vector<RunEndReport> BeginIncarnation(const WorkerStatusReport& report,
+                                             Time sent, Time now);
   bool OutlivesRestart(const TrackedRun& run, const WorkerStatusReport& report,
                        Time sent) const;
   // What the end of its life is, after what it had announced.
-  RunEnd RunEndFor(LifeEnd end, Time now) const;
+  RunEnd RunEndFor(IncarnationEnd end, Time now) const;
   // The end of a run that ends with the life: `end`, if it may have begun.
-  RunEndReport LostWithLife(const TrackedRun& run, RunEnd end, Time now) const;
+  RunEndReport LostWithIncarnation(const TrackedRun& run, RunEnd end,
+                                   Time now) const;
   bool MayHaveBegun(const TrackedRun& run) const;
   bool IsSettledByAbsence(const TrackedRun& run, Time sent,
                           Milliseconds clock) const;
 
   WorkerRegistration registration_;
-  WorkerLife life_;
-  int life_number_ = 0;
+  WorkerIncarnation incarnation_;
+  int incarnation_number_ = 0;
   std::optional<Time> leaves_;
   std::optional<Time> missing_since_;
   bool domain_closed_ = false;
--- a/tests/auto/coordination/fake_formats.h
+++ b/tests/auto/coordination/fake_formats.h
@@ -41,7 +41,7 @@
     if (record.value == kShrunk) worker.capacity.accelerators = 2;
     if (record.value->rfind(kBornAt, 0) == 0) {
       const std::string born = record.value->substr(sizeof(kBornAt) - 1);
-      worker.birth.born = FromUnixMilliseconds(std::stoll(born));
+      worker.incarnation_start.time = FromUnixMilliseconds(std::stoll(born));
     }
     return worker;
   }
--- a/tests/auto/coordination/tst_worker_fleet.cc
+++ b/tests/auto/coordination/tst_worker_fleet.cc
@@ -86,7 +86,7 @@
       {"refused", StartOutcome::kRefused, true, true, 0},
       {"no answer", StartOutcome::kNoAnswer, false, true, 0},
       {"fenced", StartOutcome::kFenced, true, true, 1},
-      {"another life", StartOutcome::kOtherLife, true, false, 0},
+      {"another life", StartOutcome::kOtherIncarnation, true, false, 0},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
--- a/tests/auto/coordination/tst_worker_fleet_lives.cc
+++ b/tests/auto/coordination/tst_worker_fleet_lives.cc
@@ -27,7 +27,7 @@
     CAPTURE(row.name);
     Fixture fixture;
     fixture.fleet.OnDirectoryRecord({"w1", "born at 5000", 1}, Fixture::Now());
-    fixture.calls.start = StartOutcome::kOtherLife;
+    fixture.calls.start = StartOutcome::kOtherIncarnation;
     fixture.Start();
     REQUIRE_FALSE(fixture.knows_worker());
     fixture.fleet.OnDirectoryRecord({"w1", row.entry, 2}, Fixture::Now());
@@ -39,7 +39,7 @@
 TEST_CASE("ends are told as recorded once, and to the life that counted them") {
   Fixture fixture;
   fixture.calls.answers_waiting = true;
-  fixture.calls.report.birth.born = FromUnixMilliseconds(5000);
+  fixture.calls.report.incarnation_start.time = FromUnixMilliseconds(5000);
   fixture.calls.report.ended = {{7, kTask, 1, RunEnd::kDone, ""}};
   fixture.Start();
   Time now = Fixture::Now();
@@ -66,10 +66,10 @@
   tick();
   CHECK(fixture.calls.waits_that_tell == 0);
   fixture.calls.report.running.clear();
-  fixture.calls.report.birth.born = FromUnixMilliseconds(9000);
+  fixture.calls.report.incarnation_start.time = FromUnixMilliseconds(9000);
   fixture.calls.report.ended.clear();
   tick();
-  CHECK(fixture.fleet.trackers().at("w1").life() == 1);
+  CHECK(fixture.fleet.trackers().at("w1").incarnation() == 1);
   fixture.fleet.OnEndsRecorded("w1", 0, 7);
   tick();
   CHECK(fixture.calls.recorded_ends.back() == 0);
@@ -77,12 +77,12 @@
 
 TEST_CASE("orders of the life before are stopped in the next one") {
   Fixture fixture;
-  fixture.calls.report.birth.born = FromUnixMilliseconds(5000);
+  fixture.calls.report.incarnation_start.time = FromUnixMilliseconds(5000);
   fixture.fleet.OnDirectoryRecord({"w2", "born at 5000", 1}, Fixture::Now());
   fixture.fleet.Add("w2", kTask, 1, RunProfile(), Fixture::Now());
   fixture.calls.start = StartOutcome::kNoAnswer;
   fixture.fleet.SendStart("w2", kTask, 1, {});
-  fixture.calls.report.birth.born = FromUnixMilliseconds(9000);
+  fixture.calls.report.incarnation_start.time = FromUnixMilliseconds(9000);
   Time now = Fixture::Now();
   for (int i = 0; i < 3; ++i) {
     now += Milliseconds(300);
@@ -95,7 +95,7 @@
 
 TEST_CASE("a life that is over stays so, though it is still listed") {
   Fixture fixture;
-  fixture.calls.start = StartOutcome::kOtherLife;
+  fixture.calls.start = StartOutcome::kOtherIncarnation;
   fixture.Start();
   fixture.fleet.OnDirectoryRecord({"w1", "listed", 1}, Fixture::Now());
   CHECK_FALSE(fixture.knows_worker());
--- a/tests/auto/users_platform/tst_wire_formats.cc
+++ b/tests/auto/users_platform/tst_wire_formats.cc
@@ -84,11 +84,12 @@
         nullptr);
     REQUIRE(report.has_value());
     REQUIRE(worker.has_value());
-    for (const BirthMark& birth : {report->birth, worker->birth}) {
-      CHECK(birth.fault == row.fault);
-      CHECK(birth.born.has_value() == (row.born > 0));
-      if (!birth.born) continue;
-      CHECK(ToUnixMilliseconds(*birth.born) == row.born);
+    for (const IncarnationStart& birth :
+         {report->incarnation_start, worker->incarnation_start}) {
+      CHECK(birth.error == row.fault);
+      CHECK(birth.time.has_value() == (row.born > 0));
+      if (!birth.time) continue;
+      CHECK(ToUnixMilliseconds(*birth.time) == row.born);
     }
   }
 }
--- a/tests/auto/workload/tst_crash_record.cc
+++ b/tests/auto/workload/tst_crash_record.cc
@@ -36,7 +36,7 @@
   lost.worker = "w" + std::to_string(number);
   lost.crashed = run.end == RunEnd::kWorkerCrashed;
   lost.began = run.began;
-  lost.borne = Milliseconds(run.borne_ms);
+  lost.survived = Milliseconds(run.borne_ms);
   return lost;
 }
 
--- a/tests/auto/workload/tst_worker_life.cc
+++ b/tests/auto/workload/tst_worker_incarnation.cc
@@ -4,13 +4,13 @@
 #include <optional>
 #include <vector>
 
-#include "workload/worker_life.h"
+#include "workload/worker_incarnation.h"
 #include "workload_fixtures.h"
 
 namespace thornplank::testing {
 namespace {
 
-using Verdict = WorkerLife::Verdict;
+using Verdict = WorkerIncarnation::Verdict;
 
 std::optional<WallTime> Born(int64_t milliseconds) {
   if (milliseconds == 0) return std::nullopt;
@@ -33,7 +33,7 @@
       {"the next", 5000, 9000, 1100, Verdict::kNext},
       {"the next, asked before this one was heard", 5000, 9000, 900,
        Verdict::kNext},
-      {"one before, overtaken on its way", 5000, 3000, 900, Verdict::kFormer},
+      {"one before, overtaken on its way", 5000, 3000, 900, Verdict::kPast},
       {"the next, by a clock that was set back", 5000, 3000, 1100,
        Verdict::kNext},
       {"a birth in the future", 5000, 7000000000000, 1100, Verdict::kNext},
@@ -45,18 +45,18 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    WorkerLife life;
-    life.Note(Born(row.known), At(1000));
-    CHECK(life.Judge(Born(row.said), At(row.sent)) == row.verdict);
+    WorkerIncarnation life;
+    life.Record(Born(row.known), At(1000));
+    CHECK(life.Classify(Born(row.said), At(row.sent)) == row.verdict);
   }
 }
 
 TEST_CASE("a life that says nothing for once is still known") {
-  WorkerLife life;
-  life.Note(Born(5000), At(1000));
-  life.Note(std::nullopt, At(1100));
-  CHECK(life.born() == Born(5000));
-  CHECK(life.Judge(Born(5000), At(1200)) == Verdict::kSame);
+  WorkerIncarnation life;
+  life.Record(Born(5000), At(1000));
+  life.Record(std::nullopt, At(1100));
+  CHECK(life.start() == Born(5000));
+  CHECK(life.Classify(Born(5000), At(1200)) == Verdict::kSame);
 }
 
 }  // namespace
--- a/tests/auto/workload/tst_worker_restart.cc
+++ b/tests/auto/workload/tst_worker_restart.cc
@@ -27,7 +27,7 @@
 
 WorkerStatusReport Report(int64_t born, int64_t clock) {
   WorkerStatusReport report;
-  report.birth.born = FromUnixMilliseconds(born);
+  report.incarnation_start.time = FromUnixMilliseconds(born);
   report.clock = Milliseconds(clock);
   return report;
 }
@@ -101,7 +101,7 @@
     WorkerStatusReport report = Report(kSecondBorn, 40);
     if (row.listed) report.running.push_back({kTask, 1, "", 1});
     const auto ends = Hear(&tracker, 500, 520, report);
-    CHECK(tracker.life() == 1);
+    CHECK(tracker.incarnation() == 1);
     REQUIRE(ends.size() == (row.ended ? 1 : 0));
     CHECK((tracker.Find(kTask) == nullptr) == row.ended);
     CHECK(tracker.room().accelerators == (row.ended ? 8 : 6));
@@ -136,7 +136,7 @@
       Hear(&tracker, 800, 820, WithEnd(Report(kSecondBorn, 340), 1, kTask));
   REQUIRE(ends.size() == 1);
   CHECK(ends[0].end == RunEnd::kDone);
-  CHECK(ends[0].life == 1);
+  CHECK(ends[0].incarnation == 1);
   // No more than was heard of.
   tracker.OnEndsRecorded(1, 7);
   CHECK(tracker.recorded_ends() == 1);
@@ -167,11 +167,11 @@
   Give(&tracker, Order::kAccepted, 600);
   WorkerStatusReport late = Report(kFirstBorn, kFirstClock + 400);
   late = WithEnd(late, 21, kTask);
-  CHECK(tracker.IsOfFormerLife(late, At(480)));
+  CHECK(tracker.IsFromPastIncarnation(late, At(480)));
   CHECK(Hear(&tracker, 480, 700, late).empty());
   CHECK(tracker.Find(kTask) != nullptr);
   CHECK(tracker.processed_ends() == 0);
-  CHECK(tracker.life() == 1);
+  CHECK(tracker.incarnation() == 1);
   CHECK(tracker.clock() == Milliseconds(40));
 }
 
@@ -192,7 +192,7 @@
     WorkerTracker tracker = FirstLife();
     for (const int64_t born : row.entries) {
       WorkerRegistration entry = MakeWorker("w", "r1");
-      if (born > 0) entry.birth.born = FromUnixMilliseconds(born);
+      if (born > 0) entry.incarnation_start.time = FromUnixMilliseconds(born);
       tracker.Update(entry, At(100));
     }
     CHECK((tracker.belief(At(100)) == WorkerBelief::kUsable) == row.believed);
--- a/tests/auto/workload/tst_worker_tracker.cc
+++ b/tests/auto/workload/tst_worker_tracker.cc
@@ -85,7 +85,7 @@
        false},
       {"another life answers",
        [](WorkerTracker* tracker) {
-         return tracker->OnGone(LifeEnd::kCrashed, At(600));
+         return tracker->OnIncarnationEnded(IncarnationEnd::kCrashed, At(600));
        },
        true},
   };
@@ -180,7 +180,7 @@
     }
     std::vector<RunEndReport> ends;
     if (row.at_end == nullptr) {
-      ends = tracker.OnGone(LifeEnd::kCrashed, At(4000));
+      ends = tracker.OnIncarnationEnded(IncarnationEnd::kCrashed, At(4000));
     } else {
       WorkerStatusReport report = Report(4000, false);
       report.ended.push_back({1, kTask, 1, RunEnd::kStopped, row.at_end});
@@ -210,7 +210,8 @@
   Hear(&lost, 1000, 1000, report);
   ledger.Checkpoint({step, 0}, 1, "first");
   ledger.Checkpoint({step, 1}, 1, "second");
-  for (const RunEndReport& end : lost.OnGone(LifeEnd::kSilent, At(2000))) {
+  for (const RunEndReport& end :
+       lost.OnIncarnationEnded(IncarnationEnd::kSilent, At(2000))) {
     ledger.End(end.task, end.run, end.end, end.checkpoint);
   }
   CHECK(ledger.FindTask({step, 0})->checkpoint == "second");
@@ -223,7 +224,7 @@
   enum class Order { kNotSent, kSent, kAccepted, kInherited };
   struct Row {
     const char* name;
-    LifeEnd end;
+    IncarnationEnd end;
     Order order;
     // When a call to the worker failed first; -1: none did. Orders go out at
     // 100.
@@ -233,26 +234,27 @@
     RunEnd expected;
   };
   const std::vector<Row> rows = {
-      {"crashed", LifeEnd::kCrashed, Order::kAccepted, 110, -1,
+      {"crashed", IncarnationEnd::kCrashed, Order::kAccepted, 110, -1,
        RunEnd::kWorkerCrashed},
-      {"crashed, found by its next life", LifeEnd::kCrashed, Order::kAccepted,
-       -1, -1, RunEnd::kWorkerCrashed},
-      {"before the order was sent", LifeEnd::kCrashed, Order::kNotSent, 110, -1,
+      {"crashed, found by its next life", IncarnationEnd::kCrashed,
+       Order::kAccepted, -1, -1, RunEnd::kWorkerCrashed},
+      {"before the order was sent", IncarnationEnd::kCrashed, Order::kNotSent,
+       110, -1, RunEnd::kLost},
+      {"before the order was answered", IncarnationEnd::kCrashed, Order::kSent,
+       110, -1, RunEnd::kWorkerCrashed},
+      {"before the order came", IncarnationEnd::kCrashed, Order::kSent, 90, -1,
        RunEnd::kLost},
-      {"before the order was answered", LifeEnd::kCrashed, Order::kSent, 110,
-       -1, RunEnd::kWorkerCrashed},
-      {"before the order came", LifeEnd::kCrashed, Order::kSent, 90, -1,
-       RunEnd::kLost},
-      {"the order found the next life", LifeEnd::kCrashed, Order::kSent, -1, -1,
-       RunEnd::kLost},
-      {"a predecessor's", LifeEnd::kCrashed, Order::kInherited, -1, -1,
+      {"the order found the next life", IncarnationEnd::kCrashed, Order::kSent,
+       -1, -1, RunEnd::kLost},
+      {"a predecessor's", IncarnationEnd::kCrashed, Order::kInherited, -1, -1,
        RunEnd::kWorkerCrashed},
-      {"left", LifeEnd::kLeft, Order::kAccepted, -1, 500, RunEnd::kWorkerLeft},
-      {"left, and another is there already", LifeEnd::kCrashed,
+      {"left", IncarnationEnd::kLeft, Order::kAccepted, -1, 500,
+       RunEnd::kWorkerLeft},
+      {"left, and another is there already", IncarnationEnd::kCrashed,
        Order::kAccepted, -1, 500, RunEnd::kWorkerLeft},
-      {"crashed before it could leave", LifeEnd::kCrashed, Order::kAccepted, -1,
-       5000, RunEnd::kWorkerCrashed},
-      {"not heard of", LifeEnd::kSilent, Order::kAccepted, 110, -1,
+      {"crashed before it could leave", IncarnationEnd::kCrashed,
+       Order::kAccepted, -1, 5000, RunEnd::kWorkerCrashed},
+      {"not heard of", IncarnationEnd::kSilent, Order::kAccepted, 110, -1,
        RunEnd::kWorkerSilent},
   };
   for (const Row& row : rows) {
@@ -276,7 +278,7 @@
       tracker.OnStartAnswer(kTask, 1, StartOutcome::kAccepted, At(105));
     }
     if (row.silent >= 0) tracker.OnNoReport(At(row.silent));
-    const auto ends = tracker.OnGone(row.end, At(1000));
+    const auto ends = tracker.OnIncarnationEnded(row.end, At(1000));
     REQUIRE(ends.size() == 1);
     CHECK(ends[0].end == row.expected);
   }
@@ -305,9 +307,10 @@
       tracker.OnNoReport(At(row.silent));
       tracker.OnNoReport(At(2000));
     }
-    const auto ends = tracker.OnGone(LifeEnd::kCrashed, At(3000));
+    const auto ends =
+        tracker.OnIncarnationEnded(IncarnationEnd::kCrashed, At(3000));
     REQUIRE(ends.size() == 1);
-    CHECK(ends[0].borne == Milliseconds(row.borne_ms));
+    CHECK(ends[0].survived == Milliseconds(row.borne_ms));
   }
 }
 
