--- a/src/libs/coordination/advice_desk.cc
+++ b/src/libs/coordination/advice_desk.cc
@@ -17,7 +17,8 @@
 Time Now() { return std::chrono::steady_clock::now(); }
 
 Milliseconds DurationOf(const AdviceTerms& terms, size_t workers) {
-  return terms.decision + terms.each * static_cast<int64_t>(workers);
+  return terms.query_time +
+         terms.time_per_worker * static_cast<int64_t>(workers);
 }
 
 }  // namespace
@@ -29,13 +30,14 @@
 
 void AdviceDesk::Want(const StepRef& step, const AdviceTerms& terms,
                       const std::vector<std::string>& candidates) {
-  if (advisor_ == nullptr || book_.questions_out() >= kMostQuestions) return;
+  if (advisor_ == nullptr || book_.pending_queries() >= kMostQuestions) return;
   const Time now = Now();
-  std::vector<std::string> question = book_.NextQuestion(step, candidates, now);
+  std::vector<std::string> question = book_.NextQuery(step, candidates, now);
   if (question.empty()) return;
-  const Milliseconds timeout = DurationOf(terms, question.size()) *
-                                   static_cast<int64_t>(book_.questions_out()) +
-                               kAnswerSlack;
+  const Milliseconds timeout =
+      DurationOf(terms, question.size()) *
+          static_cast<int64_t>(book_.pending_queries()) +
+      kAnswerSlack;
   advisor_->Ask(
       step, question, timeout,
       [this, alive = alive_, step, question, now](const Advice& advice) {
@@ -59,7 +61,7 @@
               {"step", step.ToString()},
               {"asked", asked.size()},
               {"took_ms", took}});
-    return book_.OnNoAnswer(step, Now());
+    return book_.OnQueryFailed(step, Now());
   }
   LogEvent(events::kAdviceGiven, {{"job", step.job},
                                   {"step", step.ToString()},
--- a/src/libs/coordination/advice_desk.h
+++ b/src/libs/coordination/advice_desk.h
@@ -10,7 +10,7 @@
 
 #include "base/time.h"
 #include "coordination/advisor.h"
-#include "workload/advice_book.h"
+#include "workload/advice_cache.h"
 #include "workload/job_definition.h"
 
 namespace thornplank {
@@ -22,13 +22,13 @@
   AdviceDesk(Advisor* advisor, std::function<void()> on_change);
   ~AdviceDesk();
 
-  const AdviceBook& book() const { return book_; }
+  const AdviceCache& book() const { return book_; }
   // A step that waits, with the workers that might run it, best first.
   void Want(const StepRef& step, const AdviceTerms& terms,
             const std::vector<std::string>& candidates);
   void OnTicketRefused(const StepRef& step, const std::string& worker);
   // Steps that are still open; the rest is forgotten.
-  void Keep(const std::set<StepRef>& steps) { book_.Keep(steps); }
+  void Keep(const std::set<StepRef>& steps) { book_.RetainOnly(steps); }
 
  private:
   void OnAnswer(const StepRef& step, const std::vector<std::string>& asked,
@@ -36,7 +36,7 @@
 
   Advisor* const advisor_;
   const std::function<void()> on_change_;
-  AdviceBook book_;
+  AdviceCache book_;
   // Callbacks that outlive this object do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/libs/coordination/advisor.h
+++ b/src/libs/coordination/advisor.h
@@ -8,7 +8,7 @@
 
 #include "base/error.h"
 #include "base/time.h"
-#include "workload/advice_book.h"
+#include "workload/advice_cache.h"
 #include "workload/task_ref.h"
 
 namespace thornplank {
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -96,7 +96,7 @@
     pending_starts_.push_back(
         {assignment.worker, task, run, status->checkpoint,
          advice_->book()
-             .Ticket(decision.step, assignment.worker, now)
+             .FindTicket(decision.step, assignment.worker, now)
              .value_or("")});
     workers.push_back(Json::array({assignment.index, assignment.worker}));
     if (!fleet_->IsNear(assignment.worker, spec->data_rack)) ++away;
--- a/src/libs/workload/advice_book.cc
+++ b/src/libs/workload/advice_cache.cc
@@ -1,5 +1,5 @@
 // Verdicts by step and worker.
-#include "workload/advice_book.h"
+#include "workload/advice_cache.h"
 
 #include <algorithm>
 
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-std::optional<std::string> AdviceBook::Ticket(const StepRef& step,
-                                              const std::string& worker,
-                                              Time now) const {
+std::optional<std::string> AdviceCache::FindTicket(const StepRef& step,
+                                                   const std::string& worker,
+                                                   Time now) const {
   const auto advice = steps_.find(step);
   if (advice == steps_.end()) return std::nullopt;
   const auto verdict = advice->second.verdicts.find(worker);
@@ -32,11 +32,11 @@
   return verdict->second.ticket;
 }
 
-std::vector<std::string> AdviceBook::NextQuestion(
+std::vector<std::string> AdviceCache::NextQuery(
     const StepRef& step, const std::vector<std::string>& candidates, Time now) {
   std::vector<std::string> question;
   StepAdvice& advice = steps_[step];
-  if (advice.question_out || now < advice.next_question) return question;
+  if (advice.query_pending || now < advice.next_query) return question;
   const size_t most =
       advice.verdicts.empty() ? kFirstQuestion : kLargestQuestion;
   for (const std::string& worker : candidates) {
@@ -44,20 +44,20 @@
     const auto verdict = advice.verdicts.find(worker);
     const bool known =
         verdict != advice.verdicts.end() &&
-        (verdict->second.ticket.empty() || Ticket(step, worker, now));
+        (verdict->second.ticket.empty() || FindTicket(step, worker, now));
     if (!known) question.push_back(worker);
   }
-  advice.question_out = !question.empty();
+  advice.query_pending = !question.empty();
   return question;
 }
 
-void AdviceBook::OnAnswer(const StepRef& step,
-                          const std::vector<std::string>& asked,
-                          const std::vector<ApprovedWorker>& approved,
-                          Milliseconds validity, Time sent) {
+void AdviceCache::OnAnswer(const StepRef& step,
+                           const std::vector<std::string>& asked,
+                           const std::vector<ApprovedWorker>& approved,
+                           Milliseconds validity, Time sent) {
   const auto advice = steps_.find(step);
   if (advice == steps_.end()) return;
-  advice->second.question_out = false;
+  advice->second.query_pending = false;
   for (const std::string& worker : asked) {
     advice->second.verdicts[worker] = Verdict();
   }
@@ -66,30 +66,30 @@
   }
 }
 
-void AdviceBook::OnNoAnswer(const StepRef& step, Time now) {
+void AdviceCache::OnQueryFailed(const StepRef& step, Time now) {
   const auto advice = steps_.find(step);
   if (advice == steps_.end()) return;
-  advice->second.question_out = false;
-  advice->second.next_question = now + kPause;
+  advice->second.query_pending = false;
+  advice->second.next_query = now + kPause;
 }
 
-void AdviceBook::OnTicketRefused(const StepRef& step,
-                                 const std::string& worker) {
+void AdviceCache::OnTicketRefused(const StepRef& step,
+                                  const std::string& worker) {
   const auto advice = steps_.find(step);
   if (advice != steps_.end()) advice->second.verdicts.erase(worker);
 }
 
-void AdviceBook::Keep(const std::set<StepRef>& steps) {
+void AdviceCache::RetainOnly(const std::set<StepRef>& steps) {
   for (auto it = steps_.begin(); it != steps_.end();) {
     const auto current = it++;
     if (steps.count(current->first) == 0) steps_.erase(current);
   }
 }
 
-size_t AdviceBook::questions_out() const {
+size_t AdviceCache::pending_queries() const {
   return static_cast<size_t>(
       std::count_if(steps_.begin(), steps_.end(),
-                    [](const auto& row) { return row.second.question_out; }));
+                    [](const auto& row) { return row.second.query_pending; }));
 }
 
 }  // namespace thornplank
--- a/src/libs/workload/advice_book.h
+++ b/src/libs/workload/advice_cache.h
@@ -2,8 +2,8 @@
 //
 // A worker that was turned down for a step stays so. One that was approved got
 // a ticket, which each start must carry and which can be used for a while only.
-#ifndef THORNPLANK_WORKLOAD_ADVICE_BOOK_H_
-#define THORNPLANK_WORKLOAD_ADVICE_BOOK_H_
+#ifndef THORNPLANK_WORKLOAD_ADVICE_CACHE_H_
+#define THORNPLANK_WORKLOAD_ADVICE_CACHE_H_
 
 #include <map>
 #include <optional>
@@ -21,31 +21,32 @@
   std::string ticket;
 };
 
-class AdviceBook {
+class AdviceCache {
  public:
   // The ticket for a start that is decided now; nullopt where the worker is
   // turned down, was not asked about, or its ticket is as good as over.
-  std::optional<std::string> Ticket(const StepRef& step,
-                                    const std::string& worker, Time now) const;
+  std::optional<std::string> FindTicket(const StepRef& step,
+                                        const std::string& worker,
+                                        Time now) const;
 
   // Which of the candidates, best first, to ask about now. Empty while a
   // question about the step is out, or when all is known. Marks it as out.
-  std::vector<std::string> NextQuestion(
-      const StepRef& step, const std::vector<std::string>& candidates,
-      Time now);
+  std::vector<std::string> NextQuery(const StepRef& step,
+                                     const std::vector<std::string>& candidates,
+                                     Time now);
   // `asked` was sent at `sent`; the tickets can be used for `validity` from
   // then on.
   void OnAnswer(const StepRef& step, const std::vector<std::string>& asked,
                 const std::vector<ApprovedWorker>& approved,
                 Milliseconds validity, Time sent);
   // The question failed; another may be asked after a pause.
-  void OnNoAnswer(const StepRef& step, Time now);
+  void OnQueryFailed(const StepRef& step, Time now);
   // A worker did not take its ticket.
   void OnTicketRefused(const StepRef& step, const std::string& worker);
 
   // Forgets all steps but those.
-  void Keep(const std::set<StepRef>& steps);
-  size_t questions_out() const;
+  void RetainOnly(const std::set<StepRef>& steps);
+  size_t pending_queries() const;
 
  private:
   struct Verdict {
@@ -56,8 +57,8 @@
   };
   struct StepAdvice {
     std::map<std::string, Verdict> verdicts;
-    bool question_out = false;
-    Time next_question{};
+    bool query_pending = false;
+    Time next_query{};
   };
 
   std::map<StepRef, StepAdvice> steps_;
@@ -65,4 +66,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_WORKLOAD_ADVICE_BOOK_H_
+#endif  // THORNPLANK_WORKLOAD_ADVICE_CACHE_H_
--- a/src/libs/workload/cluster_rooms.cc
+++ b/src/libs/workload/cluster_rooms.cc
@@ -45,7 +45,7 @@
 }
 
 ClusterRooms::ClusterRooms(const std::map<std::string, WorkerTracker>& workers,
-                           const AdviceBook* advice, Time now)
+                           const AdviceCache* advice, Time now)
     : advice_(advice), now_(now) {
   for (const auto& [id, tracker] : workers) {
     index_[id] = rooms_.size();
@@ -168,7 +168,7 @@
   if (!IsSuited(step, room)) return false;
   if (!step.job->spec.policy.advice) return true;
   return advice_ != nullptr &&
-         advice_->Ticket(step.ref, room.tracker->id(), now_).has_value();
+         advice_->FindTicket(step.ref, room.tracker->id(), now_).has_value();
 }
 
 std::vector<std::string> ClusterRooms::CandidatesForAdvice(
--- a/src/libs/workload/cluster_rooms.h
+++ b/src/libs/workload/cluster_rooms.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "workload/advice_book.h"
+#include "workload/advice_cache.h"
 #include "workload/open_step.h"
 #include "workload/resources.h"
 #include "workload/worker_tracker.h"
@@ -79,7 +79,7 @@
  public:
   // `advice` may be null; both outlive this object.
   ClusterRooms(const std::map<std::string, WorkerTracker>& workers,
-               const AdviceBook* advice, Time now);
+               const AdviceCache* advice, Time now);
 
   const std::vector<WorkerRoom>& rooms() const { return rooms_; }
   WorkerRoom& room(size_t index) { return rooms_[index]; }
@@ -138,7 +138,7 @@
   static int64_t FillersThatFit(const OpenStep& step, const WorkerRoom& room);
   void Change(const RoomReservation& reservation, bool keep);
 
-  const AdviceBook* const advice_;
+  const AdviceCache* const advice_;
   const Time now_;
   std::vector<WorkerRoom> rooms_;
   // Of rooms_, by the worker's id.
--- a/src/libs/workload/job_definition.cc
+++ b/src/libs/workload/job_definition.cc
@@ -80,15 +80,15 @@
 
 Json EncodeAdvice(const std::optional<AdviceTerms>& terms) {
   if (!terms) return nullptr;
-  return Json::array(
-      {terms->decision.count(), terms->each.count(), terms->validity.count()});
+  return Json::array({terms->query_time.count(), terms->time_per_worker.count(),
+                      terms->validity.count()});
 }
 
 std::optional<AdviceTerms> DecodeAdvice(const Json& row) {
   if (row.is_null()) return std::nullopt;
   AdviceTerms terms;
-  terms.decision = Milliseconds(row.at(0).get<int64_t>());
-  terms.each = Milliseconds(row.at(1).get<int64_t>());
+  terms.query_time = Milliseconds(row.at(0).get<int64_t>());
+  terms.time_per_worker = Milliseconds(row.at(1).get<int64_t>());
   terms.validity = Milliseconds(row.at(2).get<int64_t>());
   return terms;
 }
--- a/src/libs/workload/job_definition.h
+++ b/src/libs/workload/job_definition.h
@@ -54,8 +54,8 @@
 // and how long its word holds.
 struct AdviceTerms {
   // For one question, and more for each worker named in it.
-  Milliseconds decision{0};
-  Milliseconds each{0};
+  Milliseconds query_time{0};
+  Milliseconds time_per_worker{0};
   Milliseconds validity{0};
 };
 
--- a/src/libs/workload/planner.h
+++ b/src/libs/workload/planner.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "workload/advice_book.h"
+#include "workload/advice_cache.h"
 #include "workload/cluster_rooms.h"
 #include "workload/job_ledger.h"
 #include "workload/room_reclaim.h"
@@ -90,7 +90,7 @@
   const std::map<std::string, WorkerTracker>* workers = nullptr;
   const Guarantees* guarantees = nullptr;
   // May be null where no queue needs advice.
-  const AdviceBook* advice = nullptr;
+  const AdviceCache* advice = nullptr;
   Time now{};
   WallTime wall_now{};
 };
--- a/tests/auto/users_platform/tst_wire_formats.cc
+++ b/tests/auto/users_platform/tst_wire_formats.cc
@@ -328,8 +328,8 @@
   CHECK_FALSE(configuration->queues[0].policy.advice.has_value());
   const auto& terms = configuration->queues[1].policy.advice;
   REQUIRE(terms.has_value());
-  CHECK(terms->decision == Milliseconds(40));
-  CHECK(terms->each == Milliseconds(2));
+  CHECK(terms->query_time == Milliseconds(40));
+  CHECK(terms->time_per_worker == Milliseconds(2));
   CHECK(terms->validity == Milliseconds(3000));
 }
 
--- a/tests/auto/workload/planner_world.h
+++ b/tests/auto/workload/planner_world.h
@@ -109,7 +109,7 @@
   JobLedger ledger;
   std::map<std::string, WorkerTracker> workers;
   Guarantees guarantees;
-  AdviceBook advice;
+  AdviceCache advice;
   Planner planner;
   Time now = At(0);
   WallTime wall_now = FromUnixMilliseconds(1000100);
--- a/tests/auto/workload/tst_advice_book.cc
+++ b/tests/auto/workload/tst_advice_cache.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "workload/advice_book.h"
+#include "workload/advice_cache.h"
 
 namespace thornplank::testing {
 namespace {
@@ -28,8 +28,8 @@
 }
 
 TEST_CASE("a ticket is used for the step it was given for, while it holds") {
-  AdviceBook book;
-  const auto question = book.NextQuestion(kStep, {"w0", "w1"}, At(0));
+  AdviceCache book;
+  const auto question = book.NextQuery(kStep, {"w0", "w1"}, At(0));
   REQUIRE(question == Workers(2));
   book.OnAnswer(kStep, question, {{"w1", "t1"}}, milliseconds(3000), At(0));
   struct Row {
@@ -49,7 +49,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    const auto ticket = book.Ticket(row.step, row.worker, At(row.at));
+    const auto ticket = book.FindTicket(row.step, row.worker, At(row.at));
     CHECK(ticket.has_value() == row.usable);
     if (ticket) CHECK(*ticket == "t1");
   }
@@ -57,45 +57,45 @@
 
 TEST_CASE(
     "questions are few: thirty at first, then the rest, no verdict twice") {
-  AdviceBook book;
-  const auto first = book.NextQuestion(kStep, Workers(150), At(0));
+  AdviceCache book;
+  const auto first = book.NextQuery(kStep, Workers(150), At(0));
   CHECK(first.size() == 30);
-  CHECK(book.questions_out() == 1);
-  CHECK(book.NextQuestion(kStep, Workers(150), At(1)).empty());
+  CHECK(book.pending_queries() == 1);
+  CHECK(book.NextQuery(kStep, Workers(150), At(1)).empty());
   book.OnAnswer(kStep, first, {}, milliseconds(3000), At(0));
-  const auto second = book.NextQuestion(kStep, Workers(150), At(50));
+  const auto second = book.NextQuery(kStep, Workers(150), At(50));
   CHECK(second.size() == 100);
   CHECK(second.front() == "w30");
   book.OnAnswer(kStep, second, {{"w30", "t"}}, milliseconds(3000), At(50));
-  const auto third = book.NextQuestion(kStep, Workers(150), At(100));
+  const auto third = book.NextQuery(kStep, Workers(150), At(100));
   CHECK(third.size() == 20);
   book.OnAnswer(kStep, third, {}, milliseconds(3000), At(100));
-  CHECK(book.NextQuestion(kStep, Workers(150), At(200)).empty());
+  CHECK(book.NextQuery(kStep, Workers(150), At(200)).empty());
   // Only what was approved may be approved anew.
-  const auto renewal = book.NextQuestion(kStep, Workers(150), At(4000));
+  const auto renewal = book.NextQuery(kStep, Workers(150), At(4000));
   CHECK(renewal == std::vector<std::string>{"w30"});
 }
 
 TEST_CASE("a question without an answer is asked again after a pause") {
-  AdviceBook book;
-  REQUIRE(book.NextQuestion(kStep, Workers(2), At(0)).size() == 2);
-  book.OnNoAnswer(kStep, At(1000));
-  CHECK(book.questions_out() == 0);
-  CHECK(book.NextQuestion(kStep, Workers(2), At(1100)).empty());
-  CHECK(book.NextQuestion(kStep, Workers(2), At(1300)).size() == 2);
+  AdviceCache book;
+  REQUIRE(book.NextQuery(kStep, Workers(2), At(0)).size() == 2);
+  book.OnQueryFailed(kStep, At(1000));
+  CHECK(book.pending_queries() == 0);
+  CHECK(book.NextQuery(kStep, Workers(2), At(1100)).empty());
+  CHECK(book.NextQuery(kStep, Workers(2), At(1300)).size() == 2);
 }
 
 TEST_CASE(
     "a refused ticket is sought anew, a forgotten step's answer is lost") {
-  AdviceBook book;
-  const auto question = book.NextQuestion(kStep, {"w0"}, At(0));
+  AdviceCache book;
+  const auto question = book.NextQuery(kStep, {"w0"}, At(0));
   book.OnAnswer(kStep, question, {{"w0", "t"}}, milliseconds(3000), At(0));
   book.OnTicketRefused(kStep, "w0");
-  CHECK_FALSE(book.Ticket(kStep, "w0", At(10)).has_value());
-  CHECK(book.NextQuestion(kStep, {"w0"}, At(10)).size() == 1);
-  book.Keep({kOther});
+  CHECK_FALSE(book.FindTicket(kStep, "w0", At(10)).has_value());
+  CHECK(book.NextQuery(kStep, {"w0"}, At(10)).size() == 1);
+  book.RetainOnly({kOther});
   book.OnAnswer(kStep, question, {{"w0", "t"}}, milliseconds(3000), At(10));
-  CHECK_FALSE(book.Ticket(kStep, "w0", At(20)).has_value());
+  CHECK_FALSE(book.FindTicket(kStep, "w0", At(20)).has_value());
 }
 
 }  // namespace
--- a/tests/auto/workload/tst_job_definition.cc
+++ b/tests/auto/workload/tst_job_definition.cc
@@ -82,7 +82,7 @@
   CHECK(read->steps[0].data_rack == "r1");
   CHECK(read->payload == job.payload);
   REQUIRE(read->policy.advice.has_value());
-  CHECK(read->policy.advice->each == Milliseconds(2));
+  CHECK(read->policy.advice->time_per_worker == Milliseconds(2));
 }
 
 TEST_CASE("any bytes are refused without harm") {
--- a/tests/auto/workload/tst_planner_eligibility.cc
+++ b/tests/auto/workload/tst_planner_eligibility.cc
@@ -30,7 +30,7 @@
 
   const StepRef step = plan.waits[0].step;
   const auto asked =
-      world.advice.NextQuestion(step, plan.waits[0].candidates, world.now);
+      world.advice.NextQuery(step, plan.waits[0].candidates, world.now);
   world.advice.OnAnswer(step, asked, {{"w0-1", "t1"}, {"w1-2", "t2"}},
                         Milliseconds(3000), world.now);
   plan = world.Round();
@@ -100,7 +100,7 @@
   CHECK(plan.stops.empty());
   const StepRef step{Id(2), 0, 0};
   const auto asked =
-      world.advice.NextQuestion(step, {"w0-0", "w0-1", "w0-2"}, world.now);
+      world.advice.NextQuery(step, {"w0-0", "w0-1", "w0-2"}, world.now);
   world.advice.OnAnswer(step, asked, {{"w0-1", "t"}}, Milliseconds(3000),
                         world.now);
   plan = world.Round();
