--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -311,7 +311,7 @@
     case CallOutcome::kOtherLife:
       return Bury(id, IncarnationEnd::kCrashed);
     case CallOutcome::kNobodyThere:
-      link.departure.OnNobodyThere(now);
+      link.departure.OnConnectionRefused(now);
       [[fallthrough]];
     case CallOutcome::kRefused:
     case CallOutcome::kNoAnswer:
@@ -367,7 +367,7 @@
   Link& link = links_[id];
   link.told_ends = 0;
   link.leased_until = Time{};
-  link.departure = DepartureWatch();
+  link.departure = DepartureDetector();
   LogEvent(events::kWorkerRestarted,
            {{"worker", id},
             {"born_ms", ToUnixMilliseconds(*tracker->incarnation_start())},
--- a/src/libs/coordination/worker_fleet.h
+++ b/src/libs/coordination/worker_fleet.h
@@ -18,7 +18,7 @@
 #include "coordination/refused_entries.h"
 #include "coordination/start_sender.h"
 #include "coordination/worker_calls.h"
-#include "workload/departure_watch.h"
+#include "workload/departure_detector.h"
 #include "workload/gang_review.h"
 #include "workload/run_review.h"
 #include "workload/worker_bounds.h"
@@ -122,7 +122,7 @@
     // A stop that was not confirmed is repeated then.
     Time next_stop{};
     std::optional<Time> missing_since;
-    DepartureWatch departure;
+    DepartureDetector departure;
   };
 
   bool IsClosed(const WorkerTracker& tracker) const;
--- a/src/libs/workload/departure_watch.h
+++ b/src/libs/workload/departure_detector.h
@@ -7,8 +7,8 @@
 // written its entry anew just before. One that is taken away at short notice
 // leaves its entry behind; its heartbeats end, and nothing listens at its
 // address.
-#ifndef THORNPLANK_WORKLOAD_DEPARTURE_WATCH_H_
-#define THORNPLANK_WORKLOAD_DEPARTURE_WATCH_H_
+#ifndef THORNPLANK_WORKLOAD_DEPARTURE_DETECTOR_H_
+#define THORNPLANK_WORKLOAD_DEPARTURE_DETECTOR_H_
 
 #include <optional>
 
@@ -17,31 +17,33 @@
 
 namespace thornplank {
 
-class DepartureWatch {
+class DepartureDetector {
  public:
   // The worker's entry, seen now; the directory was read up to its end at
   // `contact` the last time before.
-  void OnEntry(const WorkerRegistration& entry, Time contact, Time now);
+  void OnEntry(const WorkerRegistration& entry, Time directory_read_at,
+               Time now);
   // The same of its removal. `heartbeat`: between two entries of a worker.
-  bool IsDeparture(Milliseconds heartbeat, Time contact, Time now) const;
+  bool IsDeparture(Milliseconds heartbeat, Time directory_read_at,
+                   Time now) const;
 
   // What came of a call to it: an answer, or word that nothing listens there.
-  void OnAnswer() { nobody_there_.reset(); }
-  void OnNobodyThere(Time now) { nobody_there_ = now; }
+  void OnAnswer() { refused_at_.reset(); }
+  void OnConnectionRefused(Time now) { refused_at_ = now; }
   // Whether it has left, though it is still listed. A worker that is only cut
   // off, by a network that refuses connections for it, still writes its entry.
-  bool HasLeft(Milliseconds heartbeat, Time contact, Time now) const;
+  bool HasLeft(Milliseconds heartbeat, Time directory_read_at, Time now) const;
 
  private:
   Time last_entry_{};
   // How old the last entry was at most when it was seen.
   Duration entry_lag_{};
   // When the worker leaves at the earliest, where it has announced that.
-  std::optional<Time> leaves_;
+  std::optional<Time> earliest_departure_;
   // The last call found nobody, then.
-  std::optional<Time> nobody_there_;
+  std::optional<Time> refused_at_;
 };
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_WORKLOAD_DEPARTURE_WATCH_H_
+#endif  // THORNPLANK_WORKLOAD_DEPARTURE_DETECTOR_H_
--- a/tests/auto/workload/tst_departure_watch.cc
+++ b/tests/auto/workload/tst_departure_detector.cc
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "workload/departure_watch.h"
+#include "workload/departure_detector.h"
 #include "workload_fixtures.h"
 
 namespace thornplank::testing {
@@ -41,7 +41,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    DepartureWatch watch;
+    DepartureDetector watch;
     WorkerRegistration entry = MakeWorker("w1", "r1");
     entry.draining = row.draining;
     entry.drain_left = Milliseconds(row.left);
@@ -83,12 +83,12 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    DepartureWatch watch;
+    DepartureDetector watch;
     WorkerRegistration entry = MakeWorker("w1", "r1");
     entry.draining = row.draining;
     entry.drain_left = Milliseconds(row.left);
     watch.OnEntry(entry, At(0), At(0));
-    if (row.nobody >= 0) watch.OnNobodyThere(At(row.nobody));
+    if (row.nobody >= 0) watch.OnConnectionRefused(At(row.nobody));
     if (row.answered) watch.OnAnswer();
     const Time now = At(row.silent);
     CHECK(watch.HasLeft(kHeartbeat, now - Milliseconds(row.lag), now) ==
@@ -97,7 +97,7 @@
 }
 
 TEST_CASE("a worker that comes back has announced nothing") {
-  DepartureWatch watch;
+  DepartureDetector watch;
   WorkerRegistration entry = MakeWorker("w1", "r1");
   entry.draining = true;
   watch.OnEntry(entry, At(0), At(0));
