--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -384,7 +384,7 @@
   if (progress == nullptr) return;
   const Time lease_bound =
       now + settings_.lead_term +
-      WorkerTracker::LongestLease(settings_.bounds.lease_term());
+      WorkerTracker::MaxLeaseDuration(settings_.bounds.lease_term());
   for (size_t i = 0; i < progress->tasks.size(); ++i) {
     const TaskStatus& task = progress->tasks[i];
     if (task.phase != TaskPhase::kActive) continue;
--- a/src/libs/coordination/cluster_gauges.cc
+++ b/src/libs/coordination/cluster_gauges.cc
@@ -80,7 +80,7 @@
   for (const auto& [id, tracker] : coordinator.fleet()->trackers()) {
     const MetricLabels labels = {
         {"service", tracker.registration().service},
-        {"belief", std::string(ToText(tracker.belief(now)))}};
+        {"belief", std::string(ToText(tracker.availability(now)))}};
     ++counts[labels];
   }
   return ToRows(counts);
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -196,7 +196,7 @@
                              lasted.value_or(Duration::zero()))
                              .count();
   const auto kept_ms =
-      std::chrono::duration_cast<Milliseconds>(end.kept).count();
+      std::chrono::duration_cast<Milliseconds>(end.saved_work).count();
   LogEvent(events::kRunEnded, {{"task", end.task.ToString()},
                                {"run", end.run},
                                {"worker", worker},
--- a/src/libs/coordination/fleet_orders.cc
+++ b/src/libs/coordination/fleet_orders.cc
@@ -33,7 +33,7 @@
   order.payload = fields.payload;
   order.checkpoint = fields.checkpoint;
   order.ticket = fields.ticket;
-  order.deadline = tracker->DeadlineIn(settings_.bounds.start_term(), now);
+  order.deadline = tracker->IssueDeadline(settings_.bounds.start_term(), now);
   order.epoch = settings_.epoch;
   tracked->resumed = !fields.checkpoint.empty();
   tracker->OnStartSent(task, run, order.deadline, now);
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -98,7 +98,7 @@
   if (leaves) {
     LogEvent(events::kWorkerLeaving,
              {{"worker", id},
-              {"left_ms", registration->drain_left.count()},
+              {"left_ms", registration->drain_remaining.count()},
               {"runs", tracker->runs().size()},
               {"offset", record.offset}});
   }
@@ -281,7 +281,8 @@
   const bool renew = may_renew_ && tracker->synchronized() &&
                      tracker->reachable() && !tracker->runs().empty();
   if (renew) {
-    query.lease_until = tracker->DeadlineIn(settings_.bounds.lease_term(), now);
+    query.lease_until =
+        tracker->IssueDeadline(settings_.bounds.lease_term(), now);
   }
   link.look_again = false;
   (extra ? link.extra_report : link.reporting) = true;
@@ -319,7 +320,7 @@
         LogEvent(events::kWorkerSilent, answer.error,
                  {{"worker", id}, {"runs", tracker->runs().size()}});
       }
-      tracker->OnNoReport(now);
+      tracker->OnReportFailed(now);
       link.next_report = now + settings_.report_retry;
       return;
   }
@@ -374,7 +375,7 @@
             {"ended", ends.size()},
             {"runs", tracker->runs().size()}});
   // Deadlines of the life before lie far ahead on the clock of this one.
-  tracker->AllowLease(settings_.bounds.longest_lease, now);
+  tracker->ExtendLeaseBound(settings_.bounds.longest_lease, now);
   std::vector<std::pair<TaskRef, int>> undecided;
   for (const auto& [task, run] : tracker->runs()) {
     const bool sent =
@@ -417,7 +418,7 @@
       link.departure.HasLeft(settings_.bounds.heartbeat, contact_, now)) {
     return Bury(id, IncarnationEnd::kLeft);
   }
-  if (unreachable && !tracker->runs().empty() && tracker->LeasesOver(now)) {
+  if (unreachable && !tracker->runs().empty() && tracker->LeasesExpired(now)) {
     if (Lose(id, IncarnationEnd::kSilent)) return;
   }
   const bool listed_long_ago =
--- a/src/libs/workload/cluster_rooms.cc
+++ b/src/libs/workload/cluster_rooms.cc
@@ -57,7 +57,7 @@
   WorkerRoom room;
   room.tracker = &tracker;
   room.room = tracker.room();
-  room.usable = tracker.belief(now) == WorkerBelief::kUsable;
+  room.usable = tracker.availability(now) == WorkerAvailability::kUsable;
   for (const auto& [task, run] : tracker.runs()) {
     const RunProfile& profile = run.profile;
     if (run.stop_wanted) room.coming += profile.need;
--- a/src/libs/workload/departure_detector.cc
+++ b/src/libs/workload/departure_detector.cc
@@ -14,7 +14,7 @@
   last_entry_ = now;
   entry_lag_ = now - directory_read_at;
   earliest_departure_.reset();
-  if (entry.draining) earliest_departure_ = now + entry.drain_left;
+  if (entry.draining) earliest_departure_ = now + entry.drain_remaining;
 }
 
 bool DepartureDetector::IsDeparture(Milliseconds heartbeat,
--- a/src/libs/workload/gang_review.cc
+++ b/src/libs/workload/gang_review.cc
@@ -69,14 +69,15 @@
 
 bool GangReview::EndsWithWorker(const Member& member, Duration left,
                                 Time now) const {
-  const std::optional<Time> leaves = member.worker->leaves();
-  if (!leaves) return false;
+  const std::optional<Time> earliest_departure =
+      member.worker->earliest_departure();
+  if (!earliest_departure) return false;
   if (!member.run->profile.checkpointable) {
-    return now + left > *leaves + settings_.late_leave;
+    return now + left > *earliest_departure + settings_.late_leave;
   }
   // What it does until then is saved, and its room is nobody else's.
-  const Time last_stop = *leaves - settings_.bounds.move_cost();
-  return now >= last_stop && now + left > *leaves;
+  const Time last_stop = *earliest_departure - settings_.bounds.move_cost();
+  return now >= last_stop && now + left > *earliest_departure;
 }
 
 bool GangReview::StandsStill(const Member& member, Duration sound) const {
--- a/src/libs/workload/run_review.cc
+++ b/src/libs/workload/run_review.cc
@@ -63,7 +63,7 @@
   if (run.profile.gang) return "";
   const Duration left = run.remaining(now);
   if (worker.registration().draining && run.profile.checkpointable &&
-      left > worker.registration().drain_left) {
+      left > worker.registration().drain_remaining) {
     return "worker leaves";
   }
   const Duration sound = speeds_.SoundDuration(run.task.step);
--- a/src/libs/workload/worker_report.h
+++ b/src/libs/workload/worker_report.h
@@ -35,7 +35,7 @@
   Resources capacity;
   bool draining = false;
   // Where draining: at least this long until it leaves.
-  Milliseconds drain_left{0};
+  Milliseconds drain_remaining{0};
 };
 
 // One run that is on a worker.
@@ -62,7 +62,7 @@
   // tracker.
   Time began{};
   // Of the time since then, what a checkpoint keeps; filled in there as well.
-  Duration kept{};
+  Duration saved_work{};
   // From then until its worker fell silent; filled in there for a run that
   // ended with its worker.
   Duration survived{};
--- a/src/libs/workload/worker_tracker.cc
+++ b/src/libs/workload/worker_tracker.cc
@@ -24,7 +24,7 @@
   settled.run = run.run;
   settled.end = end;
   settled.began = run.began;
-  settled.kept = run.kept("", now);
+  settled.saved_work = run.saved_work("", now);
   return settled;
 }
 
@@ -52,7 +52,7 @@
   return stage == RunStage::kRunning && now - began >= kStartPhase;
 }
 
-Duration TrackedRun::kept(const std::string& made, Time now) const {
+Duration TrackedRun::saved_work(const std::string& made, Time now) const {
   if (began == Time{}) return Duration::zero();
   // Made by the end itself, which comes as soon as it is there.
   const bool made_now = !made.empty() && made != checkpoint;
@@ -87,8 +87,9 @@
     synchronized_ = false;
   registration_ = std::move(registration);
   missing_since_.reset();
-  leaves_.reset();
-  if (registration_.draining) leaves_ = now + registration_.drain_left;
+  earliest_departure_.reset();
+  if (registration_.draining)
+    earliest_departure_ = now + registration_.drain_remaining;
 }
 
 void WorkerTracker::SetSpeed(double speed, Time now) {
@@ -124,17 +125,17 @@
   return it == runs_.end() ? nullptr : &it->second;
 }
 
-Milliseconds WorkerTracker::LongestLease(Milliseconds term) {
+Milliseconds WorkerTracker::MaxLeaseDuration(Milliseconds term) {
   return Milliseconds(static_cast<int64_t>(static_cast<double>(term.count()) /
                                            kSlowestClock)) +
          kLeaseSlack;
 }
 
-Milliseconds WorkerTracker::DeadlineIn(Milliseconds term, Time now) {
+Milliseconds WorkerTracker::IssueDeadline(Milliseconds term, Time now) {
   const auto elapsed =
       std::chrono::duration_cast<Milliseconds>(now - clock_heard_);
   lease_bound_ =
-      std::max(lease_bound_, clock_heard_ + LongestLease(term + elapsed));
+      std::max(lease_bound_, clock_heard_ + MaxLeaseDuration(term + elapsed));
   return clock_ + elapsed + term;
 }
 
@@ -270,7 +271,7 @@
     const auto it = runs_.find(end.task);
     if (it == runs_.end() || it->second.run > end.run) continue;
     ended.back().began = it->second.began;
-    ended.back().kept = it->second.kept(end.checkpoint, now);
+    ended.back().saved_work = it->second.saved_work(end.checkpoint, now);
     Erase(it);
   }
   for (const RunReport& running : report.running) {
@@ -332,25 +333,25 @@
   return false;
 }
 
-void WorkerTracker::OnNoReport(Time now) {
+void WorkerTracker::OnReportFailed(Time now) {
   ++failed_reports_;
   trust_.OnSilence(now);
   if (!silent_since_) silent_since_ = now;
 }
 
-WorkerBelief WorkerTracker::belief(Time now) const {
-  if (!synchronized()) return WorkerBelief::kNotHeardYet;
-  if (!reachable()) return WorkerBelief::kSilent;
-  if (missing()) return WorkerBelief::kNotListed;
-  if (registration_.draining) return WorkerBelief::kLeaving;
-  if (domain_closed_) return WorkerBelief::kDomainClosed;
-  return trust_.Quarantined(now) ? WorkerBelief::kQuarantined
-                                 : WorkerBelief::kUsable;
+WorkerAvailability WorkerTracker::availability(Time now) const {
+  if (!synchronized()) return WorkerAvailability::kNoReportYet;
+  if (!reachable()) return WorkerAvailability::kSilent;
+  if (missing()) return WorkerAvailability::kNotListed;
+  if (registration_.draining) return WorkerAvailability::kLeaving;
+  if (domain_closed_) return WorkerAvailability::kDomainClosed;
+  return trust_.Quarantined(now) ? WorkerAvailability::kQuarantined
+                                 : WorkerAvailability::kUsable;
 }
 
 RunEnd WorkerTracker::RunEndFor(IncarnationEnd end, Time now) const {
-  const bool left =
-      end == IncarnationEnd::kCrashed && leaves_ && now >= *leaves_;
+  const bool left = end == IncarnationEnd::kCrashed && earliest_departure_ &&
+                    now >= *earliest_departure_;
   return ToRunEnd(left ? IncarnationEnd::kLeft : end);
 }
 
@@ -389,8 +390,8 @@
   recorded_ends_ = std::max(recorded_ends_, std::min(number, processed_ends_));
 }
 
-void WorkerTracker::AllowLease(Milliseconds term, Time now) {
-  lease_bound_ = std::max(lease_bound_, now + LongestLease(term));
+void WorkerTracker::ExtendLeaseBound(Milliseconds term, Time now) {
+  lease_bound_ = std::max(lease_bound_, now + MaxLeaseDuration(term));
 }
 
 std::string_view ToText(RunStage stage) {
@@ -409,21 +410,21 @@
   return "unknown";
 }
 
-std::string_view ToText(WorkerBelief belief) {
-  switch (belief) {
-    case WorkerBelief::kUsable:
+std::string_view ToText(WorkerAvailability availability) {
+  switch (availability) {
+    case WorkerAvailability::kUsable:
       return "usable";
-    case WorkerBelief::kNotHeardYet:
+    case WorkerAvailability::kNoReportYet:
       return "not heard yet";
-    case WorkerBelief::kSilent:
+    case WorkerAvailability::kSilent:
       return "silent";
-    case WorkerBelief::kNotListed:
+    case WorkerAvailability::kNotListed:
       return "not listed";
-    case WorkerBelief::kLeaving:
+    case WorkerAvailability::kLeaving:
       return "leaving";
-    case WorkerBelief::kDomainClosed:
+    case WorkerAvailability::kDomainClosed:
       return "domain closed";
-    case WorkerBelief::kQuarantined:
+    case WorkerAvailability::kQuarantined:
       return "quarantined";
   }
   return "unknown";
--- a/src/libs/workload/worker_tracker.h
+++ b/src/libs/workload/worker_tracker.h
@@ -102,7 +102,7 @@
   bool is_proven(Time now) const;
   // Of the time that it has worked, what is not lost when it ends so; `made` is
   // the checkpoint that its end brought.
-  Duration kept(const std::string& made, Time now) const;
+  Duration saved_work(const std::string& made, Time now) const;
   // Percent a second since the baseline; zero when that tells nothing yet.
   double rate() const;
   // Until it ends at that rate; Duration::max() when it tells nothing yet.
@@ -123,10 +123,10 @@
 };
 
 // Whether a worker may be given tasks, and if not, why.
-enum class WorkerBelief {
+enum class WorkerAvailability {
   kUsable,
   // No report has come since this process leads.
-  kNotHeardYet,
+  kNoReportYet,
   // Its reports have no answer.
   kSilent,
   // The directory lists it no more, or with an entry that cannot be read.
@@ -138,7 +138,7 @@
   kQuarantined,
 };
 
-std::string_view ToText(WorkerBelief belief);
+std::string_view ToText(WorkerAvailability availability);
 
 // How the life of a worker ended, as far as that is known.
 enum class IncarnationEnd {
@@ -158,7 +158,7 @@
   const std::string& id() const { return registration_.id; }
   void Update(WorkerRegistration registration, Time now);
   // Where it has announced that: the earliest time at which it leaves.
-  std::optional<Time> leaves() const { return leaves_; }
+  std::optional<Time> earliest_departure() const { return earliest_departure_; }
   // The directory no longer lists it.
   void MarkMissing(Time now) { missing_since_ = now; }
   bool missing() const { return missing_since_.has_value(); }
@@ -176,10 +176,10 @@
   std::map<TaskRef, TrackedRun>& runs() { return runs_; }
 
   // How long a lease of `term` may last by this process's clock.
-  static Milliseconds LongestLease(Milliseconds term);
+  static Milliseconds MaxLeaseDuration(Milliseconds term);
   // The deadline on the worker's clock that lies `term` ahead. The lease bound
   // moves with it, since the order may be carried out.
-  Milliseconds DeadlineIn(Milliseconds term, Time now);
+  Milliseconds IssueDeadline(Milliseconds term, Time now);
 
   void OnStartSent(const TaskRef& task, int run, Milliseconds deadline,
                    Time now);
@@ -198,7 +198,7 @@
   std::vector<RunEndReport> OnReport(const WorkerStatusReport& report,
                                      Time sent, Time now,
                                      std::vector<RunReport>* unexpected);
-  void OnNoReport(Time now);
+  void OnReportFailed(Time now);
   // Its life is over: everything on it has ended. One that had announced to
   // leave by now has left, whatever is found at its address.
   std::vector<RunEndReport> OnIncarnationEnded(IncarnationEnd end, Time now);
@@ -216,18 +216,18 @@
     return incarnation_.start();
   }
   // Something may hold a lease as long as `term` from now.
-  void AllowLease(Milliseconds term, Time now);
+  void ExtendLeaseBound(Milliseconds term, Time now);
 
   // A report came under this process's epoch, so that no order of a
   // predecessor can begin anything there.
   bool synchronized() const { return synchronized_; }
   bool reachable() const { return failed_reports_ == 0; }
-  WorkerBelief belief(Time now) const;
+  WorkerAvailability availability(Time now) const;
   int failed_reports() const { return failed_reports_; }
   // The worker's clock as its last report had it.
   Milliseconds clock() const { return clock_; }
   // All leases have ended, whatever was carried out.
-  bool LeasesOver(Time now) const { return now > lease_bound_; }
+  bool LeasesExpired(Time now) const { return now > lease_bound_; }
   Time lease_bound() const { return lease_bound_; }
 
   // Room that nothing may be using. A worker that has shrunk may hold more than
@@ -266,7 +266,7 @@
   WorkerRegistration registration_;
   WorkerIncarnation incarnation_;
   int incarnation_number_ = 0;
-  std::optional<Time> leaves_;
+  std::optional<Time> earliest_departure_;
   std::optional<Time> missing_since_;
   bool domain_closed_ = false;
   std::map<TaskRef, TrackedRun> runs_;
--- a/tests/auto/coordination/tst_worker_fleet_lives.cc
+++ b/tests/auto/coordination/tst_worker_fleet_lives.cc
@@ -201,12 +201,12 @@
     const char* name;
     bool listed_again;
     bool answers;
-    WorkerBelief belief;
+    WorkerAvailability availability;
   };
   const std::vector<Row> rows = {
-      {"it answers", true, true, WorkerBelief::kUsable},
-      {"it does not", true, false, WorkerBelief::kSilent},
-      {"nothing is heard of it", false, true, WorkerBelief::kSilent},
+      {"it answers", true, true, WorkerAvailability::kUsable},
+      {"it does not", true, false, WorkerAvailability::kSilent},
+      {"nothing is heard of it", false, true, WorkerAvailability::kSilent},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -230,7 +230,8 @@
       fixture.fleet.OnDirectoryRecord({"w1", "listed", 2}, now);
     }
     tick(5);
-    CHECK(fixture.fleet.trackers().at("w1").belief(now) == row.belief);
+    CHECK(fixture.fleet.trackers().at("w1").availability(now) ==
+          row.availability);
     // Once for each entry: a worker that is gone is not asked for ever.
     CHECK(fixture.calls.reports == asked + (row.listed_again ? 1 : 0));
   }
--- a/tests/auto/users_platform/tst_wire_formats.cc
+++ b/tests/auto/users_platform/tst_wire_formats.cc
@@ -146,7 +146,7 @@
   REQUIRE(worker.has_value());
   CHECK(worker->id == "i-1");
   CHECK(worker->draining);
-  CHECK(worker->drain_left == Milliseconds(1500));
+  CHECK(worker->drain_remaining == Milliseconds(1500));
   CHECK(worker->rack == "r1-3");
   CHECK(worker->capacity.accelerators == 8);
 }
--- a/tests/auto/workload/tst_departure_detector.cc
+++ b/tests/auto/workload/tst_departure_detector.cc
@@ -44,7 +44,7 @@
     DepartureDetector watch;
     WorkerRegistration entry = MakeWorker("w1", "r1");
     entry.draining = row.draining;
-    entry.drain_left = Milliseconds(row.left);
+    entry.drain_remaining = Milliseconds(row.left);
     watch.OnEntry(entry, At(0) - Milliseconds(row.entry_lag), At(0));
     const Time removed = At(row.silent);
     CHECK(watch.IsDeparture(kHeartbeat, removed - Milliseconds(row.removal_lag),
@@ -86,7 +86,7 @@
     DepartureDetector watch;
     WorkerRegistration entry = MakeWorker("w1", "r1");
     entry.draining = row.draining;
-    entry.drain_left = Milliseconds(row.left);
+    entry.drain_remaining = Milliseconds(row.left);
     watch.OnEntry(entry, At(0), At(0));
     if (row.nobody >= 0) watch.OnConnectionRefused(At(row.nobody));
     if (row.answered) watch.OnAnswer();
--- a/tests/auto/workload/tst_gang_review.cc
+++ b/tests/auto/workload/tst_gang_review.cc
@@ -48,7 +48,7 @@
   void Leave(int member, int64_t left, int64_t when) {
     WorkerRegistration leaving = MakeWorker("w" + std::to_string(member), "r0");
     leaving.draining = true;
-    leaving.drain_left = Milliseconds(left);
+    leaving.drain_remaining = Milliseconds(left);
     workers.at(leaving.id).Update(leaving, At(when));
   }
 
--- a/tests/auto/workload/tst_planner_eligibility.cc
+++ b/tests/auto/workload/tst_planner_eligibility.cc
@@ -69,7 +69,7 @@
     world.workers.at("w0-0").Add({{Id(9), 0, 0}, 0}, 1, HalfOfAWorker(),
                                  world.now);
     for (const std::string& id : row.silent) {
-      world.workers.at(id).OnNoReport(world.now);
+      world.workers.at(id).OnReportFailed(world.now);
     }
     world.now += Milliseconds(row.later_ms);
     for (const std::string& id : row.silent) {
@@ -111,34 +111,34 @@
 TEST_CASE("workers that must get nothing get nothing") {
   struct Row {
     const char* name;
-    WorkerBelief belief;
+    WorkerAvailability availability;
     std::function<void(WorkerTracker*)> change;
   };
   const std::vector<Row> rows = {
-      {"leaving", WorkerBelief::kLeaving,
+      {"leaving", WorkerAvailability::kLeaving,
        [](WorkerTracker* worker) {
          WorkerRegistration registration = worker->registration();
          registration.draining = true;
          worker->Update(registration, At(0));
        }},
-      {"not listed", WorkerBelief::kNotListed,
+      {"not listed", WorkerAvailability::kNotListed,
        [](WorkerTracker* worker) { worker->MarkMissing(At(0)); }},
-      {"silent", WorkerBelief::kSilent,
-       [](WorkerTracker* worker) { worker->OnNoReport(At(0)); }},
-      {"in a domain that takes no new work", WorkerBelief::kDomainClosed,
+      {"silent", WorkerAvailability::kSilent,
+       [](WorkerTracker* worker) { worker->OnReportFailed(At(0)); }},
+      {"in a domain that takes no new work", WorkerAvailability::kDomainClosed,
        [](WorkerTracker* worker) { worker->set_domain_closed(true); }},
-      {"failing", WorkerBelief::kQuarantined,
+      {"failing", WorkerAvailability::kQuarantined,
        [](WorkerTracker* worker) {
          worker->trust().OnRunFailed("a", At(0));
          worker->trust().OnRunFailed("b", At(0));
        }},
-      {"of another service", WorkerBelief::kUsable,
+      {"of another service", WorkerAvailability::kUsable,
        [](WorkerTracker* worker) {
          WorkerRegistration registration = worker->registration();
          registration.service = "other";
          worker->Update(registration, At(0));
        }},
-      {"not heard under this epoch", WorkerBelief::kNotHeardYet,
+      {"not heard under this epoch", WorkerAvailability::kNoReportYet,
        [](WorkerTracker* worker) {
          *worker = WorkerTracker(worker->registration());
        }},
@@ -148,7 +148,7 @@
     World world(1, 1);
     WorkerTracker& worker = world.workers.begin()->second;
     row.change(&worker);
-    CHECK(worker.belief(world.now) == row.belief);
+    CHECK(worker.availability(world.now) == row.availability);
     world.ledger.Add(MakeJob(Id(1), {MakeStep(1, 1)}), world.now);
     const Plan plan = world.Round();
     CHECK(plan.starts.empty());
--- a/tests/auto/workload/tst_run_review.cc
+++ b/tests/auto/workload/tst_run_review.cc
@@ -82,7 +82,7 @@
     if (row.draining) {
       WorkerRegistration leaving = MakeWorker("w1", "r0");
       leaving.draining = true;
-      leaving.drain_left = Milliseconds(500);
+      leaving.drain_remaining = Milliseconds(500);
       worker.Update(leaving, At(2000));
     }
     const std::vector<RunVerdict> verdicts =
--- a/tests/auto/workload/tst_worker_restart.cc
+++ b/tests/auto/workload/tst_worker_restart.cc
@@ -62,7 +62,7 @@
   tracker->Add(kTask, 1, Profile(), At(now));
   if (order == Order::kNotSent) return;
   tracker->OnStartSent(
-      kTask, 1, tracker->DeadlineIn(Milliseconds(1500), At(now)), At(now));
+      kTask, 1, tracker->IssueDeadline(Milliseconds(1500), At(now)), At(now));
   if (order == Order::kSent) return;
   tracker->OnStartAnswer(kTask, 1,
                          order == Order::kAccepted ? StartOutcome::kAccepted
@@ -145,7 +145,8 @@
 TEST_CASE("the clock begins anew") {
   WorkerTracker tracker = FirstLife();
   Hear(&tracker, 500, 500, Report(kSecondBorn, 40));
-  CHECK(tracker.DeadlineIn(Milliseconds(1000), At(600)) == Milliseconds(1140));
+  CHECK(tracker.IssueDeadline(Milliseconds(1000), At(600)) ==
+        Milliseconds(1140));
 }
 
 TEST_CASE(
@@ -195,9 +196,10 @@
       if (born > 0) entry.incarnation_start.time = FromUnixMilliseconds(born);
       tracker.Update(entry, At(100));
     }
-    CHECK((tracker.belief(At(100)) == WorkerBelief::kUsable) == row.believed);
+    CHECK((tracker.availability(At(100)) == WorkerAvailability::kUsable) ==
+          row.believed);
     Hear(&tracker, 200, 210, Report(kSecondBorn, 40));
-    CHECK(tracker.belief(At(210)) == WorkerBelief::kUsable);
+    CHECK(tracker.availability(At(210)) == WorkerAvailability::kUsable);
   }
 }
 
--- a/tests/auto/workload/tst_worker_tracker.cc
+++ b/tests/auto/workload/tst_worker_tracker.cc
@@ -37,8 +37,8 @@
 WorkerTracker Undecided() {
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
   tracker.Add(kTask, 1, Profile(), At(0));
-  tracker.OnStartSent(kTask, 1, tracker.DeadlineIn(Milliseconds(1500), At(0)),
-                      At(0));
+  tracker.OnStartSent(kTask, 1,
+                      tracker.IssueDeadline(Milliseconds(1500), At(0)), At(0));
   tracker.OnStartAnswer(kTask, 1, StartOutcome::kNoAnswer, At(500));
   return tracker;
 }
@@ -187,7 +187,7 @@
       ends = Hear(&tracker, 4000, 4000, report);
     }
     REQUIRE(ends.size() == 1);
-    CHECK(ends[0].kept == Milliseconds(row.kept_ms));
+    CHECK(ends[0].saved_work == Milliseconds(row.kept_ms));
     CHECK(ends[0].began == At(0));
   }
 }
@@ -263,7 +263,7 @@
     if (row.leaves >= 0) {
       WorkerRegistration leaving = MakeWorker("w", "r1");
       leaving.draining = true;
-      leaving.drain_left = Milliseconds(row.leaves);
+      leaving.drain_remaining = Milliseconds(row.leaves);
       tracker.Update(leaving, At(0));
     }
     if (row.order == Order::kInherited) {
@@ -277,7 +277,7 @@
     if (row.order == Order::kAccepted) {
       tracker.OnStartAnswer(kTask, 1, StartOutcome::kAccepted, At(105));
     }
-    if (row.silent >= 0) tracker.OnNoReport(At(row.silent));
+    if (row.silent >= 0) tracker.OnReportFailed(At(row.silent));
     const auto ends = tracker.OnIncarnationEnded(row.end, At(1000));
     REQUIRE(ends.size() == 1);
     CHECK(ends[0].end == row.expected);
@@ -304,8 +304,8 @@
     tracker.Add(kTask, 1, Profile(), At(0));
     tracker.OnStartAnswer(kTask, 1, StartOutcome::kAccepted, At(0));
     if (row.silent >= 0) {
-      tracker.OnNoReport(At(row.silent));
-      tracker.OnNoReport(At(2000));
+      tracker.OnReportFailed(At(row.silent));
+      tracker.OnReportFailed(At(2000));
     }
     const auto ends =
         tracker.OnIncarnationEnded(IncarnationEnd::kCrashed, At(3000));
@@ -318,8 +318,8 @@
   WorkerTracker tracker(MakeWorker("w", "r1"));
   tracker.Inherit(kTask, 1, Profile(), At(0), At(9000));
   CHECK_FALSE(tracker.synchronized());
-  CHECK_FALSE(tracker.LeasesOver(At(8000)));
-  CHECK(tracker.LeasesOver(At(9001)));
+  CHECK_FALSE(tracker.LeasesExpired(At(8000)));
+  CHECK(tracker.LeasesExpired(At(9001)));
   SUBCASE("it runs") {
     CHECK(Hear(&tracker, 10, 20, Report(20, true)).empty());
     CHECK(tracker.Find(kTask)->stage == RunStage::kRunning);
@@ -332,11 +332,12 @@
 
 TEST_CASE("the bound of leases allows for the slowest clock") {
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
-  const Milliseconds deadline = tracker.DeadlineIn(Milliseconds(4900), At(100));
+  const Milliseconds deadline =
+      tracker.IssueDeadline(Milliseconds(4900), At(100));
   CHECK(deadline == Milliseconds(5000));
   // At 98% of our speed its clock shows 5,000 when ours shows 5,102.
-  CHECK_FALSE(tracker.LeasesOver(At(5102)));
-  CHECK(tracker.LeasesOver(At(5800)));
+  CHECK_FALSE(tracker.LeasesExpired(At(5102)));
+  CHECK(tracker.LeasesExpired(At(5800)));
 }
 
 TEST_CASE("a worker that fails jobs in a row gets nothing for a while") {
