--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -281,7 +281,7 @@
     OnRunEnd(worker, end);
   };
   handlers.on_progress = [this](const RunReport& run) {
-    ledger_.Checkpoint(run.task, run.run, run.checkpoint);
+    ledger_.RecordCheckpoint(run.task, run.run, run.checkpoint);
   };
   handlers.profile_of = [this](const TaskRef& task) { return ProfileOf(task); };
   handlers.is_known = [this](const std::string& service) {
@@ -333,7 +333,7 @@
   for (const auto& [ref, blocks] : loaded_) {
     const BoardJob* job = surroundings_.board->Find(ref.job);
     if (job == nullptr) continue;
-    ledger_.AdoptState(ref.job, job->published);
+    ledger_.AdoptFinalState(ref.job, job->published);
     if (job->cancelled) ledger_.Cancel(ref.job);
     if (IsTerminal(job->published)) published_ends_.insert(ref.job);
   }
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -84,7 +84,7 @@
 
 void ClusterCoordinator::ApplyStart(const StartDecision& decision, Time now) {
   MeasureWait(decision, now);
-  const int run = ledger_.Start(decision.step, decision.assignments);
+  const int run = ledger_.RecordStart(decision.step, decision.assignments);
   const Job* job = ledger_.Find(decision.step.job);
   const StepSpec* spec = ledger_.FindStepSpec(decision.step);
   Json workers = Json::array();
@@ -186,8 +186,8 @@
 
 void ClusterCoordinator::OnRunEnd(const std::string& worker,
                                   const RunEndReport& end) {
-  const bool taken = ledger_.End(end.task, end.run, end.end, end.checkpoint,
-                                 ToLostRun(worker, end));
+  const bool taken = ledger_.RecordRunEnd(
+      end.task, end.run, end.end, end.checkpoint, ToLostRun(worker, end));
   const StepSpec* spec = ledger_.FindStepSpec(end.task.step);
   std::optional<Duration> lasted;
   if (end.began != Time{}) lasted = Now() - end.began;
@@ -217,17 +217,17 @@
 
 void ClusterCoordinator::TellGivenUp(const TaskRef& task) {
   const TaskStatus* status = ledger_.FindTask(task);
-  if (status == nullptr || !status->crashes.IsToBlame()) return;
+  if (status == nullptr || !status->crashes.ShouldGiveUp()) return;
   LogEvent(events::kTaskGivenUp, {{"job", task.step.job},
                                   {"task", task.ToString()},
-                                  {"workers", status->crashes.workers},
-                                  {"at_start", status->crashes.at_start}});
+                                  {"workers", status->crashes.lost_workers},
+                                  {"at_start", status->crashes.start_crashes}});
   metrics_.OnTaskGivenUp();
 }
 
 size_t ClusterCoordinator::WorkersLostUnder(const TaskRef& task) const {
   const TaskStatus* status = ledger_.FindTask(task);
-  return status == nullptr ? 0 : status->crashes.workers.size();
+  return status == nullptr ? 0 : status->crashes.lost_workers.size();
 }
 
 // Runs that the ledger does not count on are stopped: of cancelled or failed
--- a/src/libs/workload/crash_record.cc
+++ b/src/libs/workload/crash_record.cc
@@ -28,23 +28,24 @@
 
 }  // namespace
 
-void CrashRecord::OnLost(const LostRun& run, const StepSpec& step) {
+void CrashRecord::OnWorkerLost(const LostRun& run, const StepSpec& step) {
   if (step.long_running && run.survived >= kProvenWork) {
     *this = CrashRecord();
     return;
   }
-  workers.push_back(run.worker);
-  at_start = IsAtStart(run, step) ? at_start + 1 : 0;
+  lost_workers.push_back(run.worker);
+  start_crashes = IsAtStart(run, step) ? start_crashes + 1 : 0;
 }
 
-bool CrashRecord::IsToBlame() const {
-  return at_start >= kMostCrashesAtStart || workers.size() >= kMostWorkersLost;
+bool CrashRecord::ShouldGiveUp() const {
+  return start_crashes >= kMostCrashesAtStart ||
+         lost_workers.size() >= kMostWorkersLost;
 }
 
 std::string CrashRecord::ToText() const {
   std::string text =
-      std::to_string(workers.size()) + " workers were lost under it:";
-  for (const std::string& worker : workers) {
+      std::to_string(lost_workers.size()) + " workers were lost under it:";
+  for (const std::string& worker : lost_workers) {
     text += " " + worker;
   }
   return text;
--- a/src/libs/workload/crash_record.h
+++ b/src/libs/workload/crash_record.h
@@ -32,18 +32,18 @@
 
 struct CrashRecord {
   // Workers that were lost under the task, the oldest first.
-  std::vector<std::string> workers;
+  std::vector<std::string> lost_workers;
   // Crashes of a worker that had just taken the order, in a row.
-  int at_start = 0;
+  int start_crashes = 0;
 
-  bool empty() const { return workers.empty(); }
+  bool empty() const { return lost_workers.empty(); }
   // A task that lasts loses many workers in time, so that one that had borne it
   // for a while clears it.
-  void OnLost(const LostRun& run, const StepSpec& step);
+  void OnWorkerLost(const LostRun& run, const StepSpec& step);
   // A run of it ended while its worker lived on.
-  void OnEnded() { at_start = 0; }
+  void OnRunEnded() { start_crashes = 0; }
   // No worker should start it any more.
-  bool IsToBlame() const;
+  bool ShouldGiveUp() const;
   // For callers and operators.
   std::string ToText() const;
 };
--- a/src/libs/workload/job_ledger.cc
+++ b/src/libs/workload/job_ledger.cc
@@ -22,8 +22,8 @@
   if (end == RunEnd::kLost) return;
   const bool with_worker =
       end == RunEnd::kWorkerCrashed || end == RunEnd::kWorkerSilent;
-  if (!with_worker) return crashes->OnEnded();
-  crashes->OnLost(lost, step);
+  if (!with_worker) return crashes->OnRunEnded();
+  crashes->OnWorkerLost(lost, step);
 }
 
 std::string FailedOften(const StepRef& step, int failures) {
@@ -181,13 +181,13 @@
   return true;
 }
 
-void JobLedger::AdoptState(const std::string& id, JobState state) {
+void JobLedger::AdoptFinalState(const std::string& id, JobState state) {
   Job* job = Find(id);
   if (job != nullptr && !IsTerminal(job->state)) job->state = state;
 }
 
-int JobLedger::Start(const StepRef& ref,
-                     const std::vector<Assignment>& assignments) {
+int JobLedger::RecordStart(const StepRef& ref,
+                           const std::vector<Assignment>& assignments) {
   Job* job = Find(ref.job);
   StepProgress* progress = FindStep(ref);
   const StepSpec& spec = *FindStepSpec(ref);
@@ -208,8 +208,9 @@
   return run;
 }
 
-bool JobLedger::End(const TaskRef& ref, int run, RunEnd end,
-                    const std::string& checkpoint, const LostRun& lost) {
+bool JobLedger::RecordRunEnd(const TaskRef& ref, int run, RunEnd end,
+                             const std::string& checkpoint,
+                             const LostRun& lost) {
   Job* job = Find(ref.step.job);
   StepProgress* progress = FindStep(ref.step);
   if (job == nullptr || progress == nullptr) return false;
@@ -221,7 +222,7 @@
   const bool late_done = end == RunEnd::kDone && !spec.long_running &&
                          task->phase != TaskPhase::kDone;
   if (!current && !late_done) return false;
-  if (!checkpoint.empty()) Checkpoint(ref, run, checkpoint);
+  if (!checkpoint.empty()) RecordCheckpoint(ref, run, checkpoint);
   MarkDirty(spec, ref);
   if (end == RunEnd::kDone && !spec.long_running) {
     if (!spec.gang) {
@@ -251,7 +252,7 @@
 
 void JobLedger::JudgeTask(const TaskRef& ref, Job* job,
                           const TaskStatus& task) {
-  if (task.phase == TaskPhase::kDone || !task.crashes.IsToBlame()) return;
+  if (task.phase == TaskPhase::kDone || !task.crashes.ShouldGiveUp()) return;
   Fail(job,
        "task " + ref.ToString() + " was given up: " + task.crashes.ToText());
 }
@@ -262,8 +263,8 @@
   SetState(job, JobState::kFailed);
 }
 
-void JobLedger::Checkpoint(const TaskRef& ref, int run,
-                           const std::string& checkpoint) {
+void JobLedger::RecordCheckpoint(const TaskRef& ref, int run,
+                                 const std::string& checkpoint) {
   StepProgress* progress = FindStep(ref.step);
   if (progress == nullptr || checkpoint.empty()) return;
   const auto index = static_cast<size_t>(ref.index);
--- a/src/libs/workload/job_ledger.h
+++ b/src/libs/workload/job_ledger.h
@@ -94,7 +94,7 @@
   // A caller took the job back. False when it had ended before.
   bool Cancel(const std::string& job);
   // Takes over an end that was published before.
-  void AdoptState(const std::string& job, JobState state);
+  void AdoptFinalState(const std::string& job, JobState state);
 
   // Marks the tasks of one start as active on their workers, all with the same
   // run number, which is returned.
@@ -102,15 +102,18 @@
     int index = 0;
     std::string worker;
   };
-  int Start(const StepRef& ref, const std::vector<Assignment>& assignments);
+  int RecordStart(const StepRef& ref,
+                  const std::vector<Assignment>& assignments);
 
   // An end of `run`. Ends of other runs change nothing, but that a done run
   // counts whenever it comes. `lost` tells of a run that ended with its worker.
   // True when it was taken.
-  bool End(const TaskRef& ref, int run, RunEnd end,
-           const std::string& checkpoint, const LostRun& lost = LostRun());
+  bool RecordRunEnd(const TaskRef& ref, int run, RunEnd end,
+                    const std::string& checkpoint,
+                    const LostRun& lost = LostRun());
   // A checkpoint seen in a report of a run that goes on.
-  void Checkpoint(const TaskRef& ref, int run, const std::string& checkpoint);
+  void RecordCheckpoint(const TaskRef& ref, int run,
+                        const std::string& checkpoint);
 
   StepProgress* FindStep(const StepRef& ref);
   const StepProgress* FindStep(const StepRef& ref) const;
--- a/src/libs/workload/progress_block.cc
+++ b/src/libs/workload/progress_block.cc
@@ -21,8 +21,8 @@
   Json row = Json::array({static_cast<int>(task.phase), task.run, task.failures,
                           task.worker, task.checkpoint});
   if (!task.crashes.empty()) {
-    row.push_back(task.crashes.at_start);
-    row.push_back(task.crashes.workers);
+    row.push_back(task.crashes.start_crashes);
+    row.push_back(task.crashes.lost_workers);
   }
   return row;
 }
@@ -37,8 +37,8 @@
     task.worker = row.at(3).get<std::string>();
     task.checkpoint = row.at(4).get<std::string>();
     if (row.size() > 5) {
-      task.crashes.at_start = row.at(5).get<int>();
-      task.crashes.workers = row.at(6).get<std::vector<std::string>>();
+      task.crashes.start_crashes = row.at(5).get<int>();
+      task.crashes.lost_workers = row.at(6).get<std::vector<std::string>>();
     }
     return task;
   }
--- a/tests/auto/workload/planner_world.h
+++ b/tests/auto/workload/planner_world.h
@@ -38,7 +38,7 @@
     inputs.wall_now = wall_now;
     Plan plan = planner.Decide(inputs);
     for (const StartDecision& start : plan.starts) {
-      const int run = ledger.Start(start.step, start.assignments);
+      const int run = ledger.RecordStart(start.step, start.assignments);
       const Job& job = *ledger.Find(start.step.job);
       const StepSpec& spec = *ledger.FindStepSpec(start.step);
       for (const auto& assignment : start.assignments) {
@@ -95,7 +95,7 @@
       report.running.push_back({other, tracked.run, "", 1});
     }
     worker.OnReport(report, now, now, &unexpected);
-    ledger.End(task, run, end, "");
+    ledger.RecordRunEnd(task, run, end, "");
   }
 
   int64_t free_accelerators() const {
--- a/tests/auto/workload/tst_crash_record.cc
+++ b/tests/auto/workload/tst_crash_record.cc
@@ -122,8 +122,8 @@
       for (size_t i = 0; i < row.runs.size(); ++i) {
         CAPTURE(i);
         const RunCase& run = row.runs[i];
-        const int number = ledger.Start(kStep, {{0, "w"}});
-        ledger.End(kTask, number, run.end, "", ToLostRun(run, number));
+        const int number = ledger.RecordStart(kStep, {{0, "w"}});
+        ledger.RecordRunEnd(kTask, number, run.end, "", ToLostRun(run, number));
         if (leaders_change) ledger = Successor(ledger, step);
         const bool failed = ledger.Find(kStep.job)->state == JobState::kFailed;
         CHECK(failed == (row.failed_after == i + 1));
@@ -139,11 +139,11 @@
   JobLedger ledger = LedgerWith(step);
   for (int round = 1; round <= 2; ++round) {
     CHECK(ledger.Find(kStep.job)->state != JobState::kFailed);
-    const int run = ledger.Start(kStep, {{0, "u"}, {1, "v"}, {2, "w"}});
-    ledger.End({kStep, 1}, run, RunEnd::kWorkerCrashed, "",
-               ToLostRun(kAtStart, run));
-    ledger.End({kStep, 0}, run, RunEnd::kGangBroken, "");
-    ledger.End({kStep, 2}, run, RunEnd::kGangBroken, "");
+    const int run = ledger.RecordStart(kStep, {{0, "u"}, {1, "v"}, {2, "w"}});
+    ledger.RecordRunEnd({kStep, 1}, run, RunEnd::kWorkerCrashed, "",
+                        ToLostRun(kAtStart, run));
+    ledger.RecordRunEnd({kStep, 0}, run, RunEnd::kGangBroken, "");
+    ledger.RecordRunEnd({kStep, 2}, run, RunEnd::kGangBroken, "");
     ledger = Successor(ledger, step);
   }
   CHECK(ledger.Find(kStep.job)->state == JobState::kFailed);
@@ -152,9 +152,9 @@
 TEST_CASE("a job that is given up says which workers were lost, under what") {
   JobLedger ledger = LedgerWith(MakeStep(1, 1));
   for (int run = 1; run <= 2; ++run) {
-    ledger.Start(kStep, {{0, "w"}});
-    ledger.End(kTask, run, RunEnd::kWorkerCrashed, "",
-               ToLostRun(kAtStart, run));
+    ledger.RecordStart(kStep, {{0, "w"}});
+    ledger.RecordRunEnd(kTask, run, RunEnd::kWorkerCrashed, "",
+                        ToLostRun(kAtStart, run));
   }
   CHECK(ledger.Find(kStep.job)->failure ==
         "task 0123456789abcdef.0.0.0 was given up: 2 workers were lost under "
--- a/tests/auto/workload/tst_job_ledger.cc
+++ b/tests/auto/workload/tst_job_ledger.cc
@@ -47,8 +47,8 @@
     CAPTURE(row.name);
     JobLedger ledger;
     ledger.Add(MakeJob(kJob, {MakeStep(1, 1)}), At(0));
-    CHECK(ledger.Start(Ref(0), {{0, "w"}}) == 1);
-    CHECK(ledger.End(Task(0, 0), 1, row.end, "saved"));
+    CHECK(ledger.RecordStart(Ref(0), {{0, "w"}}) == 1);
+    CHECK(ledger.RecordRunEnd(Task(0, 0), 1, row.end, "saved"));
     const TaskStatus* task = ledger.FindTask(Task(0, 0));
     CHECK(task->phase == row.phase);
     CHECK(task->failures == row.failures);
@@ -61,14 +61,14 @@
 TEST_CASE("only the run in force counts, but a done one always does") {
   JobLedger ledger;
   ledger.Add(MakeJob(kJob, {MakeStep(1, 1)}), At(0));
-  ledger.Start(Ref(0), {{0, "w"}});
-  ledger.End(Task(0, 0), 1, RunEnd::kLost, "");
-  CHECK(ledger.Start(Ref(0), {{0, "v"}}) == 2);
-  CHECK_FALSE(ledger.End(Task(0, 0), 1, RunEnd::kFailed, ""));
+  ledger.RecordStart(Ref(0), {{0, "w"}});
+  ledger.RecordRunEnd(Task(0, 0), 1, RunEnd::kLost, "");
+  CHECK(ledger.RecordStart(Ref(0), {{0, "v"}}) == 2);
+  CHECK_FALSE(ledger.RecordRunEnd(Task(0, 0), 1, RunEnd::kFailed, ""));
   CHECK(ledger.FindTask(Task(0, 0))->phase == TaskPhase::kActive);
-  CHECK(ledger.End(Task(0, 0), 1, RunEnd::kDone, ""));
+  CHECK(ledger.RecordRunEnd(Task(0, 0), 1, RunEnd::kDone, ""));
   CHECK(ledger.Find(kJob)->state == JobState::kCompleted);
-  CHECK_FALSE(ledger.End(Task(0, 0), 2, RunEnd::kDone, ""));
+  CHECK_FALSE(ledger.RecordRunEnd(Task(0, 0), 2, RunEnd::kDone, ""));
 }
 
 TEST_CASE("a job fails after its attempts, a gang counts one for all") {
@@ -76,10 +76,10 @@
   ledger.Add(MakeJob(kJob, {Gang(3)}), At(0));
   for (int run = 1; run <= 2; ++run) {
     CHECK(ledger.Find(kJob)->state != JobState::kFailed);
-    CHECK(ledger.Start(Ref(0), {{0, "u"}, {1, "v"}, {2, "w"}}) == run);
-    ledger.End(Task(0, 0), run, RunEnd::kFailed, "");
-    ledger.End(Task(0, 1), run, RunEnd::kFailed, "");
-    ledger.End(Task(0, 2), run, RunEnd::kGangBroken, "");
+    CHECK(ledger.RecordStart(Ref(0), {{0, "u"}, {1, "v"}, {2, "w"}}) == run);
+    ledger.RecordRunEnd(Task(0, 0), run, RunEnd::kFailed, "");
+    ledger.RecordRunEnd(Task(0, 1), run, RunEnd::kFailed, "");
+    ledger.RecordRunEnd(Task(0, 2), run, RunEnd::kGangBroken, "");
   }
   CHECK(ledger.Find(kJob)->state == JobState::kFailed);
 }
@@ -87,10 +87,10 @@
 TEST_CASE("one end of a gang stands for all, and so does a checkpoint") {
   JobLedger ledger;
   ledger.Add(MakeJob(kJob, {Gang(3)}), At(0));
-  ledger.Start(Ref(0), {{0, "u"}, {1, "v"}, {2, "w"}});
-  ledger.Checkpoint(Task(0, 1), 1, "c1");
+  ledger.RecordStart(Ref(0), {{0, "u"}, {1, "v"}, {2, "w"}});
+  ledger.RecordCheckpoint(Task(0, 1), 1, "c1");
   CHECK(ledger.FindTask(Task(0, 2))->checkpoint == "c1");
-  CHECK(ledger.End(Task(0, 2), 1, RunEnd::kDone, ""));
+  CHECK(ledger.RecordRunEnd(Task(0, 2), 1, RunEnd::kDone, ""));
   CHECK(ledger.Find(kJob)->state == JobState::kCompleted);
 }
 
@@ -99,10 +99,10 @@
   Job& job =
       ledger.Add(MakeJob(kJob, {MakeStep(2, 1), MakeStep(1, 1, {0})}), At(0));
   CHECK(JobLedger::IsReady(job, 0, 0));
-  ledger.Start(Ref(0), {{0, "w"}, {1, "w"}});
-  ledger.End(Task(0, 0), 1, RunEnd::kDone, "");
+  ledger.RecordStart(Ref(0), {{0, "w"}, {1, "w"}});
+  ledger.RecordRunEnd(Task(0, 0), 1, RunEnd::kDone, "");
   CHECK_FALSE(JobLedger::IsReady(job, 0, 1));
-  ledger.End(Task(0, 1), 1, RunEnd::kDone, "");
+  ledger.RecordRunEnd(Task(0, 1), 1, RunEnd::kDone, "");
   CHECK(JobLedger::IsReady(job, 0, 1));
 }
 
@@ -113,8 +113,8 @@
   ledger.Add(MakeJob(kJob, {step}), At(0));
   for (const RunEnd end : {RunEnd::kDone, RunEnd::kFailed, RunEnd::kFailed,
                            RunEnd::kFailed, RunEnd::kLost}) {
-    const int run = ledger.Start(Ref(0), {{0, "w"}});
-    CHECK(ledger.End(Task(0, 0), run, end, ""));
+    const int run = ledger.RecordStart(Ref(0), {{0, "w"}});
+    CHECK(ledger.RecordRunEnd(Task(0, 0), run, end, ""));
     CHECK(ledger.FindTask(Task(0, 0))->phase == TaskPhase::kWaiting);
     CHECK(ledger.Find(kJob)->state == JobState::kRunning);
   }
@@ -145,9 +145,9 @@
 TEST_CASE("a cancelled job stays cancelled when its last task ends") {
   JobLedger ledger;
   ledger.Add(MakeJob(kJob, {MakeStep(1, 1)}), At(0));
-  ledger.Start(Ref(0), {{0, "w"}});
+  ledger.RecordStart(Ref(0), {{0, "w"}});
   CHECK(ledger.Cancel(kJob));
-  ledger.End(Task(0, 0), 1, RunEnd::kDone, "");
+  ledger.RecordRunEnd(Task(0, 0), 1, RunEnd::kDone, "");
   CHECK(ledger.Find(kJob)->state == JobState::kCancelled);
   CHECK_FALSE(ledger.Cancel(kJob));
 }
--- a/tests/auto/workload/tst_planner_eligibility.cc
+++ b/tests/auto/workload/tst_planner_eligibility.cc
@@ -246,12 +246,12 @@
 // Marks the waiting task of the job as one under which a worker was lost.
 void PutOnProbation(World* world, const std::string& job) {
   const StepRef step{job, 0, 0};
-  const int run = world->ledger.Start(step, {{0, "gone"}});
+  const int run = world->ledger.RecordStart(step, {{0, "gone"}});
   LostRun lost;
   lost.worker = "gone";
   lost.crashed = true;
   lost.began = true;
-  world->ledger.End({step, 0}, run, RunEnd::kWorkerCrashed, "", lost);
+  world->ledger.RecordRunEnd({step, 0}, run, RunEnd::kWorkerCrashed, "", lost);
 }
 
 // Guards against two tasks that lose their workers together time after time, so
--- a/tests/auto/workload/tst_progress_block.cc
+++ b/tests/auto/workload/tst_progress_block.cc
@@ -31,8 +31,8 @@
 bool Same(const TaskStatus& a, const TaskStatus& b) {
   return a.phase == b.phase && a.run == b.run && a.failures == b.failures &&
          a.worker == b.worker && a.checkpoint == b.checkpoint &&
-         a.crashes.workers == b.crashes.workers &&
-         a.crashes.at_start == b.crashes.at_start;
+         a.crashes.lost_workers == b.crashes.lost_workers &&
+         a.crashes.start_crashes == b.crashes.start_crashes;
 }
 
 TEST_CASE("which tasks a block holds") {
@@ -184,10 +184,10 @@
   for (int index = 0; index < kTasks; ++index) {
     all.push_back({index, "i-3f4300f850"});
   }
-  ledger.Start(kStep, all);
+  ledger.RecordStart(kStep, all);
   store();
   for (int index = 0; index < kTasks; ++index) {
-    ledger.End({kStep, index}, 1, RunEnd::kDone, "00000bb87a21d94b");
+    ledger.RecordRunEnd({kStep, index}, 1, RunEnd::kDone, "00000bb87a21d94b");
     store();
   }
   CHECK(bytes < kMostBytesOfTask * kTasks);
--- a/tests/auto/workload/tst_worker_tracker.cc
+++ b/tests/auto/workload/tst_worker_tracker.cc
@@ -202,17 +202,17 @@
   spec.checkpointable = true;
   JobLedger ledger;
   ledger.Add(MakeJob(step.job, {spec}), At(0));
-  ledger.Start(step, {{0, "w"}, {1, "v"}});
+  ledger.RecordStart(step, {{0, "w"}, {1, "v"}});
   WorkerTracker lost = MakeTracker(MakeWorker("w", "r1"));
   lost.Add({step, 0}, 1, Profile(), At(0));
   WorkerStatusReport report = Report(1000, false);
   report.running.push_back({{step, 0}, 1, "first", 10});
   Hear(&lost, 1000, 1000, report);
-  ledger.Checkpoint({step, 0}, 1, "first");
-  ledger.Checkpoint({step, 1}, 1, "second");
+  ledger.RecordCheckpoint({step, 0}, 1, "first");
+  ledger.RecordCheckpoint({step, 1}, 1, "second");
   for (const RunEndReport& end :
        lost.OnIncarnationEnded(IncarnationEnd::kSilent, At(2000))) {
-    ledger.End(end.task, end.run, end.end, end.checkpoint);
+    ledger.RecordRunEnd(end.task, end.run, end.end, end.checkpoint);
   }
   CHECK(ledger.FindTask({step, 0})->checkpoint == "second");
   CHECK(ledger.FindTask({step, 1})->checkpoint == "second");
