--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -162,7 +162,7 @@
       });
   if (!first) return;
   metrics_.OnFirstPlaced(job->spec, std::chrono::system_clock::now() -
-                                        job->spec.begin(occurrence));
+                                        job->spec.earliest_start(occurrence));
 }
 
 RunProfile ClusterCoordinator::ProfileOf(const TaskRef& task) const {
@@ -171,13 +171,13 @@
   const StepSpec* spec = ledger_.FindStepSpec(task.step);
   if (job == nullptr || spec == nullptr) return profile;
   profile.need = spec->need;
-  if (spec->fills) profile.need.cpu_millis = 0;
+  if (spec->best_effort) profile.need.cpu_millis = 0;
   profile.priority = job->spec.policy.priority;
   profile.checkpointable = spec->checkpointable;
   profile.gang = spec->gang;
   profile.long_running = spec->long_running;
-  profile.fills = spec->fills;
-  profile.tail_target = spec->tail_target;
+  profile.best_effort = spec->best_effort;
+  profile.tail_latency_target = spec->tail_latency_target;
   profile.account = job->spec.account;
   profile.data_rack = spec->data_rack;
   profile.on_probation = WorkersLostUnder(task) > 0;
--- a/src/libs/coordination/pace_keeper.cc
+++ b/src/libs/coordination/pace_keeper.cc
@@ -21,8 +21,8 @@
   bool serves = false;
   bool fills = false;
   for (const auto& [task, run] : tracker.runs()) {
-    serves = serves || run.profile.tail_target.count() > 0;
-    fills = fills || run.profile.fills;
+    serves = serves || run.profile.tail_latency_target.count() > 0;
+    fills = fills || run.profile.best_effort;
   }
   return serves && fills;
 }
@@ -31,10 +31,11 @@
   std::vector<ServingTail> serving;
   bool fills = false;
   for (const auto& [task, run] : tracker->runs()) {
-    fills = fills || run.profile.fills;
+    fills = fills || run.profile.best_effort;
     if (run.stage != RunStage::kRunning) continue;
-    if (run.profile.tail_target.count() == 0) continue;
-    serving.push_back({Milliseconds(run.load), run.profile.tail_target});
+    if (run.profile.tail_latency_target.count() == 0) continue;
+    serving.push_back(
+        {Milliseconds(run.load), run.profile.tail_latency_target});
   }
   if (!fills) return Forget(tracker->id());
   PaceControl& control = controls_[tracker->id()];
@@ -47,9 +48,9 @@
                                     {"serving", serving.size()}});
   }
   for (auto& [task, run] : tracker->runs()) {
-    const bool due = run.profile.fills && run.stage == RunStage::kRunning &&
-                     !run.stop_wanted && !run.pace_sending &&
-                     run.pace != control.pace();
+    const bool due = run.profile.best_effort &&
+                     run.stage == RunStage::kRunning && !run.stop_wanted &&
+                     !run.pace_sending && run.pace != control.pace();
     if (due) Send(tracker, &run, control.pace());
   }
 }
--- a/src/libs/workload/job_definition.cc
+++ b/src/libs/workload/job_definition.cc
@@ -28,8 +28,8 @@
     *reason = name + "a size is negative or too large";
     return false;
   }
-  if (step.max_per_worker < 0 || step.may_miss < 0 ||
-      step.tail_target.count() < 0) {
+  if (step.max_per_worker < 0 || step.max_unavailable < 0 ||
+      step.tail_latency_target.count() < 0) {
     *reason = name + "a bound is negative";
     return false;
   }
@@ -46,9 +46,9 @@
                       step.need.accelerators, step.estimate.count(),
                       step.depends_on, step.checkpointable, step.gang,
                       step.same_rack, step.speculative, step.long_running,
-                      step.fills, step.required_label, step.data_rack,
-                      step.image, step.max_per_worker, step.may_miss,
-                      step.tail_target.count()});
+                      step.best_effort, step.required_label, step.data_rack,
+                      step.image, step.max_per_worker, step.max_unavailable,
+                      step.tail_latency_target.count()});
 }
 
 StepSpec DecodeStep(const Json& row) {
@@ -65,15 +65,15 @@
   step.same_rack = row.at(at++).get<bool>();
   step.speculative = row.at(at++).get<bool>();
   step.long_running = row.at(at++).get<bool>();
-  step.fills = row.at(at++).get<bool>();
+  step.best_effort = row.at(at++).get<bool>();
   step.required_label = row.at(at++).get<std::string>();
   step.data_rack = row.at(at++).get<std::string>();
   step.image = row.at(at++).get<std::string>();
   step.max_per_worker = row.at(at++).get<int>();
-  step.may_miss = row.at(at++).get<int>();
+  step.max_unavailable = row.at(at++).get<int>();
   // Records of before there were targets end here.
   if (row.size() > at) {
-    step.tail_target = Milliseconds(row.at(at).get<int64_t>());
+    step.tail_latency_target = Milliseconds(row.at(at).get<int64_t>());
   }
   return step;
 }
--- a/src/libs/workload/job_definition.h
+++ b/src/libs/workload/job_definition.h
@@ -37,17 +37,17 @@
   // Runs until the job is cancelled; restarted however it ends.
   bool long_running = false;
   // Its cores are not reserved: it uses what the others leave idle.
-  bool fills = false;
+  bool best_effort = false;
   std::string required_label;
   std::string data_rack;
   std::string image;
   // 0: no bound.
   int max_per_worker = 0;
   // How many tasks of a long-running step the scheduler may take down at once.
-  int may_miss = 0;
+  int max_unavailable = 0;
   // The tasks serve users of their own, and the tail of their answers must stay
   // below this; zero for tasks that don't.
-  Milliseconds tail_target{0};
+  Milliseconds tail_latency_target{0};
 };
 
 // An outside service must approve the workers that run a step. What it takes,
@@ -95,7 +95,7 @@
     return first_start + interval * occurrence;
   }
   // From when on it may run.
-  WallTime begin(int occurrence) const {
+  WallTime earliest_start(int occurrence) const {
     return scheduled() ? due(occurrence) : accepted;
   }
   // How long it may take from there on to be in time, going by the caller's
--- a/src/libs/workload/open_step.cc
+++ b/src/libs/workload/open_step.cc
@@ -14,8 +14,8 @@
 // Whether it is too late for the job to be worth anything.
 bool IsWorthless(const Job& job, int occurrence, WallTime now) {
   const JobDefinition& spec = job.spec;
-  const auto age =
-      std::chrono::duration_cast<Milliseconds>(now - spec.begin(occurrence));
+  const auto age = std::chrono::duration_cast<Milliseconds>(
+      now - spec.earliest_start(occurrence));
   return age > spec.objective() * kWorthlessAfterObjectives;
 }
 
--- a/src/libs/workload/worker_tracker.h
+++ b/src/libs/workload/worker_tracker.h
@@ -49,9 +49,9 @@
   bool gang = false;
   bool long_running = false;
   // Its cores are not reserved; it is slowed where it disturbs serving tasks.
-  bool fills = false;
+  bool best_effort = false;
   // Of a serving task; zero for any other.
-  Milliseconds tail_target{0};
+  Milliseconds tail_latency_target{0};
   std::string account;
   // Elsewhere it takes several times as long; "" for no such rack.
   std::string data_rack;
--- a/tests/auto/coordination/tst_worker_fleet.cc
+++ b/tests/auto/coordination/tst_worker_fleet.cc
@@ -121,11 +121,11 @@
     Fixture fixture;
     fixture.calls.pace = row.answer;
     RunProfile filler;
-    filler.fills = true;
+    filler.best_effort = true;
     fixture.fleet.Add("w1", kTask, 1, filler, Fixture::Now());
     RunProfile server;
     server.long_running = true;
-    server.tail_target = Milliseconds(100);
+    server.tail_latency_target = Milliseconds(100);
     fixture.fleet.Add("w1", serving, 1, server, Fixture::Now());
     fixture.calls.report.running = {{kTask, 1, "", 10, 2000},
                                     {serving, 1, "", 100, row.tail}};
