--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -95,11 +95,11 @@
 WorkerBounds BoundsOf(const HostedSettings& settings) {
   WorkerBounds bounds;
   bounds.longest_lease = settings.longest_lease;
-  bounds.stop = settings.stop_bound;
+  bounds.stop_bound = settings.stop_bound;
   bounds.gang_patience = settings.gang_patience;
-  bounds.cancel = settings.cancel_bound;
-  bounds.reclaim = settings.reclaim_bound;
-  bounds.restore = settings.restore_time;
+  bounds.cancel_bound = settings.cancel_bound;
+  bounds.reclaim_bound = settings.reclaim_bound;
+  bounds.restore_time = settings.restore_time;
   bounds.heartbeat = settings.worker_heartbeat;
   bounds.far_slowdown = settings.far_slowdown;
   return bounds;
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -41,7 +41,7 @@
   // One record at a time: what is not stored cannot be started.
   if (!progress_writer_->idle()) return;
   const auto age = BootClock::now() - surroundings_.board_as_of();
-  const bool informed = age <= settings_.bounds.board_age() && !released_ &&
+  const bool informed = age <= settings_.bounds.max_board_age() && !released_ &&
                         directory_->started();
   if (informed) {
     const Time now = Now();
--- a/src/libs/coordination/fleet_orders.cc
+++ b/src/libs/coordination/fleet_orders.cc
@@ -33,7 +33,8 @@
   order.payload = fields.payload;
   order.checkpoint = fields.checkpoint;
   order.ticket = fields.ticket;
-  order.deadline = tracker->IssueDeadline(settings_.bounds.start_term(), now);
+  order.deadline =
+      tracker->IssueDeadline(settings_.bounds.start_order_term(), now);
   order.epoch = settings_.epoch;
   tracked->resumed = !fields.checkpoint.empty();
   tracker->OnStartSent(task, run, order.deadline, now);
@@ -122,7 +123,7 @@
     if (run.stage == RunStage::kRecording) continue;
     const bool ending =
         run.stop_acknowledged &&
-        now - *run.stop_acknowledged < settings_.bounds.stop_patience();
+        now - *run.stop_acknowledged < settings_.bounds.stop_resend_delay();
     if (ending) continue;
     run.stop_sending = true;
     const StopOrder order{task, run.run, settings_.epoch};
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -15,7 +15,7 @@
 
 StartSenderSettings SenderFor(const WorkerBounds& bounds) {
   StartSenderSettings settings;
-  settings.repeats_for = bounds.start_term() / 2;
+  settings.repeats_for = bounds.start_order_term() / 2;
   return settings;
 }
 
--- a/src/libs/workload/planner.cc
+++ b/src/libs/workload/planner.cc
@@ -128,7 +128,7 @@
     const auto waited = std::chrono::duration_cast<Milliseconds>(
         inputs_.now - step.job->known_since);
     if (step.urgent() && IsGuaranteed(step)) {
-      return waited > planner_.settings_.bounds.urgent_rack_patience();
+      return waited > planner_.settings_.bounds.urgent_rack_wait();
     }
     return waited > planner_.settings_.rack_patience &&
            rooms_.UsedShare(step.service()) < kIdleShare;
--- a/tests/auto/coordination/tst_worker_fleet.cc
+++ b/tests/auto/coordination/tst_worker_fleet.cc
@@ -280,7 +280,7 @@
     CAPTURE(row.name);
     WorkerBounds bounds;
     bounds.longest_lease = row.longest_lease;
-    bounds.stop = row.stop;
+    bounds.stop_bound = row.stop;
     Fixture fixture(bounds);
     // The worker's clock, as its first report has it, begins at zero.
     const Time begin = Fixture::Now();
--- a/tests/auto/workload/tst_worker_bounds.cc
+++ b/tests/auto/workload/tst_worker_bounds.cc
@@ -21,11 +21,11 @@
                   int reclaim, int restore) {
   WorkerBounds bounds;
   bounds.longest_lease = Milliseconds(longest_lease);
-  bounds.stop = Milliseconds(stop);
+  bounds.stop_bound = Milliseconds(stop);
   bounds.gang_patience = Milliseconds(gang);
-  bounds.cancel = Milliseconds(cancel);
-  bounds.reclaim = Milliseconds(reclaim);
-  bounds.restore = Milliseconds(restore);
+  bounds.cancel_bound = Milliseconds(cancel);
+  bounds.reclaim_bound = Milliseconds(reclaim);
+  bounds.restore_time = Milliseconds(restore);
   return bounds;
 }
 
@@ -46,13 +46,13 @@
     CAPTURE(row.name);
     const WorkerBounds& bounds = row.bounds;
     CHECK(bounds.lease_term() <= bounds.longest_lease);
-    CHECK(bounds.start_term() < bounds.gang_patience);
-    CHECK(bounds.stop_patience() > bounds.stop);
-    CHECK(bounds.move_cost() > bounds.stop);
-    CHECK(bounds.reservation_term() > bounds.stop * 2);
-    CHECK(bounds.urgent_rack_patience() < bounds.reclaim);
-    CHECK(bounds.board_age() < bounds.cancel);
-    CHECK(bounds.restart_cost() >= bounds.restore);
+    CHECK(bounds.start_order_term() < bounds.gang_patience);
+    CHECK(bounds.stop_resend_delay() > bounds.stop_bound);
+    CHECK(bounds.move_cost() > bounds.stop_bound);
+    CHECK(bounds.reservation_term() > bounds.stop_bound * 2);
+    CHECK(bounds.urgent_rack_wait() < bounds.reclaim_bound);
+    CHECK(bounds.max_board_age() < bounds.cancel_bound);
+    CHECK(bounds.restart_cost() >= bounds.restore_time);
   }
   CHECK(WorkerBounds().start_term() > kCallTimeout);
 }
@@ -69,11 +69,11 @@
     REQUIRE_FALSE(world.Round().stops.empty());
     // Others of the same urgency come; the room is kept from them.
     world.ledger.Add(MakeJob(Id(3), {MakeStep(16, 1)}, 0), world.now);
-    world.now += row.bounds.stop;
+    world.now += row.bounds.stop_bound;
     world.CarryOutStops();
     world.Round();
     CHECK(world.ledger.Find(Id(2))->occurrences[0][0].waiting == 0);
-    CHECK(world.now - submitted < row.bounds.reclaim);
+    CHECK(world.now - submitted < row.bounds.reclaim_bound);
   }
 }
 
@@ -97,9 +97,9 @@
     const Time submitted = world.now;
     world.ledger.Add(MakeJob(Id(2), {Gang(2, 8, true)}, 0), world.now);
     CHECK(world.Round().starts.empty());
-    world.now += row.bounds.urgent_rack_patience() + Milliseconds(1);
+    world.now += row.bounds.urgent_rack_wait() + Milliseconds(1);
     CHECK(world.Round().starts.size() == 1);
-    CHECK(world.now - submitted < row.bounds.reclaim);
+    CHECK(world.now - submitted < row.bounds.reclaim_bound);
   }
 }
 
