--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -150,8 +150,8 @@
 }
 
 void ClusterCoordinator::MeasureWait(const StartDecision& decision, Time now) {
-  if (decision.room_taken) {
-    metrics_.OnRoomReclaimed(now - *decision.room_taken);
+  if (decision.preempted_at) {
+    metrics_.OnRoomReclaimed(now - *decision.preempted_at);
   }
   const Job* job = ledger_.Find(decision.step.job);
   const int occurrence = decision.step.occurrence;
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -211,7 +211,7 @@
   for (const auto& [id, tracker] : trackers_) {
     ids.push_back(id);
   }
-  review_.Forget(now);
+  review_.DropStale(now);
   JudgeGangs(now);
   for (const std::string& id : ids) {
     Judge(id, now);
@@ -403,7 +403,7 @@
 
 void WorkerFleet::JudgeGangs(Time now) {
   for (const GangVerdict& verdict :
-       gang_review_.Judge(trackers_, review_.speeds(), now)) {
+       gang_review_.FindRunsToStop(trackers_, review_.speeds(), now)) {
     RequestStop(verdict.worker, verdict.task, verdict.run, verdict.reason);
     if (verdict.stalled) Find(verdict.worker)->trust().OnRunStalled(now);
   }
@@ -434,7 +434,7 @@
       return;
     }
   }
-  for (const RunVerdict& verdict : review_.Judge(tracker, now)) {
+  for (const RunVerdict& verdict : review_.FindRunsToStop(tracker, now)) {
     RequestStop(id, verdict.task, verdict.run, verdict.reason);
   }
 }
--- a/src/libs/workload/gang_review.cc
+++ b/src/libs/workload/gang_review.cc
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-std::vector<GangVerdict> GangReview::Judge(
+std::vector<GangVerdict> GangReview::FindRunsToStop(
     const std::map<std::string, WorkerTracker>& workers,
-    const SpeedBook& speeds, Time now) const {
+    const SpeedEstimator& speeds, Time now) const {
   std::map<StepRef, Gang> gangs;
   for (const auto& [id, worker] : workers) {
     for (const auto& [task, run] : worker.runs()) {
@@ -42,13 +42,14 @@
   return verdicts;
 }
 
-std::string GangReview::ReasonToStop(const Gang& gang, const SpeedBook& speeds,
-                                     Time now, const Member** stalled) const {
+std::string GangReview::ReasonToStop(const Gang& gang,
+                                     const SpeedEstimator& speeds, Time now,
+                                     const Member** stalled) const {
   const bool at_work =
       std::all_of(gang.begin(), gang.end(),
                   [](const Member& member) { return IsAtWork(*member.run); });
   if (!at_work) return "";
-  const Duration sound = speeds.SoundDuration(gang.front().run->task.step);
+  const Duration sound = speeds.NormalDuration(gang.front().run->task.step);
   // It ends with its slowest member. Not known yet: it may end in time.
   Duration left = Duration::zero();
   for (const Member& member : gang) {
--- a/src/libs/workload/gang_review.h
+++ b/src/libs/workload/gang_review.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "workload/speed_book.h"
+#include "workload/speed_estimator.h"
 #include "workload/worker_bounds.h"
 #include "workload/worker_tracker.h"
 
@@ -50,9 +50,9 @@
  public:
   explicit GangReview(GangReviewSettings settings) : settings_(settings) {}
 
-  std::vector<GangVerdict> Judge(
+  std::vector<GangVerdict> FindRunsToStop(
       const std::map<std::string, WorkerTracker>& workers,
-      const SpeedBook& speeds, Time now) const;
+      const SpeedEstimator& speeds, Time now) const;
 
  private:
   struct Member {
@@ -63,8 +63,8 @@
 
   // "" when it should go on; else `stalled` gets the member that stands still,
   // if one does.
-  std::string ReasonToStop(const Gang& gang, const SpeedBook& speeds, Time now,
-                           const Member** stalled) const;
+  std::string ReasonToStop(const Gang& gang, const SpeedEstimator& speeds,
+                           Time now, const Member** stalled) const;
   // The member's worker leaves before the gang has `left` done.
   bool EndsWithWorker(const Member& member, Duration left, Time now) const;
   bool StandsStill(const Member& member, Duration sound) const;
--- a/src/libs/workload/planner.cc
+++ b/src/libs/workload/planner.cc
@@ -80,7 +80,7 @@
                                         : PlaceSingles(step, &reason);
     if (own != reservations.end()) {
       if (placed) {
-        plan_.starts.back().room_taken = own->second.made;
+        plan_.starts.back().preempted_at = own->second.made;
         reservations.erase(own);
       } else {
         rooms_.Keep(own->second);
--- a/src/libs/workload/planner.h
+++ b/src/libs/workload/planner.h
@@ -45,7 +45,7 @@
   // For the log: what decided.
   std::string reason;
   // Where room was taken from others for it: since when it waits for that.
-  std::optional<Time> room_taken;
+  std::optional<Time> preempted_at;
 };
 
 struct StopDecision {
--- a/src/libs/workload/run_review.cc
+++ b/src/libs/workload/run_review.cc
@@ -22,11 +22,11 @@
     if (run.percent >= kWholeWork || run.rate() <= 0) continue;
     const std::string& data_rack = run.profile.data_rack;
     const bool near = data_rack.empty() || registration.rack == data_rack;
-    RunPace pace;
+    ProgressSample pace;
     pace.task = task;
     pace.gang = run.profile.gang;
     pace.rate = run.rate();
-    pace.told_by = run.percent - run.baseline_percent;
+    pace.percent_observed = run.percent - run.baseline_percent;
     pace.slowdown = near ? 1 : settings_.bounds.far_slowdown;
     speeds_.Observe(registration.id, pace, now);
   }
@@ -34,8 +34,8 @@
   worker->set_steady_speed(speeds_.steady_speed(registration.id));
 }
 
-std::vector<RunVerdict> RunReview::Judge(WorkerTracker* worker,
-                                         Time now) const {
+std::vector<RunVerdict> RunReview::FindRunsToStop(WorkerTracker* worker,
+                                                  Time now) const {
   worker->SetSpeed(speeds_.speed(worker->id(), now), now);
   std::vector<RunVerdict> verdicts;
   bool stalled = false;
@@ -66,7 +66,7 @@
       left > worker.registration().drain_remaining) {
     return "worker leaves";
   }
-  const Duration sound = speeds_.SoundDuration(run.task.step);
+  const Duration sound = speeds_.NormalDuration(run.task.step);
   if (left == Duration::max() || sound == Duration::zero()) return "";
   if (worker.speed() > kSlowedSpeed) return "";
   Duration elsewhere = sound;
--- a/src/libs/workload/run_review.h
+++ b/src/libs/workload/run_review.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "workload/speed_book.h"
+#include "workload/speed_estimator.h"
 #include "workload/worker_bounds.h"
 #include "workload/worker_tracker.h"
 
@@ -37,11 +37,11 @@
   // What a report, which the worker's tracker has taken in, tells of its speed.
   void Observe(WorkerTracker* worker, Time now);
   // A run that stands still counts against its worker as well.
-  std::vector<RunVerdict> Judge(WorkerTracker* worker, Time now) const;
+  std::vector<RunVerdict> FindRunsToStop(WorkerTracker* worker, Time now) const;
   // Drops what is too old to matter.
-  void Forget(Time now) { speeds_.Forget(now); }
+  void DropStale(Time now) { speeds_.DropStale(now); }
 
-  const SpeedBook& speeds() const { return speeds_; }
+  const SpeedEstimator& speeds() const { return speeds_; }
 
  private:
   // "" when it should go on.
@@ -49,7 +49,7 @@
                            Time now) const;
 
   const RunReviewSettings settings_;
-  SpeedBook speeds_;
+  SpeedEstimator speeds_;
 };
 
 }  // namespace thornplank
--- a/src/libs/workload/speed_book.cc
+++ b/src/libs/workload/speed_estimator.cc
@@ -1,5 +1,5 @@
 // Rates of siblings and the speeds that follow.
-#include "workload/speed_book.h"
+#include "workload/speed_estimator.h"
 
 #include <algorithm>
 #include <vector>
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-double SpeedBook::SoundRate(const Step& step) const {
+double SpeedEstimator::NormalRate(const Step& step) const {
   if (step.rates.size() < (step.gang ? 2 : kTellingSiblings)) return 0;
   std::vector<double> rates;
   rates.reserve(step.rates.size());
@@ -43,8 +43,8 @@
   return rates[rates.size() / 2];
 }
 
-void SpeedBook::Observe(const std::string& worker, const RunPace& pace,
-                        Time now) {
+void SpeedEstimator::Observe(const std::string& worker,
+                             const ProgressSample& pace, Time now) {
   Step& step = steps_[pace.task.step];
   step.gang = pace.gang;
   step.last = now;
@@ -53,12 +53,13 @@
   // Few siblings are judged at once: an urgent gang is over in two seconds.
   if (step.rates.size() < kTellingSiblings ||
       now - step.judged >= kJudgedEvery) {
-    step.sound_rate = SoundRate(step);
+    step.normal_rate = NormalRate(step);
     step.judged = now;
   }
-  if (step.sound_rate <= 0) return;
-  const double ratio = rate / step.sound_rate;
-  if (pace.gang && pace.told_by >= kTellingOfHardware) Learn(worker, ratio);
+  if (step.normal_rate <= 0) return;
+  const double ratio = rate / step.normal_rate;
+  if (pace.gang && pace.percent_observed >= kTellingOfHardware)
+    Learn(worker, ratio);
   Recent& recent = recent_[worker];
   const bool fresh = now - recent.last < kEvidenceLasts;
   recent.speed =
@@ -66,34 +67,34 @@
   recent.last = now;
 }
 
-void SpeedBook::Learn(const std::string& worker, double ratio) {
+void SpeedEstimator::Learn(const std::string& worker, double ratio) {
   if (ratio < kSlowestHardware) return;
   const auto [known, is_new] = steady_.emplace(worker, ratio);
   if (is_new) return;
   known->second = known->second * (1 - kNewWeight) + ratio * kNewWeight;
 }
 
-double SpeedBook::speed(const std::string& worker, Time now) const {
+double SpeedEstimator::speed(const std::string& worker, Time now) const {
   const auto it = recent_.find(worker);
   const bool fresh =
       it != recent_.end() && now - it->second.last < kEvidenceLasts;
   return fresh ? it->second.speed : steady_speed(worker);
 }
 
-double SpeedBook::steady_speed(const std::string& worker) const {
+double SpeedEstimator::steady_speed(const std::string& worker) const {
   const auto it = steady_.find(worker);
   return it == steady_.end() ? 1 : it->second;
 }
 
-Duration SpeedBook::SoundDuration(const StepRef& step) const {
+Duration SpeedEstimator::NormalDuration(const StepRef& step) const {
   const auto it = steps_.find(step);
-  const double rate = it == steps_.end() ? 0 : it->second.sound_rate;
+  const double rate = it == steps_.end() ? 0 : it->second.normal_rate;
   if (rate <= 0) return Duration::zero();
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(100 / rate));
 }
 
-void SpeedBook::Forget(Time now) {
+void SpeedEstimator::DropStale(Time now) {
   for (auto it = steps_.begin(); it != steps_.end();) {
     const auto step = it++;
     if (now - step->second.last > kStepLasts) steps_.erase(step);
--- a/src/libs/workload/speed_book.h
+++ b/src/libs/workload/speed_estimator.h
@@ -8,8 +8,8 @@
 // speeds of their workers to a few percent. Other tasks of a step may differ by
 // more than any two workers do; they tell only of workers that are slowed, and
 // only where the middle half of them is alike.
-#ifndef THORNPLANK_WORKLOAD_SPEED_BOOK_H_
-#define THORNPLANK_WORKLOAD_SPEED_BOOK_H_
+#ifndef THORNPLANK_WORKLOAD_SPEED_ESTIMATOR_H_
+#define THORNPLANK_WORKLOAD_SPEED_ESTIMATOR_H_
 
 #include <map>
 #include <string>
@@ -21,21 +21,21 @@
 namespace thornplank {
 
 // What a report shows of a run's speed.
-struct RunPace {
+struct ProgressSample {
   TaskRef task;
   bool gang = false;
   // Percent of its work a second.
   double rate = 0;
   // Percent of its work from which that is told.
-  int told_by = 0;
+  int percent_observed = 0;
   // It takes so many times longer here than near its data.
   double slowdown = 1;
 };
 
-class SpeedBook {
+class SpeedEstimator {
  public:
   // The speed of the worker on which the run is follows.
-  void Observe(const std::string& worker, const RunPace& pace, Time now);
+  void Observe(const std::string& worker, const ProgressSample& pace, Time now);
   // At present: 1 for a sound worker or one of which nothing is known.
   double speed(const std::string& worker, Time now) const;
   // For good, but for spells in which it is slowed: some hardware takes 1.3
@@ -43,10 +43,10 @@
   double steady_speed(const std::string& worker) const;
   // How long a whole task of the step takes on a sound worker near its data;
   // zero when its siblings don't tell.
-  Duration SoundDuration(const StepRef& step) const;
+  Duration NormalDuration(const StepRef& step) const;
 
   // Drops what is too old to matter.
-  void Forget(Time now);
+  void DropStale(Time now);
 
  private:
   struct Rate {
@@ -59,7 +59,7 @@
     // By the task's index.
     std::map<int, Rate> rates;
     // On a worker of speed 1; zero when the siblings don't tell.
-    double sound_rate = 0;
+    double normal_rate = 0;
     Time judged{};
     Time last{};
   };
@@ -68,7 +68,7 @@
     Time last{};
   };
 
-  double SoundRate(const Step& step) const;
+  double NormalRate(const Step& step) const;
   void Learn(const std::string& worker, double ratio);
 
   std::map<StepRef, Step> steps_;
@@ -78,4 +78,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_WORKLOAD_SPEED_BOOK_H_
+#endif  // THORNPLANK_WORKLOAD_SPEED_ESTIMATOR_H_
--- a/tests/auto/workload/tst_gang_review.cc
+++ b/tests/auto/workload/tst_gang_review.cc
@@ -52,9 +52,9 @@
     workers.at(leaving.id).Update(leaving, At(when));
   }
 
-  std::vector<GangVerdict> Judge(int64_t now) const {
+  std::vector<GangVerdict> FindRunsToStop(int64_t now) const {
     return GangReview(GangReviewSettings())
-        .Judge(workers, review.speeds(), At(now));
+        .FindRunsToStop(workers, review.speeds(), At(now));
   }
 
   std::map<std::string, WorkerTracker> workers;
@@ -148,7 +148,7 @@
     GangWorld world(row.checkpointable);
     world.Work(row.rates, row.now);
     if (row.told >= 0) world.Leave(0, row.left, row.told);
-    const std::vector<GangVerdict> verdicts = world.Judge(row.now);
+    const std::vector<GangVerdict> verdicts = world.FindRunsToStop(row.now);
     CHECK(verdicts.size() == (row.reason.empty() ? 0 : 3));
     int stalled = 0;
     for (const GangVerdict& verdict : verdicts) {
@@ -163,14 +163,14 @@
 TEST_CASE("a gang that is not whole, or is stopping, is left alone") {
   GangWorld world(/*checkpointable=*/false);
   world.Work({40, 40, 0}, 2500);
-  REQUIRE_FALSE(world.Judge(2500).empty());
+  REQUIRE_FALSE(world.FindRunsToStop(2500).empty());
   SUBCASE("a member is being stopped") {
     world.workers.at("w0").Find(GangWorld::Task(0))->stop_wanted = true;
   }
   SUBCASE("a member is not known to run") {
     world.workers.at("w0").Find(GangWorld::Task(0))->stage = RunStage::kUnknown;
   }
-  CHECK(world.Judge(2500).empty());
+  CHECK(world.FindRunsToStop(2500).empty());
 }
 
 }  // namespace
--- a/tests/auto/workload/tst_run_review.cc
+++ b/tests/auto/workload/tst_run_review.cc
@@ -86,7 +86,7 @@
       worker.Update(leaving, At(2000));
     }
     const std::vector<RunVerdict> verdicts =
-        review.Judge(&worker, At(2000 + row.later));
+        review.FindRunsToStop(&worker, At(2000 + row.later));
     REQUIRE(verdicts.size() == (row.reason.empty() ? 0 : 1));
     if (verdicts.empty()) continue;
     CHECK(verdicts[0].task == kTask);
@@ -126,7 +126,8 @@
     // Of many siblings not each report is judged.
     Report(&worker, kTask, 9, 2300);
     review.Observe(&worker, At(2300));
-    const std::vector<RunVerdict> verdicts = review.Judge(&worker, At(2300));
+    const std::vector<RunVerdict> verdicts =
+        review.FindRunsToStop(&worker, At(2300));
     CHECK((verdicts.empty() ? "" : verdicts[0].reason) == row.reason);
   }
 }
--- a/tests/auto/workload/tst_speed_book.cc
+++ b/tests/auto/workload/tst_speed_estimator.cc
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "workload/speed_book.h"
+#include "workload/speed_estimator.h"
 #include "workload/worker_tracker.h"
 #include "workload_fixtures.h"
 
@@ -15,7 +15,7 @@
 const StepRef kStep{"0123456789abcdef", 0, 0};
 
 // Of a run that has done half of its work.
-RunPace Pace(int index, bool gang, double rate, double slowdown = 1) {
+ProgressSample Pace(int index, bool gang, double rate, double slowdown = 1) {
   return {{kStep, index}, gang, rate, /*told_by=*/50, slowdown};
 }
 
@@ -52,7 +52,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    SpeedBook book;
+    SpeedEstimator book;
     int index = 0;
     for (const auto& [worker, rate, slowdown] : row.rates) {
       book.Observe(worker, Pace(index++, row.gang, rate, slowdown), At(0));
@@ -68,7 +68,7 @@
 // A third of the workers takes 1.3 times as long for good, another is slowed
 // for a while.
 TEST_CASE("hardware is told from spells") {
-  SpeedBook book;
+  SpeedEstimator book;
   for (int second = 0; second < 4; ++second) {
     int index = 0;
     for (const auto& [worker, rate] :
@@ -104,14 +104,14 @@
 }
 
 TEST_CASE("a worker without new evidence counts as sound again") {
-  SpeedBook book;
+  SpeedEstimator book;
   book.Observe("a", Pace(0, true, 10), At(0));
   book.Observe("b", Pace(1, true, 1), At(0));
   CHECK(book.speed("b", At(5000)) < 0.2);
   CHECK(book.speed("b", At(7000)) == 1);
-  CHECK(book.SoundDuration(kStep) == std::chrono::seconds(10));
-  book.Forget(At(100000));
-  CHECK(book.SoundDuration(kStep) == Duration::zero());
+  CHECK(book.NormalDuration(kStep) == std::chrono::seconds(10));
+  book.DropStale(At(100000));
+  CHECK(book.NormalDuration(kStep) == Duration::zero());
 }
 
 TEST_CASE("progress is measured from the start, or from the first report") {
