--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -171,12 +171,12 @@
   const StepSpec* spec = ledger_.FindStepSpec(task.step);
   if (job == nullptr || spec == nullptr) return profile;
   profile.need = spec->need;
-  if (spec->best_effort) profile.need.cpu_millis = 0;
+  if (spec->is_filler) profile.need.cpu_millis = 0;
   profile.priority = job->spec.policy.priority;
   profile.checkpointable = spec->checkpointable;
   profile.gang = spec->gang;
   profile.long_running = spec->long_running;
-  profile.best_effort = spec->best_effort;
+  profile.is_filler = spec->is_filler;
   profile.tail_latency_target = spec->tail_latency_target;
   profile.account = job->spec.account;
   profile.data_rack = spec->data_rack;
--- a/src/libs/coordination/pace_keeper.cc
+++ b/src/libs/coordination/pace_keeper.cc
@@ -22,7 +22,7 @@
   bool fills = false;
   for (const auto& [task, run] : tracker.runs()) {
     serves = serves || run.profile.tail_latency_target.count() > 0;
-    fills = fills || run.profile.best_effort;
+    fills = fills || run.profile.is_filler;
   }
   return serves && fills;
 }
@@ -31,7 +31,7 @@
   std::vector<ServingTail> serving;
   bool fills = false;
   for (const auto& [task, run] : tracker->runs()) {
-    fills = fills || run.profile.best_effort;
+    fills = fills || run.profile.is_filler;
     if (run.stage != RunStage::kRunning) continue;
     if (run.profile.tail_latency_target.count() == 0) continue;
     serving.push_back(
@@ -48,9 +48,9 @@
                                     {"serving", serving.size()}});
   }
   for (auto& [task, run] : tracker->runs()) {
-    const bool due = run.profile.best_effort &&
-                     run.stage == RunStage::kRunning && !run.stop_wanted &&
-                     !run.pace_sending && run.pace != control.pace();
+    const bool due = run.profile.is_filler && run.stage == RunStage::kRunning &&
+                     !run.stop_wanted && !run.pace_sending &&
+                     run.pace != control.pace();
     if (due) Send(tracker, &run, control.pace());
   }
 }
--- a/src/libs/workload/cluster_rooms.cc
+++ b/src/libs/workload/cluster_rooms.cc
@@ -40,7 +40,7 @@
 
 Resources ReservedFor(const StepSpec& step) {
   Resources need = step.need;
-  if (step.best_effort) need.cpu_millis = 0;
+  if (step.is_filler) need.cpu_millis = 0;
   return need;
 }
 
@@ -61,7 +61,7 @@
   for (const auto& [task, run] : tracker.runs()) {
     const RunProfile& profile = run.profile;
     if (run.stop_wanted) room.coming += profile.need;
-    if (profile.best_effort) ++room.filling;
+    if (profile.is_filler) ++room.filling;
     const bool unproven = !run.is_proven(now);
     room.unproven = room.unproven || unproven;
     room.on_probation = room.on_probation || (unproven && profile.on_probation);
@@ -224,7 +224,7 @@
                             int64_t tasks) const {
   const Resources need = ReservedFor(*step.spec);
   int64_t score = Weight(room.room) - Weight(need) * tasks;
-  if (step.spec->best_effort) score = -IdleFor(step, room);
+  if (step.spec->is_filler) score = -IdleFor(step, room);
   // Where the least is lost if it takes the worker down.
   if (step.on_probation) score = -Weight(room.room);
   const std::string& rack = step.spec->data_rack;
@@ -261,7 +261,7 @@
     if (!IsEligible(step, room) || room.tracker->room().IsOverdrawn()) continue;
     const int64_t bound = BoundLeft(step, *room.tracker);
     int64_t tasks = std::min(bound, need.TimesIn(room.room, waiting));
-    if (step.spec->best_effort)
+    if (step.spec->is_filler)
       tasks = std::min(tasks, FillersThatFit(step, room));
     if (tasks <= 0) continue;
     slots.push_back({i, tasks, Score(step, room, tasks), room.IsEmpty()});
--- a/src/libs/workload/job_definition.cc
+++ b/src/libs/workload/job_definition.cc
@@ -46,7 +46,7 @@
                       step.need.accelerators, step.estimate.count(),
                       step.depends_on, step.checkpointable, step.gang,
                       step.same_rack, step.speculative, step.long_running,
-                      step.best_effort, step.required_label, step.data_rack,
+                      step.is_filler, step.required_label, step.data_rack,
                       step.image, step.max_per_worker, step.max_unavailable,
                       step.tail_latency_target.count()});
 }
@@ -65,7 +65,7 @@
   step.same_rack = row.at(at++).get<bool>();
   step.speculative = row.at(at++).get<bool>();
   step.long_running = row.at(at++).get<bool>();
-  step.best_effort = row.at(at++).get<bool>();
+  step.is_filler = row.at(at++).get<bool>();
   step.required_label = row.at(at++).get<std::string>();
   step.data_rack = row.at(at++).get<std::string>();
   step.image = row.at(at++).get<std::string>();
--- a/src/libs/workload/job_definition.h
+++ b/src/libs/workload/job_definition.h
@@ -37,7 +37,7 @@
   // Runs until the job is cancelled; restarted however it ends.
   bool long_running = false;
   // Its cores are not reserved: it uses what the others leave idle.
-  bool best_effort = false;
+  bool is_filler = false;
   std::string required_label;
   std::string data_rack;
   std::string image;
--- a/src/libs/workload/worker_tracker.h
+++ b/src/libs/workload/worker_tracker.h
@@ -49,7 +49,7 @@
   bool gang = false;
   bool long_running = false;
   // Its cores are not reserved; it is slowed where it disturbs serving tasks.
-  bool best_effort = false;
+  bool is_filler = false;
   // Of a serving task; zero for any other.
   Milliseconds tail_latency_target{0};
   std::string account;
--- a/tests/auto/coordination/tst_worker_fleet.cc
+++ b/tests/auto/coordination/tst_worker_fleet.cc
@@ -121,7 +121,7 @@
     Fixture fixture;
     fixture.calls.pace = row.answer;
     RunProfile filler;
-    filler.best_effort = true;
+    filler.is_filler = true;
     fixture.fleet.Add("w1", kTask, 1, filler, Fixture::Now());
     RunProfile server;
     server.long_running = true;
--- a/tests/auto/workload/tst_job_ledger.cc
+++ b/tests/auto/workload/tst_job_ledger.cc
@@ -125,9 +125,9 @@
   const JobDefinition job =
       MakeJob(kJob, {MakeStep(3, 1), MakeStep(1, 1, {0})});
   before.Add(job, At(0));
-  before.Start(Ref(0), {{0, "u"}, {1, "v"}});
-  before.End(Task(0, 0), 1, RunEnd::kDone, "");
-  before.End(Task(0, 1), 1, RunEnd::kFailed, "c");
+  before.RecordStart(Ref(0), {{0, "u"}, {1, "v"}});
+  before.RecordRunEnd(Task(0, 0), 1, RunEnd::kDone, "");
+  before.RecordRunEnd(Task(0, 1), 1, RunEnd::kFailed, "c");
   const std::string bytes = EncodeBlock(*before.FindBlock({Ref(0), 0}));
   JobLedger after;
   after.Add(job, At(0));
@@ -137,7 +137,7 @@
   CHECK(after.FindTask(Task(0, 0))->phase == TaskPhase::kDone);
   CHECK(after.FindTask(Task(0, 1))->failures == 1);
   CHECK(after.FindTask(Task(0, 1))->checkpoint == "c");
-  CHECK(after.Start(Ref(0), {{1, "w"}}) == 2);
+  CHECK(after.RecordStart(Ref(0), {{1, "w"}}) == 2);
   CHECK(after.Find(kJob)->state == JobState::kRunning);
   CHECK_FALSE(after.Restore(Ref(1), {{0, ProgressBlock()}}));
 }
--- a/tests/auto/workload/tst_planner.cc
+++ b/tests/auto/workload/tst_planner.cc
@@ -22,7 +22,7 @@
   REQUIRE(world.Round().starts.size() == 1);
   StepSpec filler = MakeStep(4, 0);
   filler.need.cpu_millis = 32000;
-  filler.best_effort = true;
+  filler.is_filler = true;
   world.ledger.Add(MakeJob(Id(2), {filler}), world.now);
   const Plan plan = world.Round();
   REQUIRE(plan.starts.size() == 1);
--- a/tests/auto/workload/tst_progress_block.cc
+++ b/tests/auto/workload/tst_progress_block.cc
@@ -110,8 +110,8 @@
   const JobDefinition job = MakeJob(kStep.job, {spec});
   JobLedger before;
   before.Add(job, At(0));
-  before.Start(kStep, {{1, "u"}, {8, "v"}});
-  before.End({kStep, 1}, 1, RunEnd::kDone, "");
+  before.RecordStart(kStep, {{1, "u"}, {8, "v"}});
+  before.RecordRunEnd({kStep, 1}, 1, RunEnd::kDone, "");
   CHECK(before.TakeDirtyBlocks() ==
         std::set<ProgressBlockRef>{{kStep, 0}, {kStep, 2}});
   ProgressBlocks stored = Blocks(before, spec);
--- a/tests/auto/workload/tst_worker_bounds.cc
+++ b/tests/auto/workload/tst_worker_bounds.cc
@@ -54,7 +54,7 @@
     CHECK(bounds.max_board_age() < bounds.cancel_bound);
     CHECK(bounds.restart_cost() >= bounds.restore_time);
   }
-  CHECK(WorkerBounds().start_term() > kCallTimeout);
+  CHECK(WorkerBounds().start_order_term() > kCallTimeout);
 }
 
 TEST_CASE("room taken from others is used within the bound on reclaim") {
