--- a/src/libs/workload/advice_cache.cc
+++ b/src/libs/workload/advice_cache.cc
@@ -1,4 +1,4 @@
-// Verdicts by step and worker.
+// Verdicts of the advice service by step and worker.
 #include "workload/advice_cache.h"
 
 #include <algorithm>
@@ -6,16 +6,17 @@
 namespace thornplank {
 namespace {
 
-// The first question names no more: it is what the time for one decision is
-// reckoned with (published).
-constexpr size_t kFirstQuestion = 30;
-// The service's own bound on one question (published).
-constexpr size_t kLargestQuestion = 100;
-// From the decision of a start until the worker has it: a record in the store
-// and a call.
+// The first query about a step names at most this many workers: the published
+// time for one decision is based on it.
+constexpr size_t kFirstQuerySize = 30;
+// The published limit of the service on workers in one query.
+constexpr size_t kMaxQuerySize = 100;
+// Time from the decision to start a task until the worker has the ticket: one
+// record in the store and one call.
 constexpr Milliseconds kTicketMargin{300};
-// After a question without an answer: the service is busy or away.
-constexpr Milliseconds kPause{250};
+// Delay before the next query after one that failed: the service is overloaded
+// or unavailable.
+constexpr Milliseconds kRetryDelay{250};
 
 }  // namespace
 
@@ -27,28 +28,28 @@
   const auto verdict = advice->second.verdicts.find(worker);
   if (verdict == advice->second.verdicts.end()) return std::nullopt;
   const bool usable = !verdict->second.ticket.empty() &&
-                      now + kTicketMargin < verdict->second.until;
+                      now + kTicketMargin < verdict->second.expires;
   if (!usable) return std::nullopt;
   return verdict->second.ticket;
 }
 
 std::vector<std::string> AdviceCache::NextQuery(
     const StepRef& step, const std::vector<std::string>& candidates, Time now) {
-  std::vector<std::string> question;
+  std::vector<std::string> query;
   StepAdvice& advice = steps_[step];
-  if (advice.query_pending || now < advice.next_query) return question;
-  const size_t most =
-      advice.verdicts.empty() ? kFirstQuestion : kLargestQuestion;
+  if (advice.query_pending || now < advice.next_query) return query;
+  const size_t max_size =
+      advice.verdicts.empty() ? kFirstQuerySize : kMaxQuerySize;
   for (const std::string& worker : candidates) {
-    if (question.size() == most) break;
+    if (query.size() == max_size) break;
     const auto verdict = advice.verdicts.find(worker);
     const bool known =
         verdict != advice.verdicts.end() &&
         (verdict->second.ticket.empty() || FindTicket(step, worker, now));
-    if (!known) question.push_back(worker);
+    if (!known) query.push_back(worker);
   }
-  advice.query_pending = !question.empty();
-  return question;
+  advice.query_pending = !query.empty();
+  return query;
 }
 
 void AdviceCache::OnAnswer(const StepRef& step,
@@ -70,7 +71,7 @@
   const auto advice = steps_.find(step);
   if (advice == steps_.end()) return;
   advice->second.query_pending = false;
-  advice->second.next_query = now + kPause;
+  advice->second.next_query = now + kRetryDelay;
 }
 
 void AdviceCache::OnTicketRefused(const StepRef& step,
--- a/src/libs/workload/advice_cache.h
+++ b/src/libs/workload/advice_cache.h
@@ -1,7 +1,7 @@
-// Which workers may run a step, as far as an outside service has said.
+// Caches which workers an external advice service has approved for each step.
 //
-// A worker that was turned down for a step stays so. One that was approved got
-// a ticket, which each start must carry and which can be used for a while only.
+// A worker that was rejected for a step stays rejected. An approved worker has
+// a ticket, which every start on it must carry and which expires.
 #ifndef THORNPLANK_WORKLOAD_ADVICE_CACHE_H_
 #define THORNPLANK_WORKLOAD_ADVICE_CACHE_H_
 
@@ -23,37 +23,39 @@
 
 class AdviceCache {
  public:
-  // The ticket for a start that is decided now; nullopt where the worker is
-  // turned down, was not asked about, or its ticket is as good as over.
+  // The ticket for a start that is decided now; nullopt where the worker was
+  // rejected, was not asked about, or its ticket expires too soon to arrive in
+  // time.
   std::optional<std::string> FindTicket(const StepRef& step,
                                         const std::string& worker,
                                         Time now) const;
 
-  // Which of the candidates, best first, to ask about now. Empty while a
-  // question about the step is out, or when all is known. Marks it as out.
+  // Which of the candidates, ordered from best to worst, to ask about now.
+  // Empty while a query about the step is pending or when the verdicts on all
+  // of them are known. Otherwise marks a query as pending.
   std::vector<std::string> NextQuery(const StepRef& step,
                                      const std::vector<std::string>& candidates,
                                      Time now);
-  // `asked` was sent at `sent`; the tickets can be used for `validity` from
-  // then on.
+  // Records the answer to a query about the workers in `asked`, sent at `sent`;
+  // tickets are valid for `validity` from then on.
   void OnAnswer(const StepRef& step, const std::vector<std::string>& asked,
                 const std::vector<ApprovedWorker>& approved,
                 Milliseconds validity, Time sent);
-  // The question failed; another may be asked after a pause.
+  // The query failed; the next one is allowed after a delay.
   void OnQueryFailed(const StepRef& step, Time now);
-  // A worker did not take its ticket.
+  // The worker refused its ticket; it is asked about again.
   void OnTicketRefused(const StepRef& step, const std::string& worker);
 
-  // Forgets all steps but those.
+  // Drops all steps except these.
   void RetainOnly(const std::set<StepRef>& steps);
   size_t pending_queries() const;
 
  private:
   struct Verdict {
-    // "" where turned down.
+    // Empty where the worker was rejected.
     std::string ticket;
-    // Of the ticket.
-    Time until{};
+    // When the ticket expires.
+    Time expires{};
   };
   struct StepAdvice {
     std::map<std::string, Verdict> verdicts;
--- a/src/libs/workload/closed_domains.cc
+++ b/src/libs/workload/closed_domains.cc
@@ -1,4 +1,4 @@
-// Changes by their offsets.
+// Orders closures by their offsets in the stream.
 #include "workload/closed_domains.h"
 
 namespace thornplank {
@@ -17,7 +17,7 @@
   std::set<std::string> opened;
   for (const std::string& domain : closed_) {
     if (closed.count(domain) > 0) continue;
-    // A read that ends before the closure says nothing of it.
+    // A read that ends before the closure tells nothing about it.
     if (next <= offsets_.at(domain)) continue;
     opened.insert(domain);
   }
--- a/src/libs/workload/closed_domains.h
+++ b/src/libs/workload/closed_domains.h
@@ -1,8 +1,8 @@
-// Failure domains that take no new work, as the operators' stream has them.
+// Failure domains that accept no new work, according to the operators' stream.
 //
-// What runs there goes on. A read of the stream may be behind an earlier one,
-// so that changes count by their offsets: what was seen once is never left for
-// something older.
+// Runs that are already there continue. A read of the stream may be older than
+// an earlier one, so changes are ordered by their offsets: a newer state is
+// never replaced by an older one.
 #ifndef THORNPLANK_WORKLOAD_CLOSED_DOMAINS_H_
 #define THORNPLANK_WORKLOAD_CLOSED_DOMAINS_H_
 
@@ -15,10 +15,11 @@
 
 class ClosedDomains {
  public:
-  // A record of the stream closes or opens the domain. True when that changed.
+  // A record of the stream closes or opens the domain. Returns true if that
+  // changed its state.
   bool Apply(const std::string& domain, bool closed, int64_t offset);
-  // The stream was read anew up to `next`, and closes just these. Returns those
-  // that are open again.
+  // The stream was read again up to `next`; exactly the domains in `closed` are
+  // closed. Returns those that are open again.
   std::set<std::string> OnSnapshot(const std::set<std::string>& closed,
                                    int64_t next);
 
@@ -29,7 +30,7 @@
 
  private:
   std::set<std::string> closed_;
-  // Of the last change of each domain.
+  // Offset of the last change of each domain.
   std::map<std::string, int64_t> offsets_;
 };
 
--- /dev/null
+++ b/src/libs/workload/cluster_capacity.cc
@@ -0,0 +1,298 @@
+// Capacity sums, eligibility and scores of workers.
+#include "workload/cluster_capacity.h"
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+#include <utility>
+
+namespace thornplank {
+namespace {
+
+// Suspect workers are used only when no other worker has room.
+constexpr int64_t kSuspectPenalty = int64_t{1} << 32;
+constexpr int64_t kSlowPenalty = int64_t{1} << 31;
+// Added for each tenth of the normal time that tasks take longer on a worker:
+// more than any difference in fit, since a gang runs at the pace of its slowest
+// member.
+constexpr int64_t kSlownessStep = int64_t{1} << 21;
+// Workers without room come last in a query for advice.
+constexpr int64_t kFullPenalty = int64_t{1} << 33;
+
+// How much longer a task takes there than normally, in tenths of the normal
+// time, apart from temporary slowness.
+int64_t SlownessOf(const WorkerCapacity& worker) {
+  constexpr double kTenths = 10;
+  return std::lround(kTenths / worker.tracker->steady_speed() - kTenths);
+}
+
+bool HasLabel(const WorkerRegistration& worker, const std::string& label) {
+  if (label.empty()) return true;
+  const auto& labels = worker.labels;
+  return std::find(labels.begin(), labels.end(), label) != labels.end();
+}
+
+}  // namespace
+
+bool WorkerCapacity::IsEmpty() const {
+  const Resources& all = entry().capacity;
+  return free.accelerators == all.accelerators &&
+         free.cpu_millis == all.cpu_millis;
+}
+
+Resources ReservedFor(const StepSpec& step) {
+  Resources need = step.need;
+  if (step.is_filler) need.cpu_millis = 0;
+  return need;
+}
+
+ClusterCapacity::ClusterCapacity(
+    const std::map<std::string, WorkerTracker>& workers,
+    const AdviceCache* advice, Time now)
+    : advice_(advice), now_(now) {
+  for (const auto& [id, tracker] : workers) {
+    index_[id] = workers_.size();
+    AddWorker(tracker, now);
+  }
+}
+
+void ClusterCapacity::AddWorker(const WorkerTracker& tracker, Time now) {
+  WorkerCapacity worker;
+  worker.tracker = &tracker;
+  worker.free = tracker.room();
+  worker.usable = tracker.availability(now) == WorkerAvailability::kUsable;
+  for (const auto& [task, run] : tracker.runs()) {
+    const RunProfile& profile = run.profile;
+    if (run.stop_wanted) worker.releasing += profile.need;
+    if (profile.is_filler) ++worker.filler_tasks;
+    const bool unproven = !run.has_proven_start(now);
+    worker.unproven = worker.unproven || unproven;
+    worker.on_probation =
+        worker.on_probation || (unproven && profile.on_probation);
+    if (profile.priority != 0) continue;
+    urgent_accelerators_[profile.account] += profile.need.accelerators;
+  }
+  const int64_t total = tracker.registration().capacity.accelerators;
+  ServiceSums& sums = services_[tracker.registration().service];
+  sums.total_accelerators += total;
+  sums.used_accelerators += total - worker.free.accelerators;
+  const int64_t cores = tracker.registration().capacity.cpu_millis;
+  sums.total_cpu_millis += cores;
+  sums.used_cpu_millis += cores - worker.free.cpu_millis;
+  if (worker.usable) ++usable_workers_;
+  if (worker.usable && tracker.trust().suspect()) ++suspects_;
+  if (worker.usable) ++sums.usable_workers;
+  if (worker.usable && worker.IsEmpty()) ++sums.empty_workers;
+  workers_.push_back(worker);
+}
+
+int64_t ClusterCapacity::UrgentAccelerators(const std::string& account) const {
+  const auto use = urgent_accelerators_.find(account);
+  return use == urgent_accelerators_.end() ? 0 : use->second;
+}
+
+const ClusterCapacity::ServiceSums& ClusterCapacity::SumsOf(
+    const std::string& service) const {
+  static const ServiceSums kNothing;
+  const auto sums = services_.find(service);
+  return sums == services_.end() ? kNothing : sums->second;
+}
+
+int64_t ClusterCapacity::usable_workers(const std::string& service) const {
+  return SumsOf(service).usable_workers;
+}
+
+double ClusterCapacity::UsedShare(const std::string& service) const {
+  const ServiceSums& sums = SumsOf(service);
+  if (sums.total_accelerators == 0) return 1;
+  return static_cast<double>(sums.used_accelerators) /
+         static_cast<double>(sums.total_accelerators);
+}
+
+double ClusterCapacity::LowestUsedShare(const std::string& service) const {
+  const ServiceSums& sums = SumsOf(service);
+  if (sums.total_cpu_millis == 0) return UsedShare(service);
+  const double cores = static_cast<double>(sums.used_cpu_millis) /
+                       static_cast<double>(sums.total_cpu_millis);
+  return std::min(cores, UsedShare(service));
+}
+
+Resources ClusterCapacity::FreeCapacity(const std::string& service) const {
+  Resources sum;
+  for (const WorkerCapacity& worker : workers_) {
+    if (worker.entry().service != service) continue;
+    // More may be reserved than is free so far.
+    if (worker.usable) sum += ElementwiseMax(worker.free, Resources());
+  }
+  return sum;
+}
+
+Resources ClusterCapacity::TotalCapacity(const std::string& service) const {
+  Resources sum;
+  for (const WorkerCapacity& worker : workers_) {
+    if (worker.entry().service != service) continue;
+    if (worker.usable) sum += worker.entry().capacity;
+  }
+  return sum;
+}
+
+void ClusterCapacity::Reserve(const CapacityReservation& reservation) {
+  ApplyReservation(reservation, /*reserve=*/true);
+}
+
+void ClusterCapacity::Release(const CapacityReservation& reservation) {
+  ApplyReservation(reservation, /*reserve=*/false);
+}
+
+void ClusterCapacity::ApplyReservation(const CapacityReservation& reservation,
+                                       bool reserve) {
+  for (const auto& [id, tasks] : reservation.tasks_by_worker) {
+    const auto it = index_.find(id);
+    if (it == index_.end()) continue;
+    Resources& free = workers_[it->second].free;
+    for (int i = 0; i < tasks; ++i) {
+      if (reserve) {
+        free -= reservation.need;
+      } else {
+        free += reservation.need;
+      }
+    }
+  }
+}
+
+void ClusterCapacity::Occupy(const std::string& id, const ReadyStep& step) {
+  WorkerCapacity& worker = workers_[index_.at(id)];
+  if (worker.IsEmpty()) --services_[worker.entry().service].empty_workers;
+  worker.free -= ReservedFor(*step.spec);
+  worker.unproven = true;
+  worker.on_probation = worker.on_probation || step.on_probation;
+}
+
+bool ClusterCapacity::MayUse(const ReadyStep& step,
+                             const WorkerCapacity& worker) const {
+  if (!MeetsRequirements(step, worker)) return false;
+  if (!step.job->spec.policy.advice) return true;
+  return advice_ != nullptr &&
+         advice_->FindTicket(step.ref, worker.tracker->id(), now_).has_value();
+}
+
+std::vector<std::string> ClusterCapacity::CandidatesForAdvice(
+    const ReadyStep& step) const {
+  const Resources need = ReservedFor(*step.spec);
+  const auto waiting = static_cast<int64_t>(step.waiting.size());
+  std::vector<std::pair<int64_t, const std::string*>> order;
+  for (const WorkerCapacity& worker : workers_) {
+    if (!MeetsRequirements(step, worker)) continue;
+    if (need.TimesIn(worker.entry().capacity, 1) == 0) continue;
+    const int64_t tasks = need.TimesIn(worker.free, waiting);
+    // Workers without room are candidates as well: lower-priority runs there
+    // can be evicted.
+    const int64_t full = tasks == 0 ? kFullPenalty : 0;
+    order.emplace_back(Score(step, worker, tasks) + full,
+                       &worker.tracker->id());
+  }
+  std::sort(order.begin(), order.end());
+  std::vector<std::string> workers;
+  workers.reserve(order.size());
+  for (const auto& [score, worker] : order) {
+    workers.push_back(*worker);
+  }
+  return workers;
+}
+
+bool ClusterCapacity::MeetsRequirements(const ReadyStep& step,
+                                        const WorkerCapacity& worker) const {
+  if (!worker.usable) return false;
+  if (worker.entry().service != step.service()) return false;
+  if (worker.on_probation) return false;
+  if (step.on_probation && worker.unproven) return false;
+  if (step.failed_before && worker.tracker->trust().suspect() &&
+      MostAreTrusted()) {
+    return false;
+  }
+  return HasLabel(worker.entry(), step.spec->required_label);
+}
+
+int64_t ClusterCapacity::RemainingTaskLimit(
+    const ReadyStep& step, const WorkerTracker& tracker) const {
+  if (step.spec->max_per_worker == 0) {
+    return std::numeric_limits<int32_t>::max();
+  }
+  int64_t left = step.spec->max_per_worker;
+  const auto& runs = tracker.runs();
+  for (auto it = runs.lower_bound(TaskRef{step.ref, 0});
+       it != runs.end() && it->first.step == step.ref; ++it) {
+    --left;
+  }
+  return std::max<int64_t>(left, 0);
+}
+
+int64_t ClusterCapacity::Score(const ReadyStep& step,
+                               const WorkerCapacity& worker,
+                               int64_t tasks) const {
+  const Resources need = ReservedFor(*step.spec);
+  int64_t score = Weight(worker.free) - Weight(need) * tasks;
+  if (step.spec->is_filler) score = -IdleCpuMillis(step, worker);
+  // Prefers the worker where the least is lost if the task crashes it.
+  if (step.on_probation) score = -Weight(worker.free);
+  const std::string& rack = step.spec->data_rack;
+  if (!rack.empty() && worker.entry().rack != rack) score += kFarRackPenalty;
+  const bool doubtful = worker.tracker->trust().suspect() ||
+                        worker.tracker->trust().WasSilentRecently(now_);
+  if (doubtful) score += kSuspectPenalty;
+  if (worker.tracker->speed() <= kSlowedSpeed) score += kSlowPenalty;
+  // Gangs, which run at the pace of their slowest member, and urgent steps get
+  // fast workers; other steps leave those free.
+  const bool wants_speed = step.spec->gang || step.urgent();
+  const int64_t slowness = SlownessOf(worker);
+  score += (wants_speed ? slowness : -slowness) * kSlownessStep;
+  return score;
+}
+
+int64_t ClusterCapacity::IdleCpuMillis(const ReadyStep& step,
+                                       const WorkerCapacity& worker) {
+  return worker.free.cpu_millis -
+         worker.filler_tasks * step.spec->need.cpu_millis;
+}
+
+// At least one: where no core is idle now, one may become idle at any time.
+int64_t ClusterCapacity::MaxFillers(const ReadyStep& step,
+                                    const WorkerCapacity& worker) {
+  const int64_t each = std::max<int64_t>(step.spec->need.cpu_millis, 1);
+  return std::max<int64_t>(IdleCpuMillis(step, worker) / each, 1);
+}
+
+std::vector<Slot> ClusterCapacity::FreeSlots(const ReadyStep& step) const {
+  std::vector<Slot> slots;
+  const Resources need = ReservedFor(*step.spec);
+  const auto waiting = static_cast<int64_t>(step.waiting.size());
+  for (size_t i = 0; i < workers_.size(); ++i) {
+    const WorkerCapacity& worker = workers_[i];
+    if (!MayUse(step, worker) || worker.tracker->room().IsOverdrawn()) continue;
+    const int64_t bound = RemainingTaskLimit(step, *worker.tracker);
+    int64_t tasks = std::min(bound, need.TimesIn(worker.free, waiting));
+    if (step.spec->is_filler) tasks = std::min(tasks, MaxFillers(step, worker));
+    if (tasks <= 0) continue;
+    slots.push_back({i, tasks, Score(step, worker, tasks), worker.IsEmpty()});
+  }
+  return slots;
+}
+
+bool ClusterCapacity::IsNear(const ReadyStep& step, const Slot& slot) const {
+  return workers_[slot.worker].entry().rack == step.spec->data_rack;
+}
+
+bool ClusterCapacity::AnyRackCanHold(const ReadyStep& step) const {
+  std::map<std::string, int64_t> tasks;
+  const Resources need = ReservedFor(*step.spec);
+  const auto members = static_cast<int64_t>(step.waiting.size());
+  for (const WorkerCapacity& worker : workers_) {
+    if (!MayUse(step, worker)) continue;
+    int64_t& sum = tasks[worker.entry().rack];
+    sum += need.TimesIn(worker.entry().capacity, members);
+    if (sum >= members) return true;
+  }
+  return false;
+}
+
+}  // namespace thornplank
--- /dev/null
+++ b/src/libs/workload/cluster_capacity.h
@@ -0,0 +1,165 @@
+// Free capacity of every worker during one planning round.
+//
+// It shrinks as the round places tasks and reserves capacity for steps that
+// evicted others. Which workers a step may use is decided here as well. Not
+// thread-safe; lives for one round.
+#ifndef THORNPLANK_WORKLOAD_CLUSTER_CAPACITY_H_
+#define THORNPLANK_WORKLOAD_CLUSTER_CAPACITY_H_
+
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "base/time.h"
+#include "workload/advice_cache.h"
+#include "workload/ready_step.h"
+#include "workload/resources.h"
+#include "workload/worker_tracker.h"
+
+namespace thornplank {
+
+struct WorkerCapacity {
+  const WorkerTracker* tracker = nullptr;
+  // Neither used nor reserved.
+  Resources free;
+  // What runs that are being stopped will free.
+  Resources releasing;
+  // Number of filler tasks here.
+  int64_t filler_tasks = 0;
+  // Whether it may be given new tasks.
+  bool usable = false;
+  // A run here is not known to have survived its start.
+  bool unproven = false;
+  // A run on probation is not known to have survived its start. No other task
+  // may start here until it has: a crash can then be attributed to that run,
+  // and nothing else is lost.
+  bool on_probation = false;
+
+  const WorkerRegistration& entry() const { return tracker->registration(); }
+  bool IsEmpty() const;
+};
+
+// Room for a number of tasks of a step on one worker.
+struct Slot {
+  // Index into ClusterCapacity::workers().
+  size_t worker = 0;
+  int64_t tasks = 0;
+  // Smaller is better: a tight fit near the data on a trusted worker scores
+  // low.
+  int64_t score = 0;
+  // Nothing runs on the worker.
+  bool empty = false;
+};
+
+inline bool HasLowerScore(const Slot& a, const Slot& b) {
+  return a.score < b.score;
+}
+
+// Capacity that is reserved for a step until it starts there.
+struct CapacityReservation {
+  std::map<std::string, int> tasks_by_worker;
+  // Resources of one task.
+  Resources need;
+  Time made{};
+  Time until{};
+};
+
+// Thousandths of a core that one accelerator counts for, according to the
+// users' prices.
+inline constexpr int64_t kMillisPerAccelerator = 8000;
+inline int64_t Weight(const Resources& need) {
+  return need.cpu_millis + need.accelerators * kMillisPerAccelerator;
+}
+
+// Penalty for a rack other than that of the step's data: more than any
+// difference in fit.
+inline constexpr int64_t kFarRackPenalty = int64_t{1} << 30;
+
+// What one task of the step takes from a worker's free capacity.
+Resources ReservedFor(const StepSpec& step);
+
+class ClusterCapacity {
+ public:
+  // `advice` may be null. Both must outlive this object.
+  ClusterCapacity(const std::map<std::string, WorkerTracker>& workers,
+                  const AdviceCache* advice, Time now);
+
+  const std::vector<WorkerCapacity>& workers() const { return workers_; }
+  WorkerCapacity& worker(size_t index) { return workers_[index]; }
+  const WorkerCapacity& worker(size_t index) const { return workers_[index]; }
+  int64_t usable_workers(const std::string& service) const;
+  // Accelerators in use by urgent runs of the account.
+  int64_t UrgentAccelerators(const std::string& account) const;
+  // The share of the service's accelerators that is in use.
+  double UsedShare(const std::string& service) const;
+  // The smaller of the used shares of the service's accelerators and cores.
+  double LowestUsedShare(const std::string& service) const;
+  // Sums over the workers of the service that may be given new tasks.
+  Resources FreeCapacity(const std::string& service) const;
+  Resources TotalCapacity(const std::string& service) const;
+
+  void Reserve(const CapacityReservation& reservation);
+  void Release(const CapacityReservation& reservation);
+  // Accounts for a task of the step that was placed on the worker.
+  void Occupy(const std::string& id, const ReadyStep& step);
+
+  bool MayUse(const ReadyStep& step, const WorkerCapacity& worker) const;
+  // Like MayUse(), but without the approval of the advice service that the
+  // step may need.
+  bool MeetsRequirements(const ReadyStep& step,
+                         const WorkerCapacity& worker) const;
+  // Workers to ask the advice service about for the step, from best to worst.
+  std::vector<std::string> CandidatesForAdvice(const ReadyStep& step) const;
+  // Workers on which tasks of the step fit.
+  std::vector<Slot> FreeSlots(const ReadyStep& step) const;
+  // Number of workers of the service that may be given tasks and run nothing.
+  int64_t EmptyWorkers(const std::string& service) const {
+    return SumsOf(service).empty_workers;
+  }
+  // How many more tasks of the step the worker may run under the step's
+  // `max_per_worker`.
+  int64_t RemainingTaskLimit(const ReadyStep& step,
+                             const WorkerTracker& tracker) const;
+  bool IsNear(const ReadyStep& step, const Slot& slot) const;
+  // Whether some rack, when empty, has room for all waiting tasks of the step.
+  bool AnyRackCanHold(const ReadyStep& step) const;
+
+ private:
+  // Kept by service, since work of one service cannot use the workers of
+  // another.
+  struct ServiceSums {
+    int64_t usable_workers = 0;
+    int64_t empty_workers = 0;
+    int64_t total_accelerators = 0;
+    int64_t used_accelerators = 0;
+    int64_t total_cpu_millis = 0;
+    int64_t used_cpu_millis = 0;
+  };
+
+  void AddWorker(const WorkerTracker& tracker, Time now);
+  const ServiceSums& SumsOf(const std::string& service) const;
+  bool MostAreTrusted() const { return suspects_ * 2 < usable_workers_; }
+  int64_t Score(const ReadyStep& step, const WorkerCapacity& worker,
+                int64_t tasks) const;
+  // Idle thousandths of a core that filler tasks of the step would find.
+  static int64_t IdleCpuMillis(const ReadyStep& step,
+                               const WorkerCapacity& worker);
+  static int64_t MaxFillers(const ReadyStep& step,
+                            const WorkerCapacity& worker);
+  void ApplyReservation(const CapacityReservation& reservation, bool reserve);
+
+  const AdviceCache* const advice_;
+  const Time now_;
+  std::vector<WorkerCapacity> workers_;
+  // Index into workers_ by the worker's id.
+  std::map<std::string, size_t> index_;
+  std::map<std::string, int64_t> urgent_accelerators_;
+  int64_t usable_workers_ = 0;
+  int64_t suspects_ = 0;
+  std::map<std::string, ServiceSums> services_;
+};
+
+}  // namespace thornplank
+
+#endif  // THORNPLANK_WORKLOAD_CLUSTER_CAPACITY_H_
--- a/src/libs/workload/crash_record.cc
+++ b/src/libs/workload/crash_record.cc
@@ -1,4 +1,4 @@
-// Bounds on the workers that a task may take down.
+// Limits on the workers that one task may crash.
 #include "workload/crash_record.h"
 
 #include <algorithm>
@@ -6,18 +6,21 @@
 namespace thornplank {
 namespace {
 
-// Workers that crash as they start the task: the task, not chance. Tasks may be
-// given up from two crashes on (published).
-constexpr int kMostCrashesAtStart = 2;
-// Of any kind. Not more than five starts are allowed, two after the third crash
-// (published); one is left for a crash that a change of leader has hidden.
-constexpr size_t kMostWorkersLost = 4;
-constexpr std::chrono::seconds kProvenWork{5};
-
-// Estimates may be off by a factor of two.
+// This many workers that crash in a row while they start the task show that the
+// task is the cause. The published rule allows a task to be given up after two
+// crashes.
+constexpr int kMaxStartCrashes = 2;
+// Lost workers in total. The published rule allows at most five starts, and at
+// most two after the third crash; one is left for a crash that a change of
+// leader has hidden.
+constexpr size_t kMaxWorkersLost = 4;
+constexpr std::chrono::seconds kProvenRunTime{5};
+
+// Callers' estimates may be wrong by a factor of two.
 constexpr int kEstimateError = 2;
 
-// Whether it was lost so early that it cannot have ended unheard.
+// Whether the worker crashed so early that the run cannot have ended unnoticed
+// before.
 bool IsAtStart(const LostRun& run, const StepSpec& step) {
   Duration phase = kStartPhase;
   if (step.estimate > Milliseconds::zero()) {
@@ -29,7 +32,7 @@
 }  // namespace
 
 void CrashRecord::OnWorkerLost(const LostRun& run, const StepSpec& step) {
-  if (step.long_running && run.survived >= kProvenWork) {
+  if (step.long_running && run.survived >= kProvenRunTime) {
     *this = CrashRecord();
     return;
   }
@@ -38,8 +41,8 @@
 }
 
 bool CrashRecord::ShouldGiveUp() const {
-  return start_crashes >= kMostCrashesAtStart ||
-         lost_workers.size() >= kMostWorkersLost;
+  return start_crashes >= kMaxStartCrashes ||
+         lost_workers.size() >= kMaxWorkersLost;
 }
 
 std::string CrashRecord::ToText() const {
--- a/src/libs/workload/crash_record.h
+++ b/src/libs/workload/crash_record.h
@@ -1,9 +1,10 @@
-// Which workers crashed under a task, and whether the task is to blame.
+// Records which workers crashed while they ran a task, and decides when the
+// task must not be started again.
 //
-// A task may crash each worker that starts it. One that crashes has taken down
-// all that ran there, and none of these is told from the culprit by the crash
-// alone. What tells them apart is time: a worker that bore a run for a while
-// did not crash for its start.
+// A task may crash every worker that starts it. A crash ends all runs on the
+// worker, and the crash alone does not tell which of them caused it. The time
+// does: a worker that survived the start of a run for a while did not crash
+// because of that start.
 #ifndef THORNPLANK_WORKLOAD_CRASH_RECORD_H_
 #define THORNPLANK_WORKLOAD_CRASH_RECORD_H_
 
@@ -15,36 +16,37 @@
 
 namespace thornplank {
 
-// A worker that is alive so long after it has taken an order has borne its
-// start.
+// A worker that is alive this long after it accepted an order has survived the
+// start of the run.
 inline constexpr Milliseconds kStartPhase{200};
 
-// What is known of a run whose worker's life ended.
+// What is known of a run whose worker's incarnation ended.
 struct LostRun {
   std::string worker;
-  // The worker is proved to have crashed; else it was not heard of for long.
+  // True if the worker is known to have crashed; false if it was only silent
+  // for long.
   bool crashed = false;
-  // The worker had taken the order.
+  // True if the worker had accepted the order.
   bool began = false;
-  // From its begin until the worker fell silent.
+  // From the start of the run until the worker fell silent.
   Duration survived{};
 };
 
 struct CrashRecord {
-  // Workers that were lost under the task, the oldest first.
+  // Workers that were lost while they ran the task, the oldest first.
   std::vector<std::string> lost_workers;
-  // Crashes of a worker that had just taken the order, in a row.
+  // Consecutive crashes of workers that had just accepted the order.
   int start_crashes = 0;
 
   bool empty() const { return lost_workers.empty(); }
-  // A task that lasts loses many workers in time, so that one that had borne it
-  // for a while clears it.
+  // A long-running task loses many workers over time, so a worker that ran it
+  // for a while before it was lost resets the record.
   void OnWorkerLost(const LostRun& run, const StepSpec& step);
-  // A run of it ended while its worker lived on.
+  // A run of the task ended while its worker lived on.
   void OnRunEnded() { start_crashes = 0; }
-  // No worker should start it any more.
+  // Whether the task must not be started again.
   bool ShouldGiveUp() const;
-  // For callers and operators.
+  // Text for callers and operators.
   std::string ToText() const;
 };
 
--- a/src/libs/workload/departure_detector.h
+++ b/src/libs/workload/departure_detector.h
@@ -1,12 +1,11 @@
-// Whether a worker that announced to leave has left for good. All that ran
-// there has ended then, leases or not.
+// Detects that a worker that announced its departure has left for good. All
+// runs there have ended then, whatever leases they had.
 //
-// An entry is taken out of the directory when its worker has left, and also
-// when nothing was heard of it for three heartbeats, though it may run on. The
-// first is told from the second by time: a worker that leaves as announced has
-// written its entry anew just before. One that is taken away at short notice
-// leaves its entry behind; its heartbeats end, and nothing listens at its
-// address.
+// An entry is removed from the directory when its worker has left, and also
+// when it was not renewed for three heartbeats, though the worker may still
+// run. Time tells the two apart: a worker that leaves as announced has renewed
+// its entry shortly before. A worker that is removed at short notice leaves its
+// entry behind; its heartbeats end, and connections to its address are refused.
 #ifndef THORNPLANK_WORKLOAD_DEPARTURE_DETECTOR_H_
 #define THORNPLANK_WORKLOAD_DEPARTURE_DETECTOR_H_
 
@@ -19,28 +18,29 @@
 
 class DepartureDetector {
  public:
-  // The worker's entry, seen now; the directory was read up to its end at
-  // `contact` the last time before.
+  // The worker's entry was read at `now`. `directory_read_at` is when the
+  // directory was last read to its end before that.
   void OnEntry(const WorkerRegistration& entry, Time directory_read_at,
                Time now);
-  // The same of its removal. `heartbeat`: between two entries of a worker.
+  // Whether the removal of its entry, read at `now`, shows that it has left.
+  // `heartbeat` is the interval between two entries of a worker.
   bool IsDeparture(Milliseconds heartbeat, Time directory_read_at,
                    Time now) const;
 
-  // What came of a call to it: an answer, or word that nothing listens there.
+  // The outcome of a call to it.
   void OnAnswer() { refused_at_.reset(); }
   void OnConnectionRefused(Time now) { refused_at_ = now; }
-  // Whether it has left, though it is still listed. A worker that is only cut
-  // off, by a network that refuses connections for it, still writes its entry.
+  // Whether it has left though it is still listed. A worker that is only cut
+  // off, by a network that refuses connections for it, still renews its entry.
   bool HasLeft(Milliseconds heartbeat, Time directory_read_at, Time now) const;
 
  private:
   Time last_entry_{};
-  // How old the last entry was at most when it was seen.
+  // Upper bound on the age of the last entry when it was read.
   Duration entry_lag_{};
-  // When the worker leaves at the earliest, where it has announced that.
-  std::optional<Time> earliest_departure_;
-  // The last call found nobody, then.
+  // Where the worker has announced its departure: the earliest time of it.
+  std::optional<Time> departure_;
+  // When a connection was refused, if that was the outcome of the last call.
   std::optional<Time> refused_at_;
 };
 
--- a/src/libs/workload/eviction.cc
+++ b/src/libs/workload/eviction.cc
@@ -1,4 +1,4 @@
-// Choice among evictions by cost for each task gained.
+// Chooses evictions by cost for each task gained.
 #include "workload/eviction.h"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 std::vector<Eviction> CheapestEvictions(std::vector<Eviction> evictions,
                                         int64_t needed, double* cost) {
-  // A later eviction on a worker builds on the earlier ones, so its order
-  // there is kept: costs are made to rise along it.
+  // A later eviction on a worker depends on the earlier ones there, so their
+  // order is preserved: prices are made to rise along it.
   std::map<size_t, double> least;
   std::vector<std::pair<double, size_t>> order;
   for (size_t i = 0; i < evictions.size(); ++i) {
--- a/src/libs/workload/eviction.h
+++ b/src/libs/workload/eviction.h
@@ -1,4 +1,4 @@
-// Ways to gain room on workers by stopping runs, and the cheapest of them.
+// Ways to free capacity on workers by stopping runs, and the cheapest of them.
 #ifndef THORNPLANK_WORKLOAD_EVICTION_H_
 #define THORNPLANK_WORKLOAD_EVICTION_H_
 
@@ -10,17 +10,18 @@
 
 namespace thornplank {
 
-// Room for `gain` more tasks of a step, for the loss of some runs.
+// Frees capacity for `gain` more tasks of a step by stopping some runs.
 struct Eviction {
-  // An index of the caller's. Evictions of one worker build on those before.
+  // The caller's index of the worker. Each eviction of a worker depends on
+  // those before it in the list.
   size_t worker = 0;
   int64_t gain = 0;
   double cost = 0;
   std::vector<const TrackedRun*> victims;
 };
 
-// The cheapest evictions for `needed` tasks, with their cost together; empty
-// when all of them don't suffice.
+// Returns the cheapest evictions that free room for `needed` tasks, and their
+// total cost; empty when all of them together do not suffice.
 std::vector<Eviction> CheapestEvictions(std::vector<Eviction> evictions,
                                         int64_t needed, double* cost);
 
--- a/src/libs/workload/gang_placement.cc
+++ b/src/libs/workload/gang_placement.cc
@@ -1,4 +1,4 @@
-// Best fit over the slots of a rack, or of all.
+// Best fit over the slots of one rack or of all racks.
 #include "workload/gang_placement.h"
 
 #include <algorithm>
@@ -10,18 +10,17 @@
 namespace thornplank {
 namespace {
 
-// The best slots that hold all members together; nullopt when all of them
-// don't.
+// The best slots that hold all members together.
 struct GangFit {
   std::vector<Slot> slots;
   int64_t score = 0;
 };
 
-std::optional<GangFit> FitTogether(const OpenStep& step,
+std::optional<GangFit> FitTogether(const ReadyStep& step,
                                    std::vector<Slot> slots,
                                    int64_t empty_workers) {
   const auto members = static_cast<int64_t>(step.waiting.size());
-  std::sort(slots.begin(), slots.end(), HasLessScore);
+  std::sort(slots.begin(), slots.end(), HasLowerScore);
   GangFit fit;
   int64_t room = 0;
   for (const Slot& slot : slots) {
@@ -35,34 +34,34 @@
   return fit;
 }
 
-std::vector<JobLedger::Assignment> TakeAll(const OpenStep& step,
-                                           const ClusterRooms& rooms,
+std::vector<JobLedger::Assignment> TakeAll(const ReadyStep& step,
+                                           const ClusterCapacity& capacity,
                                            const std::vector<Slot>& slots) {
   std::vector<JobLedger::Assignment> chosen;
   for (const Slot& slot : slots) {
-    TakeSlot(step, rooms, slot, &chosen);
+    TakeSlot(step, capacity, slot, &chosen);
   }
   return chosen;
 }
 
 }  // namespace
 
-void TakeSlot(const OpenStep& step, const ClusterRooms& rooms, const Slot& slot,
-              std::vector<JobLedger::Assignment>* chosen) {
+void TakeSlot(const ReadyStep& step, const ClusterCapacity& capacity,
+              const Slot& slot, std::vector<JobLedger::Assignment>* chosen) {
   for (int64_t i = 0; i < slot.tasks; ++i) {
     if (chosen->size() == step.waiting.size()) return;
     const int index = step.waiting[chosen->size()];
-    chosen->push_back({index, rooms.room(slot.worker).tracker->id()});
+    chosen->push_back({index, capacity.worker(slot.worker).tracker->id()});
   }
 }
 
-std::vector<JobLedger::Assignment> PlaceOnOneRack(const OpenStep& step,
-                                                  const ClusterRooms& rooms,
-                                                  const FreePlaces& places) {
+std::vector<JobLedger::Assignment> PlaceOnOneRack(
+    const ReadyStep& step, const ClusterCapacity& capacity,
+    const FreePlaces& places) {
   const std::string& data_rack = step.spec->data_rack;
   std::map<std::string, std::vector<Slot>> racks;
   for (const Slot& slot : places.slots) {
-    const std::string& rack = rooms.room(slot.worker).worker().rack;
+    const std::string& rack = capacity.worker(slot.worker).entry().rack;
     if (places.near_only && rack != data_rack) continue;
     racks[rack].push_back(slot);
   }
@@ -71,26 +70,26 @@
     std::optional<GangFit> fit =
         FitTogether(step, std::move(slots), places.empty_workers);
     if (!fit) continue;
-    if (rack == data_rack) fit->score -= kFarPenalty;
+    if (rack == data_rack) fit->score -= kFarRackPenalty;
     if (best && fit->score >= best->score) continue;
     best = std::move(fit);
   }
   if (!best) return {};
-  return TakeAll(step, rooms, best->slots);
+  return TakeAll(step, capacity, best->slots);
 }
 
-std::vector<JobLedger::Assignment> PlaceOverRacks(const OpenStep& step,
-                                                  const ClusterRooms& rooms,
-                                                  const FreePlaces& places) {
+std::vector<JobLedger::Assignment> PlaceOverRacks(
+    const ReadyStep& step, const ClusterCapacity& capacity,
+    const FreePlaces& places) {
   std::vector<Slot> slots;
   for (const Slot& slot : places.slots) {
-    if (places.near_only && !rooms.IsNear(step, slot)) continue;
+    if (places.near_only && !capacity.IsNear(step, slot)) continue;
     slots.push_back(slot);
   }
   const std::optional<GangFit> fit =
       FitTogether(step, std::move(slots), places.empty_workers);
   if (!fit) return {};
-  return TakeAll(step, rooms, fit->slots);
+  return TakeAll(step, capacity, fit->slots);
 }
 
 }  // namespace thornplank
--- a/src/libs/workload/gang_placement.h
+++ b/src/libs/workload/gang_placement.h
@@ -1,37 +1,38 @@
-// Where the members of a gang go together.
+// Places the members of a gang together.
 #ifndef THORNPLANK_WORKLOAD_GANG_PLACEMENT_H_
 #define THORNPLANK_WORKLOAD_GANG_PLACEMENT_H_
 
 #include <vector>
 
-#include "workload/cluster_rooms.h"
+#include "workload/cluster_capacity.h"
 #include "workload/job_ledger.h"
-#include "workload/open_step.h"
+#include "workload/ready_step.h"
 
 namespace thornplank {
 
-// Takes what the slot has, as far as tasks are left.
-void TakeSlot(const OpenStep& step, const ClusterRooms& rooms, const Slot& slot,
-              std::vector<JobLedger::Assignment>* chosen);
+// Assigns waiting tasks of the step to the slot until either is exhausted.
+void TakeSlot(const ReadyStep& step, const ClusterCapacity& capacity,
+              const Slot& slot, std::vector<JobLedger::Assignment>* chosen);
 
-// What a placement has to choose from.
+// The slots a placement may choose from.
 struct FreePlaces {
   std::vector<Slot> slots;
-  // At most so many empty workers may be used.
+  // Upper bound on the empty workers that may be used.
   int64_t empty_workers = 0;
-  // On the data's rack alone.
+  // Whether only the rack of the step's data may be used.
   bool near_only = false;
 };
 
-// All members on one rack, the tightest fit. Empty when no rack has room now.
-std::vector<JobLedger::Assignment> PlaceOnOneRack(const OpenStep& step,
-                                                  const ClusterRooms& rooms,
-                                                  const FreePlaces& places);
+// Places all members on one rack, the one with the tightest fit. Empty when no
+// rack has room now.
+std::vector<JobLedger::Assignment> PlaceOnOneRack(
+    const ReadyStep& step, const ClusterCapacity& capacity,
+    const FreePlaces& places);
 
-// All members wherever they fit; empty when they don't.
-std::vector<JobLedger::Assignment> PlaceOverRacks(const OpenStep& step,
-                                                  const ClusterRooms& rooms,
-                                                  const FreePlaces& places);
+// Places all members on any racks; empty when they do not fit.
+std::vector<JobLedger::Assignment> PlaceOverRacks(
+    const ReadyStep& step, const ClusterCapacity& capacity,
+    const FreePlaces& places);
 
 }  // namespace thornplank
 
--- a/src/libs/workload/gang_review.cc
+++ b/src/libs/workload/gang_review.cc
@@ -1,4 +1,4 @@
-// Members of a gang against each other.
+// Compares the members of a gang with each other.
 #include "workload/gang_review.h"
 
 #include <algorithm>
@@ -7,12 +7,12 @@
 namespace thornplank {
 namespace {
 
-constexpr int kWholeWork = 100;
+constexpr int kDonePercent = 100;
 // A gang is moved when it would end this many times sooner elsewhere, the stops
-// and the starts included.
-constexpr int kMoveGain = 2;
+// and starts included.
+constexpr int kMinSpeedup = 2;
 
-// All members are known to run, and none is told to stop.
+// Whether the member is known to run and is not being stopped.
 bool IsAtWork(const TrackedRun& run) {
   return run.stage == RunStage::kRunning && !run.stop_wanted;
 }
@@ -49,58 +49,59 @@
       std::all_of(gang.begin(), gang.end(),
                   [](const Member& member) { return IsAtWork(*member.run); });
   if (!at_work) return "";
-  const Duration sound = speeds.NormalDuration(gang.front().run->task.step);
-  // It ends with its slowest member. Not known yet: it may end in time.
+  const Duration normal = speeds.NormalDuration(gang.front().run->task.step);
+  // The gang ends with its slowest member. Members whose remaining time is
+  // unknown are left out: they may end in time.
   Duration left = Duration::zero();
   for (const Member& member : gang) {
     const Duration own = member.run->remaining(now);
     if (own != Duration::max()) left = std::max(left, own);
   }
   for (const Member& member : gang) {
-    if (EndsWithWorker(member, left, now)) return "worker leaves";
-    if (sound == Duration::zero()) continue;
-    if (StandsStill(member, sound)) {
+    if (WorkerLeavesBefore(member, left, now)) return "worker leaves";
+    if (normal == Duration::zero()) continue;
+    if (IsStalled(member, normal)) {
       *stalled = &member;
       return "makes no progress";
     }
-    if (IsSlowForGood(member, sound, now)) return "slow worker";
+    if (IsPersistentlySlow(member, normal, now)) return "slow worker";
   }
   return "";
 }
 
-bool GangReview::EndsWithWorker(const Member& member, Duration left,
-                                Time now) const {
+bool GangReview::WorkerLeavesBefore(const Member& member, Duration left,
+                                    Time now) const {
   const std::optional<Time> earliest_departure =
       member.worker->earliest_departure();
   if (!earliest_departure) return false;
   if (!member.run->profile.checkpointable) {
-    return now + left > *earliest_departure + settings_.late_leave;
+    return now + left > *earliest_departure + settings_.departure_grace;
   }
-  // What it does until then is saved, and its room is nobody else's.
+  // Work until then is saved by a checkpoint, and nobody else may use the room.
   const Time last_stop = *earliest_departure - settings_.bounds.move_cost();
   return now >= last_stop && now + left > *earliest_departure;
 }
 
-bool GangReview::StandsStill(const Member& member, Duration sound) const {
+bool GangReview::IsStalled(const Member& member, Duration normal) const {
   const TrackedRun& run = *member.run;
-  if (run.percent >= kWholeWork) return false;
+  if (run.percent >= kDonePercent) return false;
   const auto share = std::chrono::duration_cast<Duration>(
-      sound * settings_.stall_share / member.worker->steady_speed());
-  const Duration bound = std::max<Duration>(share, settings_.least_stall);
-  return run.reported - run.progressed > bound;
+      normal * settings_.stall_share / member.worker->steady_speed());
+  const Duration bound = std::max<Duration>(share, settings_.min_stall_time);
+  return run.last_report - run.last_progress > bound;
 }
 
-bool GangReview::IsSlowForGood(const Member& member, Duration sound,
-                               Time now) const {
-  const std::optional<Time> since = member.worker->slow_since();
-  if (!since || now - *since < settings_.spell) return false;
+bool GangReview::IsPersistentlySlow(const Member& member, Duration normal,
+                                    Time now) const {
+  const std::optional<Time> slow_since = member.worker->slow_since();
+  if (!slow_since || now - *slow_since < settings_.slow_period) return false;
   const Duration left = member.run->remaining(now);
   if (left == Duration::max()) return false;
-  Duration elsewhere = sound;
+  Duration elsewhere = normal;
   if (member.run->profile.checkpointable) {
-    elsewhere = sound * (kWholeWork - member.run->percent) / kWholeWork;
+    elsewhere = normal * (kDonePercent - member.run->percent) / kDonePercent;
   }
-  return left > elsewhere * kMoveGain + settings_.bounds.move_cost();
+  return left > elsewhere * kMinSpeedup + settings_.bounds.move_cost();
 }
 
 }  // namespace thornplank
--- a/src/libs/workload/gang_review.h
+++ b/src/libs/workload/gang_review.h
@@ -1,8 +1,9 @@
-// Which gangs should stop, for what their members or the members' workers show.
+// Decides which gangs should stop because of the progress of their members or
+// the state of the workers.
 //
-// A gang runs, is saved, and ends as a whole, so it is judged as a whole: its
-// slowest member decides when it ends, and all that it has done counts when it
-// is to begin anew. When it stops, all members stop at one moment.
+// A gang runs, is checkpointed and ends as a whole, so it is judged as a whole:
+// its slowest member decides when it ends, and the work of all members is at
+// stake when it is restarted. When it stops, all members stop at the same time.
 #ifndef THORNPLANK_WORKLOAD_GANG_REVIEW_H_
 #define THORNPLANK_WORKLOAD_GANG_REVIEW_H_
 
@@ -19,21 +20,21 @@
 
 struct GangReviewSettings {
   WorkerBounds bounds;
-  // A member stands still when it does nothing for as long as others need for
-  // this share of the gang's work. One that is slowed tenfold does 3% of it
-  // meanwhile.
+  // A member is stalled when it makes no progress for the time in which a
+  // healthy worker does this share of the gang's work. A member that is slowed
+  // tenfold does 3% of it in that time.
   double stall_share = 0.3;
-  // But no sooner: progress is told in whole percents, and members begin a
-  // little apart.
-  Milliseconds least_stall{1000};
-  // Workers leave a little later than they announce. A gang that saves nothing
-  // is stopped at once if it would not be done even so: its members would work
-  // on for nothing, and it would begin elsewhere only when the worker is gone.
-  Milliseconds late_leave{500};
-  // A gang on a slow worker begins anew elsewhere only when the worker has been
-  // slow for longer than a spell of slowness lasts. Sooner it would throw away
-  // what all members have done, and mostly be no earlier.
-  std::chrono::seconds spell{8};
+  // Lower bound on the time above: progress is reported in whole percents, and
+  // members do not start at exactly the same time.
+  Milliseconds min_stall_time{1000};
+  // Workers leave a little later than they announce. A gang without checkpoints
+  // is stopped at once if it would not finish even by then: its work would be
+  // lost, and it would restart elsewhere only after the worker has gone.
+  Milliseconds departure_grace{500};
+  // A gang on a slow worker is restarted elsewhere only when the worker has
+  // been slow for longer than temporary slowness lasts. An earlier restart
+  // would lose the work of all members and mostly finish no sooner.
+  std::chrono::seconds slow_period{8};
 };
 
 // A member that should stop.
@@ -42,7 +43,7 @@
   TaskRef task;
   int run = 0;
   std::string reason;
-  // Its worker let it stand still.
+  // The member made no progress, which counts against its worker.
   bool stalled = false;
 };
 
@@ -61,14 +62,16 @@
   };
   using Gang = std::vector<Member>;
 
-  // "" when it should go on; else `stalled` gets the member that stands still,
-  // if one does.
+  // Empty when the gang should continue. Otherwise `*stalled` is set to the
+  // member that makes no progress, if there is one.
   std::string ReasonToStop(const Gang& gang, const SpeedEstimator& speeds,
                            Time now, const Member** stalled) const;
-  // The member's worker leaves before the gang has `left` done.
-  bool EndsWithWorker(const Member& member, Duration left, Time now) const;
-  bool StandsStill(const Member& member, Duration sound) const;
-  bool IsSlowForGood(const Member& member, Duration sound, Time now) const;
+  // Whether the member's worker leaves before the gang, which needs another
+  // `left`, ends.
+  bool WorkerLeavesBefore(const Member& member, Duration left, Time now) const;
+  bool IsStalled(const Member& member, Duration normal) const;
+  bool IsPersistentlySlow(const Member& member, Duration normal,
+                          Time now) const;
 
   const GangReviewSettings settings_;
 };
--- a/src/libs/workload/job_definition.cc
+++ b/src/libs/workload/job_definition.cc
@@ -1,4 +1,4 @@
-// Checks on a job, and its stored form.
+// Validation of a job, and its stored form.
 #include "workload/job_definition.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 constexpr size_t kJobIdDigits = 16;
 constexpr int64_t kMaxResource = int64_t{1} << 40;
-// Resets on every incompatible change of the stored form.
+// Changes with every incompatible change of the stored form.
 constexpr int kFormat = 1;
 
 bool InRange(int64_t value) { return value >= 0 && value <= kMaxResource; }
@@ -71,7 +71,7 @@
   step.image = row.at(at++).get<std::string>();
   step.max_per_worker = row.at(at++).get<int>();
   step.max_unavailable = row.at(at++).get<int>();
-  // Records of before there were targets end here.
+  // Records without a latency target end here.
   if (row.size() > at) {
     step.tail_latency_target = Milliseconds(row.at(at).get<int64_t>());
   }
@@ -112,12 +112,13 @@
   for (const Json& row : record.at(at++)) {
     job.steps.push_back(DecodeStep(row));
   }
-  // Records of before there was advice end here.
+  // Records without advice terms end here.
   if (record.size() > at) job.policy.advice = DecodeAdvice(record.at(at));
   return job;
 }
 
-// The shortest time in which the job can run, going by the caller's estimates.
+// The shortest time in which the job can run, according to the caller's
+// estimates.
 Milliseconds LongestChain(const JobDefinition& spec) {
   std::vector<Milliseconds> ends;
   Milliseconds longest{0};
@@ -200,7 +201,8 @@
 std::optional<JobDefinition> DecodeJob(std::string_view bytes, Error* error) {
   const Json record = ParseCbor(bytes).value_or(Json());
   if (record.is_array() && !record.empty() && record[0] == kFormat) {
-    // Wrong types throw inside the library; none leaves this function.
+    // The JSON library throws on wrong types; no exception leaves this
+    // function.
     try {
       JobDefinition job = DecodeFields(record);
       std::string reason;
--- a/src/libs/workload/job_definition.h
+++ b/src/libs/workload/job_definition.h
@@ -1,4 +1,5 @@
-// What a caller asks for: a job of steps, each a number of equal tasks.
+// The definition of a job: steps, each of a number of equal tasks, and the
+// policy of its queue.
 #ifndef THORNPLANK_WORKLOAD_JOB_DEFINITION_H_
 #define THORNPLANK_WORKLOAD_JOB_DEFINITION_H_
 
@@ -14,7 +15,7 @@
 
 namespace thornplank {
 
-// Bounds on one job, so that no caller can make the scheduler's tables large.
+// Limits for one job, so that no caller can make the scheduler's tables large.
 inline constexpr int kMaxSteps = 64;
 inline constexpr int kMaxTasksPerStep = 4096;
 inline constexpr int kMaxTasksPerJob = 8192;
@@ -23,37 +24,40 @@
 
 struct StepSpec {
   int count = 1;
-  // Of one task.
+  // Resources of one task.
   Resources need;
-  // The caller's guess; may be off by a factor of two and more.
+  // The caller's estimate of a task's run time; may be wrong by a factor of two
+  // or more.
   Milliseconds estimate{0};
-  // Indices of earlier steps, all tasks of which must be done first.
+  // Indices of earlier steps, all of whose tasks must be done first.
   std::vector<int> depends_on;
   bool checkpointable = false;
-  // All tasks run at the same time, or none.
+  // All tasks run at the same time, or none of them.
   bool gang = false;
   bool same_rack = false;
   bool speculative = false;
-  // Runs until the job is cancelled; restarted however it ends.
+  // Runs until the job is cancelled; restarted however a run ends.
   bool long_running = false;
-  // Its cores are not reserved: it uses what the others leave idle.
+  // Filler tasks: no cores are reserved for them, they use what other tasks
+  // leave idle.
   bool is_filler = false;
   std::string required_label;
   std::string data_rack;
   std::string image;
-  // 0: no bound.
+  // 0: no limit.
   int max_per_worker = 0;
-  // How many tasks of a long-running step the scheduler may take down at once.
+  // Number of tasks of a long-running step that the scheduler may stop at the
+  // same time.
   int max_unavailable = 0;
-  // The tasks serve users of their own, and the tail of their answers must stay
-  // below this; zero for tasks that don't.
+  // Target for the tail latency of tasks that answer requests; zero for other
+  // tasks.
   Milliseconds tail_latency_target{0};
 };
 
-// An outside service must approve the workers that run a step. What it takes,
-// and how long its word holds.
+// Terms of an external advice service that must approve the workers for a step:
+// how long its decisions take and how long they are valid.
 struct AdviceTerms {
-  // For one question, and more for each worker named in it.
+  // Time for one query, and additional time for each worker named in it.
   Milliseconds query_time{0};
   Milliseconds time_per_worker{0};
   Milliseconds validity{0};
@@ -63,25 +67,26 @@
 struct QueuePolicy {
   std::string queue;
   std::string service;
-  // 0 comes first and may preempt the others.
+  // 0 is the highest priority and may preempt the others.
   int priority = 0;
-  // Failed runs of a task after which its job has failed.
+  // The job fails after this many failed runs of a task.
   int max_attempts = 1;
-  // A job should end within stretch times its longest chain, and `slack`.
+  // A job should end within `stretch` times the length of its critical path,
+  // plus `slack`.
   double stretch = 1;
   Milliseconds slack{0};
-  // Without it any worker of the service may run any step.
+  // Without it, any worker of the service may run any step.
   std::optional<AdviceTerms> advice;
 };
 
 struct JobDefinition {
   std::string id;
   std::string account;
-  // Passed to the tasks as it is.
+  // Passed to the tasks unchanged.
   std::string payload;
   std::vector<StepSpec> steps;
   QueuePolicy policy;
-  // 0: the steps run once, now. Else they run `occurrences` times, the first
+  // 0: the steps run once, now. Otherwise they run `occurrences` times, first
   // at `first_start`, then every `interval`.
   int occurrences = 0;
   WallTime first_start{};
@@ -94,20 +99,20 @@
   WallTime due(int occurrence) const {
     return first_start + interval * occurrence;
   }
-  // From when on it may run.
+  // The earliest time at which the occurrence may start.
   WallTime earliest_start(int occurrence) const {
     return scheduled() ? due(occurrence) : accepted;
   }
-  // How long it may take from there on to be in time, going by the caller's
-  // estimates.
+  // How long an occurrence may take from earliest_start() on to be in time,
+  // according to the caller's estimates.
   Milliseconds objective() const;
 };
 
-// Sixteen hexadecimal digits.
+// True for sixteen hexadecimal digits.
 bool IsJobId(std::string_view text);
 
-// Whether every bound holds and steps depend on earlier ones only; the reason
-// is for the caller.
+// Whether all limits are respected and steps depend on earlier ones only;
+// otherwise `*reason` says why not, for the caller.
 bool IsValidJob(const JobDefinition& job, std::string* reason);
 
 // The stored form (CBOR).
--- a/src/libs/workload/job_ledger.cc
+++ b/src/libs/workload/job_ledger.cc
@@ -1,4 +1,4 @@
-// Transitions of jobs, steps and tasks.
+// State transitions of jobs, steps and tasks.
 #include "workload/job_ledger.h"
 
 #include <algorithm>
@@ -16,9 +16,10 @@
     {JobState::kCancelled, "cancelled"},
 }};
 
-// What the end of a run tells of its task: nothing where it never began.
-void NoteCrash(RunEnd end, const LostRun& lost, const StepSpec& step,
-               CrashRecord* crashes) {
+// Records what the end of a run shows about crashes of its task; a run that
+// never began shows nothing.
+void RecordCrash(RunEnd end, const LostRun& lost, const StepSpec& step,
+                 CrashRecord* crashes) {
   if (end == RunEnd::kLost) return;
   const bool with_worker =
       end == RunEnd::kWorkerCrashed || end == RunEnd::kWorkerSilent;
@@ -52,9 +53,9 @@
   job = std::make_unique<Job>();
   job->spec = spec;
   job->occurrences = EmptyProgress(spec);
-  job->open_steps =
+  job->unfinished_steps =
       static_cast<int>(spec.steps.size()) * spec.occurrence_count();
-  job->known_since = now;
+  job->added_at = now;
   return *job;
 }
 
@@ -115,7 +116,7 @@
   *present = std::move(progress);
   Job* job = Find(ref.job);
   if (present->done == static_cast<int>(present->tasks.size())) {
-    --job->open_steps;
+    --job->unfinished_steps;
   }
   if (present->active() + present->done > 0 &&
       job->state == JobState::kQueued) {
@@ -127,11 +128,11 @@
   int failures = spec.long_running ? 0 : present->gang_failures;
   for (size_t i = 0; i < present->tasks.size(); ++i) {
     const TaskStatus& task = present->tasks[i];
-    JudgeTask({ref, static_cast<int>(i)}, job, task);
+    FailJobIfGivenUp({ref, static_cast<int>(i)}, job, task);
     if (!spec.long_running) failures = std::max(failures, task.failures);
   }
   if (failures >= attempts) Fail(job, FailedOften(ref, failures));
-  if (job->open_steps == 0) SetState(job, JobState::kCompleted);
+  if (job->unfinished_steps == 0) SetState(job, JobState::kCompleted);
   return true;
 }
 
@@ -141,7 +142,7 @@
   const StepSpec& spec = *FindStepSpec(ref.step);
   if (ref.block >= BlockCount(spec)) return false;
   TaskRange range = TasksOfBlock(spec, ref.block);
-  // Entries that kept a step in one record left all its tasks in the first.
+  // Older entries stored all tasks of a step in its first block.
   const bool whole = ref.block == 0 &&
                      static_cast<int>(block.tasks.size()) == spec.count &&
                      range.count < spec.count;
@@ -235,8 +236,8 @@
     return true;
   }
   SetPhase(progress, task, TaskPhase::kWaiting);
-  NoteCrash(end, lost, spec, &task->crashes);
-  JudgeTask(ref, job, *task);
+  RecordCrash(end, lost, spec, &task->crashes);
+  FailJobIfGivenUp(ref, job, *task);
   if (end != RunEnd::kFailed || spec.long_running) return true;
   int failures = ++task->failures;
   if (spec.gang) {
@@ -250,8 +251,8 @@
   return true;
 }
 
-void JobLedger::JudgeTask(const TaskRef& ref, Job* job,
-                          const TaskStatus& task) {
+void JobLedger::FailJobIfGivenUp(const TaskRef& ref, Job* job,
+                                 const TaskStatus& task) {
   if (task.phase == TaskPhase::kDone || !task.crashes.ShouldGiveUp()) return;
   Fail(job,
        "task " + ref.ToString() + " was given up: " + task.crashes.ToText());
@@ -274,7 +275,7 @@
   task.checkpoint = checkpoint;
   const StepSpec* spec = FindStepSpec(ref.step);
   if (!spec->gang) return;
-  // A checkpoint of any member holds for the whole gang.
+  // A checkpoint of any member is valid for the whole gang.
   for (TaskStatus& member : progress->tasks) {
     member.checkpoint = checkpoint;
   }
@@ -315,8 +316,8 @@
 void JobLedger::OnTaskDone(Job* job, StepProgress* progress, TaskStatus* task) {
   SetPhase(progress, task, TaskPhase::kDone);
   if (progress->done < static_cast<int>(progress->tasks.size())) return;
-  --job->open_steps;
-  if (job->open_steps == 0 && !IsTerminal(job->state)) {
+  --job->unfinished_steps;
+  if (job->unfinished_steps == 0 && !IsTerminal(job->state)) {
     SetState(job, JobState::kCompleted);
   }
 }
--- a/src/libs/workload/job_ledger.h
+++ b/src/libs/workload/job_ledger.h
@@ -1,8 +1,9 @@
-// Every job that the coordinator knows, with the state of each task.
+// All jobs known to the coordinator, with the state of each task.
 //
-// The ledger holds facts, not intentions: which run of a task is out on which
+// The ledger records facts, not intentions: which run of a task is on which
 // worker, how runs ended, what was checkpointed. It reads no clock and does no
-// I/O; what changed since the last call is listed as dirty, to be stored.
+// I/O; blocks and jobs that have changed since the last call are collected for
+// the caller to store. Not thread-safe.
 #ifndef THORNPLANK_WORKLOAD_JOB_LEDGER_H_
 #define THORNPLANK_WORKLOAD_JOB_LEDGER_H_
 
@@ -33,31 +34,32 @@
 
 enum class RunEnd {
   kDone,
-  // By its own fault or the worker's.
+  // Through a fault of its own or of the worker.
   kFailed,
-  // By an order of ours.
+  // By an order of the coordinator.
   kStopped,
   kLeaseLapsed,
   // Another member of the gang ended.
   kGangBroken,
-  // Waited in vain for the other members.
+  // The other members did not start in time.
   kGangIncomplete,
-  // Proved not to run: never begun, or not there any more.
+  // Known not to run: it never began or is no longer there.
   kLost,
   // Its worker left as announced.
   kWorkerLeft,
-  // Its worker's life ended without notice.
+  // Its worker's incarnation ended without notice.
   kWorkerCrashed,
-  // Nothing was heard of its worker until the leases there had ended.
+  // Its worker was silent until all leases there had expired.
   kWorkerSilent,
 };
 
 struct StepProgress {
   std::vector<TaskStatus> tasks;
-  // Of a gang: runs of the whole gang that have failed, and the last of them.
+  // Of a gang: the number of failed runs of the whole gang, and the last such
+  // run.
   int gang_failures = 0;
   int last_failed_run = 0;
-  // Invariant: the number of tasks in each phase.
+  // Invariant: the number of tasks in the phase.
   int waiting = 0;
   int done = 0;
 
@@ -67,19 +69,19 @@
 struct Job {
   JobDefinition spec;
   JobState state = JobState::kQueued;
-  // Where it has failed: why, for callers and operators.
+  // Where it has failed: the reason, for callers and operators.
   std::string failure;
   // By occurrence, then by step.
   std::vector<std::vector<StepProgress>> occurrences;
-  // Steps that are not all done, over all occurrences.
-  int open_steps = 0;
-  // When this process heard of it.
-  Time known_since{};
+  // Steps with unfinished tasks, over all occurrences.
+  int unfinished_steps = 0;
+  // When it was added to this process's ledger.
+  Time added_at{};
 };
 
 class JobLedger {
  public:
-  // Takes a job in, or returns the one that is there.
+  // Adds a job, or returns the one that is already there.
   Job& Add(const JobDefinition& spec, Time now);
   void Remove(const std::string& job);
   Job* Find(const std::string& job);
@@ -88,15 +90,16 @@
     return jobs_;
   }
 
-  // Puts a stored step back; unknown steps and sizes that differ are refused.
+  // Restores the progress of a step from storage; returns false for unknown
+  // steps and blocks of a different size.
   bool Restore(const StepRef& ref, const ProgressBlocks& blocks);
 
-  // A caller took the job back. False when it had ended before.
+  // Cancels the job for its caller. Returns false if it had already ended.
   bool Cancel(const std::string& job);
-  // Takes over an end that was published before.
+  // Adopts a final state that was published earlier.
   void AdoptFinalState(const std::string& job, JobState state);
 
-  // Marks the tasks of one start as active on their workers, all with the same
+  // Marks the tasks of one start as active on their workers. All get the same
   // run number, which is returned.
   struct Assignment {
     int index = 0;
@@ -105,13 +108,13 @@
   int RecordStart(const StepRef& ref,
                   const std::vector<Assignment>& assignments);
 
-  // An end of `run`. Ends of other runs change nothing, but that a done run
-  // counts whenever it comes. `lost` tells of a run that ended with its worker.
-  // True when it was taken.
+  // Records the end of `run`. Ends of other runs are ignored, except that a
+  // completed run counts whenever its end arrives. `lost` describes a run that
+  // ended with its worker. Returns true if the end was accepted.
   bool RecordRunEnd(const TaskRef& ref, int run, RunEnd end,
                     const std::string& checkpoint,
                     const LostRun& lost = LostRun());
-  // A checkpoint seen in a report of a run that goes on.
+  // Records a checkpoint reported by a run that continues.
   void RecordCheckpoint(const TaskRef& ref, int run,
                         const std::string& checkpoint);
 
@@ -123,22 +126,24 @@
   // Whether all steps that this one depends on are done.
   static bool IsReady(const Job& job, int occurrence, int step);
 
-  // What is to be stored of a block; nullopt for one that does not exist.
+  // The content of a block, as it is to be stored; nullopt for one that does
+  // not exist.
   std::optional<ProgressBlock> FindBlock(const ProgressBlockRef& ref) const;
 
-  // Blocks to be stored, and jobs whose state has changed, since the last call.
+  // Return the blocks to be stored, and the jobs whose state has changed, since
+  // the last call.
   std::set<ProgressBlockRef> TakeDirtyBlocks();
   std::set<std::string> TakeChangedJobs();
 
  private:
   void SetPhase(StepProgress* progress, TaskStatus* task, TaskPhase phase);
   void OnTaskDone(Job* job, StepProgress* progress, TaskStatus* task);
-  // Fails the job for its task, if that must not be started again.
-  void JudgeTask(const TaskRef& ref, Job* job, const TaskStatus& task);
+  // Fails the job if the task must not be started again.
+  void FailJobIfGivenUp(const TaskRef& ref, Job* job, const TaskStatus& task);
   void Fail(Job* job, std::string reason);
   void SetState(Job* job, JobState state);
   void MarkDirty(const StepSpec& spec, const TaskRef& ref);
-  // Copies one stored block; false where its size is another.
+  // Copies one stored block; returns false if its size differs.
   bool RestoreBlock(const ProgressBlockRef& ref, const ProgressBlock& block,
                     StepProgress* progress);
 
@@ -147,7 +152,7 @@
   std::set<std::string> changed_jobs_;
 };
 
-// Short texts for logs and records.
+// Short texts for logs and stored records.
 std::string_view ToText(JobState state);
 std::optional<JobState> JobStateFromText(std::string_view text);
 std::string_view ToText(RunEnd end);
--- a/src/libs/workload/pace_control.cc
+++ b/src/libs/workload/pace_control.cc
@@ -1,4 +1,4 @@
-// Falls by factors, rises by steps.
+// Multiplicative decrease, additive increase.
 #include "workload/pace_control.h"
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr int kSteepDivisor = 4;
-// Two thirds are left.
+// The gentle decrease leaves two thirds.
 constexpr int kGentleNumerator = 2;
 constexpr int kGentleDivisor = 3;
-// Slower than this they gain little and disturb still.
-constexpr int kLeastPace = 5;
+// At a lower pace they gain little and still disturb.
+constexpr int kMinPace = 5;
 
-// The worst tail against its target; 0 without one.
+// The largest ratio of a tail latency to its target; 0 without targets.
 double WorstRatio(const std::vector<ServingTail>& serving) {
   double worst = 0;
   for (const ServingTail& task : serving) {
@@ -28,19 +28,19 @@
 
 void PaceControl::Observe(const std::vector<ServingTail>& serving, Time now) {
   const double worst = WorstRatio(serving);
-  if (worst >= settings_.rise_below) unquiet_ = now;
+  if (worst >= settings_.rise_below) last_disturbance_ = now;
   int pace = pace_;
   if (worst > settings_.steep_above) {
     pace = pace_ / kSteepDivisor;
   } else if (worst > settings_.gentle_above) {
     pace = pace_ * kGentleNumerator / kGentleDivisor;
-  } else if (now - unquiet_ >= settings_.calm) {
+  } else if (now - last_disturbance_ >= settings_.calm_time) {
     pace = std::min(pace_ + settings_.rise, kFullPace);
   }
-  if (pace < pace_ && pace < kLeastPace) pace = 0;
+  if (pace < pace_ && pace < kMinPace) pace = 0;
   if (pace == pace_) return;
   pace_ = pace;
-  unquiet_ = now;
+  last_disturbance_ = now;
 }
 
 }  // namespace thornplank
--- a/src/libs/workload/planner.cc
+++ b/src/libs/workload/planner.cc
@@ -1,23 +1,24 @@
-// One round of placement.
+// One planning round.
 #include "workload/planner.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-#include "workload/cluster_rooms.h"
+#include "workload/cluster_capacity.h"
 #include "workload/gang_placement.h"
-#include "workload/open_step.h"
-#include "workload/room_reclaim.h"
+#include "workload/ready_step.h"
+#include "workload/victim_selection.h"
 #include "workload/waiting_demand.h"
 
 namespace thornplank {
 namespace {
 
-// Below this use, no start keeps anybody else waiting.
+// With a smaller share in use, no start delays another step.
 constexpr double kIdleShare = 0.45;
-// Above this use steps give way to those before them in line. A job of which
-// nothing runs, while less than half of its service is in use, is not served.
+// With a larger share in use, steps yield to steps of higher priority. A job
+// with no active task while less than half of its service is in use counts as
+// not served.
 constexpr double kCrowdedShare = 0.5;
 
 }  // namespace
@@ -27,16 +28,16 @@
   Round(Planner* planner, const PlanInputs& inputs)
       : planner_(*planner),
         inputs_(inputs),
-        rooms_(*inputs.workers, inputs.advice, inputs.now) {}
+        capacity_(*inputs.workers, inputs.advice, inputs.now) {}
 
   Plan Run() {
     for (const auto& [ref, reservation] : planner_.reservations_) {
-      rooms_.Keep(reservation);
+      capacity_.Reserve(reservation);
     }
-    steps_ = CollectOpenSteps(*inputs_.ledger, inputs_.wall_now);
-    NoteUrgentSteps();
-    DropReservations();
-    for (const OpenStep& step : steps_) {
+    steps_ = CollectReadySteps(*inputs_.ledger, inputs_.wall_now);
+    RecordUrgentSteps();
+    ReleaseExpiredReservations();
+    for (const ReadyStep& step : steps_) {
       PlaceStep(step);
     }
     return std::move(plan_);
@@ -45,8 +46,8 @@
  private:
   using Assignments = std::vector<JobLedger::Assignment>;
 
-  void NoteUrgentSteps() {
-    for (const OpenStep& step : steps_) {
+  void RecordUrgentSteps() {
+    for (const ReadyStep& step : steps_) {
       if (!step.urgent()) continue;
       planner_.last_urgent_[step.service()] = inputs_.now;
       urgent_demand_[step.job->spec.account] +=
@@ -55,159 +56,164 @@
     }
   }
 
-  void DropReservations() {
-    std::set<StepRef> open;
-    for (const OpenStep& step : steps_) {
-      open.insert(step.ref);
+  void ReleaseExpiredReservations() {
+    std::set<StepRef> ready;
+    for (const ReadyStep& step : steps_) {
+      ready.insert(step.ref);
     }
     auto& reservations = planner_.reservations_;
     for (auto it = reservations.begin(); it != reservations.end();) {
       const auto current = it++;
-      const bool kept =
-          open.count(current->first) > 0 && current->second.until > inputs_.now;
-      if (kept) continue;
-      rooms_.GiveBack(current->second);
+      const bool still_valid = ready.count(current->first) > 0 &&
+                               current->second.until > inputs_.now;
+      if (still_valid) continue;
+      capacity_.Release(current->second);
       reservations.erase(current);
     }
   }
 
-  void PlaceStep(const OpenStep& step) {
+  void PlaceStep(const ReadyStep& step) {
     auto& reservations = planner_.reservations_;
     const auto own = reservations.find(step.ref);
-    if (own != reservations.end()) rooms_.GiveBack(own->second);
+    if (own != reservations.end()) capacity_.Release(own->second);
     WaitReason reason = WaitReason::kNoRoom;
     const bool placed = step.spec->gang ? PlaceGang(step, &reason)
-                                        : PlaceSingles(step, &reason);
+                                        : PlaceSingleTasks(step, &reason);
     if (own != reservations.end()) {
       if (placed) {
         plan_.starts.back().preempted_at = own->second.made;
         reservations.erase(own);
       } else {
-        rooms_.Keep(own->second);
-        reason = WaitReason::kRoomIsMade;
+        capacity_.Reserve(own->second);
+        reason = WaitReason::kPreempting;
       }
-    } else if (!placed && step.urgent() && MakeRoom(step)) {
-      reason = WaitReason::kRoomIsMade;
+    } else if (!placed && step.urgent() && PreemptFor(step)) {
+      reason = WaitReason::kPreempting;
     }
     if (placed) return;
-    Wait(step, reason);
-    NoteDemand(step);
+    AddWait(step, reason);
+    RecordWaitingDemand(step);
   }
 
-  // Only gangs need much room at one moment. That of a step for which room was
-  // taken from others is kept already.
-  void NoteDemand(const OpenStep& step) {
+  // Only gangs need much capacity at one moment. Capacity for a step that
+  // evicted others is reserved already.
+  void RecordWaitingDemand(const ReadyStep& step) {
     if (!step.spec->gang) return;
     if (planner_.reservations_.count(step.ref) > 0) return;
-    if (step.worthless) return;
+    if (step.expired) return;
     waiting_demand_.Add(step.service(), step.priority(),
                         ReservedFor(*step.spec),
                         static_cast<int64_t>(step.waiting.size()));
   }
 
-  void Wait(const OpenStep& step, WaitReason reason) {
+  void AddWait(const ReadyStep& step, WaitReason reason) {
     WaitDecision wait{step.ref, reason, {}};
-    if (rooms_.usable_workers(step.service()) == 0) {
+    if (capacity_.usable_workers(step.service()) == 0) {
       wait.reason = WaitReason::kNoUsableWorker;
       plan_.waits.push_back(std::move(wait));
       return;
     }
     const bool advised = step.job->spec.policy.advice.has_value();
-    if (advised && reason != WaitReason::kRoomIsMade) {
-      wait.reason = WaitReason::kNoAdvice;
-      wait.candidates = rooms_.CandidatesForAdvice(step);
+    if (advised && reason != WaitReason::kPreempting) {
+      wait.reason = WaitReason::kNoRoomOnApprovedWorkers;
+      wait.candidates = capacity_.CandidatesForAdvice(step);
     }
     plan_.waits.push_back(std::move(wait));
   }
 
-  // Whether the step has waited long enough to run away from its data, or over
-  // several racks. There it takes several times the room, and ends late: others
-  // wait for that room. So this is for an idle cluster, and for guaranteed
-  // work, which must begin in time.
-  bool MayLeaveRack(const OpenStep& step) const {
+  // Whether the step has waited long enough to run away from its data or over
+  // several racks. There it takes several times as long and blocks others
+  // meanwhile. So this is only for an idle cluster, and for guaranteed work,
+  // which must start in time.
+  bool MayLeaveRack(const ReadyStep& step) const {
     const auto waited = std::chrono::duration_cast<Milliseconds>(
-        inputs_.now - step.job->known_since);
+        inputs_.now - step.job->added_at);
     if (step.urgent() && IsGuaranteed(step)) {
       return waited > planner_.settings_.bounds.urgent_rack_wait();
     }
-    return waited > planner_.settings_.rack_patience &&
-           rooms_.UsedShare(step.service()) < kIdleShare;
+    return waited > planner_.settings_.rack_wait &&
+           capacity_.UsedShare(step.service()) < kIdleShare;
   }
 
-  // Whether all that the account's urgent jobs need lies within its guarantee.
-  bool IsGuaranteed(const OpenStep& step) const {
+  // Whether the total need of the account's urgent jobs is within its
+  // guarantee.
+  bool IsGuaranteed(const ReadyStep& step) const {
     const std::string& account = step.job->spec.account;
     const auto guarantee = inputs_.guarantees->find(account);
     if (guarantee == inputs_.guarantees->end()) return false;
     const int64_t needed =
-        rooms_.UrgentUse(account) + urgent_demand_.at(account);
+        capacity_.UrgentAccelerators(account) + urgent_demand_.at(account);
     return needed <= guarantee->second;
   }
 
-  bool IsBoundToData(const OpenStep& step) const {
+  bool IsBoundToData(const ReadyStep& step) const {
     return !step.spec->data_rack.empty() && !MayLeaveRack(step);
   }
 
-  // Workers kept empty for urgent jobs to come.
-  int64_t Headroom(const OpenStep& step) const {
+  // Number of workers to leave empty for urgent jobs to come.
+  int64_t Headroom(const ReadyStep& step) const {
     if (step.urgent()) return 0;
     if (!planner_.ExpectsUrgent(step.service(), inputs_.now)) return 0;
     return static_cast<int64_t>(
         planner_.settings_.headroom *
-        static_cast<double>(rooms_.usable_workers(step.service())));
+        static_cast<double>(capacity_.usable_workers(step.service())));
   }
 
-  FreePlaces PlacesFor(const OpenStep& step) const {
+  FreePlaces PlacesFor(const ReadyStep& step) const {
     FreePlaces places;
-    places.slots = rooms_.FreeSlots(step);
-    places.empty_workers = rooms_.EmptyWorkers(step.service()) - Headroom(step);
+    places.slots = capacity_.FreeSlots(step);
+    places.empty_workers =
+        capacity_.EmptyWorkers(step.service()) - Headroom(step);
     places.near_only = IsBoundToData(step);
     return places;
   }
 
-  // How many tasks of the step may start beside what steps of higher priority
-  // wait for. Small tasks fit into every gap as it opens, so that a gang would
-  // see room at one moment never.
-  int64_t AllowedTasks(const OpenStep& step) const {
+  // How many tasks of the step may start without delaying steps of higher
+  // priority. Small tasks fit into every gap as it opens, so without this limit
+  // a gang would never find enough room at one moment.
+  int64_t AllowedTasks(const ReadyStep& step) const {
     const auto waiting = static_cast<int64_t>(step.waiting.size());
-    // Where most is idle, it is not these that keep others waiting.
+    // While most of the capacity is idle, these tasks are not what others wait
+    // for.
     const std::string& service = step.service();
-    if (step.urgent() || rooms_.UsedShare(service) < kCrowdedShare) {
+    if (step.urgent() || capacity_.UsedShare(service) < kCrowdedShare) {
       return waiting;
     }
-    // Which resource the half is of is not said; a gang is all or nothing.
-    const bool idle = rooms_.LeastUsedShare(service) < kCrowdedShare;
+    // The rule about jobs that are not served does not name the resource, so
+    // the less used one decides for gangs, which start whole or not at all.
+    const bool idle = capacity_.LowestUsedShare(service) < kCrowdedShare;
     if (step.spec->gang && idle) return waiting;
     const PlannerSettings& settings = planner_.settings_;
-    const Resources all = rooms_.Capacity(service);
-    Resources kept = Least(waiting_demand_.Before(service, step.priority()),
-                           ShareOf(all, settings.most_kept));
-    if (kept.IsNothing()) return waiting;
+    const Resources all = capacity_.TotalCapacity(service);
+    Resources reserved = ElementwiseMin(
+        waiting_demand_.OfHigherPriority(service, step.priority()),
+        ShareOf(all, settings.max_reserved_share));
+    if (reserved.IsZero()) return waiting;
     if (planner_.ExpectsUrgent(service, inputs_.now)) {
-      kept += ShareOf(all, settings.headroom);
+      reserved += ShareOf(all, settings.headroom);
     }
     const int64_t allowed =
         ReservedFor(*step.spec)
-            .TimesIn(rooms_.FreeRoom(service) - kept, waiting);
-    // Any job goes on with one task at a time at least, where that fits.
-    if (allowed <= 0 && !step.spec->gang && !step.job_runs()) return 1;
+            .TimesIn(capacity_.FreeCapacity(service) - reserved, waiting);
+    // Every job may run at least one task at a time, if it fits.
+    if (allowed <= 0 && !step.spec->gang && !step.job_is_active()) return 1;
     return allowed;
   }
 
-  bool PlaceSingles(const OpenStep& step, WaitReason* reason) {
+  bool PlaceSingleTasks(const ReadyStep& step, WaitReason* reason) {
     const int64_t allowed = AllowedTasks(step);
     if (allowed <= 0) {
-      *reason = WaitReason::kOthersFirst;
+      *reason = WaitReason::kYieldsToHigherPriority;
       return false;
     }
     FreePlaces places = PlacesFor(step);
     if (places.near_only) *reason = WaitReason::kNoRoomNearData;
     Assignments chosen;
-    std::sort(places.slots.begin(), places.slots.end(), HasLessScore);
+    std::sort(places.slots.begin(), places.slots.end(), HasLowerScore);
     for (const Slot& slot : places.slots) {
-      if (places.near_only && !rooms_.IsNear(step, slot)) continue;
+      if (places.near_only && !capacity_.IsNear(step, slot)) continue;
       if (slot.empty && places.empty_workers-- <= 0) continue;
-      TakeSlot(step, rooms_, slot, &chosen);
+      TakeSlot(step, capacity_, slot, &chosen);
       if (static_cast<int64_t>(chosen.size()) >= allowed) break;
     }
     if (static_cast<int64_t>(chosen.size()) > allowed) {
@@ -218,15 +224,15 @@
     return all;
   }
 
-  bool PlaceGang(const OpenStep& step, WaitReason* reason) {
+  bool PlaceGang(const ReadyStep& step, WaitReason* reason) {
     if (AllowedTasks(step) < static_cast<int64_t>(step.waiting.size())) {
-      *reason = WaitReason::kOthersFirst;
+      *reason = WaitReason::kYieldsToHigherPriority;
       return false;
     }
     const FreePlaces places = PlacesFor(step);
     if (places.near_only) *reason = WaitReason::kNoRoomNearData;
-    if (step.spec->same_rack && rooms_.SomeRackCanHold(step)) {
-      Assignments chosen = PlaceOnOneRack(step, rooms_, places);
+    if (step.spec->same_rack && capacity_.AnyRackCanHold(step)) {
+      Assignments chosen = PlaceOnOneRack(step, capacity_, places);
       if (!chosen.empty()) {
         Start(step, std::move(chosen), "gang on one rack");
         return true;
@@ -234,76 +240,78 @@
       if (!places.near_only) *reason = WaitReason::kNoRoomOnOneRack;
       if (!MayLeaveRack(step)) return false;
     }
-    Assignments chosen = PlaceOverRacks(step, rooms_, places);
+    Assignments chosen = PlaceOverRacks(step, capacity_, places);
     if (chosen.empty()) return false;
     Start(step, std::move(chosen), "gang over racks");
     return true;
   }
 
-  void Start(const OpenStep& step, Assignments chosen, std::string reason) {
+  void Start(const ReadyStep& step, Assignments chosen, std::string reason) {
     for (const JobLedger::Assignment& assignment : chosen) {
-      rooms_.Occupy(assignment.worker, step);
+      capacity_.Occupy(assignment.worker, step);
     }
     plan_.starts.push_back(
         {step.ref, std::move(chosen), std::move(reason), std::nullopt});
   }
 
-  // Takes room from others for an urgent step; false when that is in vain.
-  bool MakeRoom(const OpenStep& step) {
-    const RoomReclaim::Inputs inputs{&rooms_,
-                                     inputs_.ledger,
-                                     inputs_.guarantees,
-                                     &stopped_,
-                                     planner_.settings_.bounds.restart_cost(),
-                                     inputs_.now};
-    const bool one_rack =
-        step.spec->gang && step.spec->same_rack && rooms_.SomeRackCanHold(step);
+  // Evicts other runs for an urgent step; returns false when that cannot make
+  // enough room.
+  bool PreemptFor(const ReadyStep& step) {
+    const VictimSelection::Inputs inputs{
+        &capacity_,
+        inputs_.ledger,
+        inputs_.guarantees,
+        &stopped_,
+        planner_.settings_.bounds.restart_cost(),
+        inputs_.now};
+    const bool one_rack = step.spec->gang && step.spec->same_rack &&
+                          capacity_.AnyRackCanHold(step);
     const std::vector<Eviction> evictions =
-        RoomReclaim(inputs, step)
-            .Choose(IsBoundToData(step), one_rack, MayLeaveRack(step));
+        VictimSelection(inputs, step)
+            .ChooseEvictions(IsBoundToData(step), one_rack, MayLeaveRack(step));
     if (evictions.empty()) return false;
     Evict(step, evictions);
     return true;
   }
 
-  void Evict(const OpenStep& step, const std::vector<Eviction>& evictions) {
-    RoomReservation reservation;
+  void Evict(const ReadyStep& step, const std::vector<Eviction>& evictions) {
+    CapacityReservation reservation;
     reservation.need = ReservedFor(*step.spec);
     reservation.made = inputs_.now;
     reservation.until =
         inputs_.now + planner_.settings_.bounds.reservation_term();
     for (const Eviction& eviction : evictions) {
-      WorkerRoom& room = rooms_.room(eviction.worker);
-      reservation.tasks_by_worker[room.tracker->id()] +=
+      WorkerCapacity& worker = capacity_.worker(eviction.worker);
+      reservation.tasks_by_worker[worker.tracker->id()] +=
           static_cast<int>(eviction.gain);
       for (const TrackedRun* run : eviction.victims) {
-        room.coming += run->profile.need;
-        plan_.stops.push_back({room.tracker->id(), run->task, run->run,
+        worker.releasing += run->profile.need;
+        plan_.stops.push_back({worker.tracker->id(), run->task, run->run,
                                "gives way to urgent " + step.ref.ToString()});
         stopped_.insert(run->task);
       }
     }
-    rooms_.Keep(reservation);
+    capacity_.Reserve(reservation);
     planner_.reservations_[step.ref] = std::move(reservation);
   }
 
   Planner& planner_;
   const PlanInputs& inputs_;
   Plan plan_;
-  ClusterRooms rooms_;
-  std::vector<OpenStep> steps_;
-  // Of the steps that this round could not place.
+  ClusterCapacity capacity_;
+  std::vector<ReadyStep> steps_;
+  // Demand of the steps that this round could not place.
   WaitingDemand waiting_demand_;
-  // Accelerators that waiting urgent steps need, by account.
+  // Accelerators needed by waiting urgent steps, by account.
   std::map<std::string, int64_t> urgent_demand_;
-  // Runs that this round has already told to stop.
+  // Runs that this round has already decided to stop.
   std::set<TaskRef> stopped_;
 };
 
 bool Planner::ExpectsUrgent(const std::string& service, Time now) const {
   const auto last = last_urgent_.find(service);
   return last != last_urgent_.end() &&
-         now - last->second < settings_.urgent_memory;
+         now - last->second < settings_.headroom_retention;
 }
 
 Plan Planner::Decide(const PlanInputs& inputs) {
@@ -320,11 +328,11 @@
       return "no room on the rack of its data";
     case WaitReason::kNoRoomOnOneRack:
       return "no rack has room for the whole gang";
-    case WaitReason::kRoomIsMade:
+    case WaitReason::kPreempting:
       return "room is being taken from others";
-    case WaitReason::kOthersFirst:
+    case WaitReason::kYieldsToHigherPriority:
       return "the room is for steps of higher priority";
-    case WaitReason::kNoAdvice:
+    case WaitReason::kNoRoomOnApprovedWorkers:
       return "no room on the workers that are approved so far";
   }
   return "no room";
--- a/src/libs/workload/planner.h
+++ b/src/libs/workload/planner.h
@@ -1,10 +1,10 @@
-// Decides which waiting tasks start where, and which runs give way.
+// Decides which waiting tasks start where, and which runs are evicted.
 //
-// Steps are looked at in order of urgency. Each is placed by best fit: gangs as
-// a whole and on one rack where they ask for it, single tasks one by one where
-// they leave the smallest gaps. Urgent jobs (priority 0) that find no room take
-// it from runs of lower priority, those first whose unsaved work is least; the
-// room is kept for them until they start.
+// Steps are placed in order of urgency, by best fit: gangs as a whole, on one
+// rack if they ask for it; single tasks one by one where they leave the
+// smallest gaps. Urgent jobs (priority 0) that find no room evict runs of lower
+// priority, those with the least unsaved work first; the room is reserved for
+// them until they start. Not thread-safe.
 #ifndef THORNPLANK_WORKLOAD_PLANNER_H_
 #define THORNPLANK_WORKLOAD_PLANNER_H_
 
@@ -16,35 +16,37 @@
 
 #include "base/time.h"
 #include "workload/advice_cache.h"
-#include "workload/cluster_rooms.h"
+#include "workload/cluster_capacity.h"
 #include "workload/job_ledger.h"
-#include "workload/room_reclaim.h"
+#include "workload/victim_selection.h"
 #include "workload/worker_bounds.h"
 #include "workload/worker_tracker.h"
 
 namespace thornplank {
 
 struct PlannerSettings {
-  // A step waits this long for the rack of its data, or for one rack, before it
-  // takes others in an idle cluster. Long enough for a few tasks to end.
-  Milliseconds rack_patience{1000};
+  // How long a step waits for the rack of its data, or for a single rack,
+  // before it uses others in an idle cluster. Long enough for a few tasks to
+  // end.
+  Milliseconds rack_wait{1000};
   // The share of workers that jobs of lower priority leave empty, so that an
-  // urgent job starts without a stop first.
+  // urgent job can start without an eviction.
   double headroom = 0.2;
-  // The share of each resource that waiting steps keep from those of lower
-  // priority, beyond the headroom. What is left is for the steps behind.
-  double most_kept = 0.3;
-  // Headroom is kept for this long after the last urgent step was seen.
-  Milliseconds urgent_memory{5000};
+  // Upper bound on the share of each resource that is held back from steps for
+  // waiting steps of higher priority, beyond the headroom. The rest stays
+  // available to lower priorities.
+  double max_reserved_share = 0.3;
+  // How long headroom is left after the last urgent step was seen.
+  Milliseconds headroom_retention{5000};
   WorkerBounds bounds;
 };
 
 struct StartDecision {
   StepRef step;
   std::vector<JobLedger::Assignment> assignments;
-  // For the log: what decided.
+  // How the step was placed, for the log.
   std::string reason;
-  // Where room was taken from others for it: since when it waits for that.
+  // Where others were evicted for it: when that was decided.
   std::optional<Time> preempted_at;
 };
 
@@ -55,19 +57,19 @@
   std::string reason;
 };
 
-// Why a step with tasks whose turn has come is not placed, or not wholly.
+// Why a ready step is not placed, or only in part.
 enum class WaitReason {
   // The service has no worker that may be given tasks.
   kNoUsableWorker,
   kNoRoom,
   kNoRoomNearData,
   kNoRoomOnOneRack,
-  // Others were told to stop for it.
-  kRoomIsMade,
-  // Steps of higher priority wait for what is free.
-  kOthersFirst,
-  // Of the workers that it is allowed on, as far as known, none has room.
-  kNoAdvice,
+  // Others are being evicted for it.
+  kPreempting,
+  // The free capacity is held back for steps of higher priority.
+  kYieldsToHigherPriority,
+  // None of the workers approved for it so far has room.
+  kNoRoomOnApprovedWorkers,
 };
 
 std::string_view ToText(WaitReason reason);
@@ -75,7 +77,7 @@
 struct WaitDecision {
   StepRef step;
   WaitReason reason = WaitReason::kNoRoom;
-  // With kNoAdvice: workers to ask about, the best first.
+  // With kNoRoomOnApprovedWorkers: workers to ask about, from best to worst.
   std::vector<std::string> candidates;
 };
 
@@ -89,7 +91,7 @@
   const JobLedger* ledger = nullptr;
   const std::map<std::string, WorkerTracker>* workers = nullptr;
   const Guarantees* guarantees = nullptr;
-  // May be null where no queue needs advice.
+  // May be null if no queue needs advice.
   const AdviceCache* advice = nullptr;
   Time now{};
   WallTime wall_now{};
@@ -104,13 +106,13 @@
  private:
   class Round;
 
-  // Whether urgent steps of the service came lately.
+  // Whether urgent steps of the service were seen recently.
   bool ExpectsUrgent(const std::string& service, Time now) const;
 
   PlannerSettings settings_;
-  // When urgent steps were seen last, by service.
+  // When urgent steps were last seen, by service.
   std::map<std::string, Time> last_urgent_;
-  std::map<StepRef, RoomReservation> reservations_;
+  std::map<StepRef, CapacityReservation> reservations_;
 };
 
 }  // namespace thornplank
--- a/src/libs/workload/progress_block.cc
+++ b/src/libs/workload/progress_block.cc
@@ -1,4 +1,4 @@
-// Short rows for the common states of a task.
+// Compact rows for the common states of a task.
 #include "workload/progress_block.h"
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 
 constexpr char kBlockMark = '#';
 
-// A task that never began takes one byte, one that is done its run alone: no
-// later run follows, so that nothing else of it is asked for again.
+// A task that never began takes one byte. A task that is done needs only its
+// run number: no later run follows, so nothing else of it is read again.
 Json ToRow(const TaskStatus& task) {
   if (task.run == 0) return 0;
   const bool plain = task.phase == TaskPhase::kDone && task.failures == 0;
@@ -27,7 +27,7 @@
   return row;
 }
 
-// Throws where the row has another form. Entries of before wrote no crashes.
+// Throws if the row has another form. Older entries wrote no crash records.
 TaskStatus FromRow(const Json& row) {
   TaskStatus task;
   if (row.is_array()) {
@@ -99,7 +99,7 @@
 std::optional<ProgressBlock> DecodeBlock(std::string_view bytes, Error* error) {
   const Json record = ParseCbor(bytes).value_or(Json());
   ProgressBlock block;
-  // Wrong types throw inside the library; none leaves this function.
+  // The JSON library throws on wrong types; no exception leaves this function.
   try {
     block.gang_failures = record.at(0).get<int>();
     block.last_failed_run = record.at(1).get<int>();
--- a/src/libs/workload/progress_block.h
+++ b/src/libs/workload/progress_block.h
@@ -1,9 +1,9 @@
-// The stored form of a step's progress: a record for every few tasks.
+// The stored form of a step's progress: one record for every few tasks.
 //
 // All entries read these records, though only the leader needs them. With one
-// record a step the end of each task wrote all its siblings again: on 540
-// workers, with steps of 38 tasks, that was 91% of the bytes which an entry
-// read of the board. Members of a gang change together and share one record.
+// record per step, the end of each task rewrote all tasks of the step: on 540
+// workers, with steps of 38 tasks, that was 91% of the bytes that an entry read
+// from the job board. Members of a gang change together and share one record.
 #ifndef THORNPLANK_WORKLOAD_PROGRESS_BLOCK_H_
 #define THORNPLANK_WORKLOAD_PROGRESS_BLOCK_H_
 
@@ -21,17 +21,17 @@
 
 namespace thornplank {
 
-// Of tasks that are no gang. A record has 30 bytes beside them, an active task
-// about 18: worked out from these, a task's life takes some 100 bytes with 2 to
-// 4 of them and a third more with 8, while each further record costs all
-// entries a key to pass over.
+// Block size for tasks that are not a gang. A record has an overhead of 30
+// bytes, and an active task takes about 18: from these sizes, the records of a
+// task from start to end take some 100 bytes with 2 to 4 tasks in a block and a
+// third more with 8, while each further record costs all entries a key to skip.
 inline constexpr int kTasksPerBlock = 4;
 
 struct ProgressBlockRef {
   StepRef step;
   int block = 0;
 
-  // "JOB.OCCURRENCE.STEP", followed by "#BLOCK" but for the first block.
+  // "JOB.OCCURRENCE.STEP", followed by "#BLOCK" except for the first block.
   std::string ToString() const;
 };
 
@@ -45,13 +45,14 @@
 std::optional<ProgressBlockRef> ParseProgressBlockRef(std::string_view text);
 
 struct ProgressBlock {
-  // Of a gang: runs of the whole gang that have failed, and the last of them.
+  // Of a gang: the number of failed runs of the whole gang, and the last such
+  // run.
   int gang_failures = 0;
   int last_failed_run = 0;
   std::vector<TaskStatus> tasks;
 };
 
-// By number. A number that is missing was never stored: nothing of it began.
+// By block number. A missing block was never stored: none of its tasks began.
 using ProgressBlocks = std::map<int, ProgressBlock>;
 
 // The range of tasks that one block holds.
@@ -64,7 +65,7 @@
 int BlockCount(const StepSpec& spec);
 TaskRange TasksOfBlock(const StepSpec& spec, int block);
 
-// CBOR.
+// The stored form (CBOR).
 std::string EncodeBlock(const ProgressBlock& block);
 std::optional<ProgressBlock> DecodeBlock(std::string_view bytes, Error* error);
 
--- a/src/libs/workload/open_step.cc
+++ b/src/libs/workload/ready_step.cc
@@ -1,5 +1,5 @@
-// Turns and objectives of jobs.
-#include "workload/open_step.h"
+// Collects and orders the ready steps.
+#include "workload/ready_step.h"
 
 #include <algorithm>
 #include <tuple>
@@ -8,19 +8,20 @@
 namespace thornplank {
 namespace {
 
-// Jobs later than this many times their objective earn nothing (published).
-constexpr int kWorthlessAfterObjectives = 3;
+// Jobs that take more than this many times their objective earn nothing
+// (published).
+constexpr int kExpiredAfterObjectives = 3;
 
-// Whether it is too late for the job to be worth anything.
-bool IsWorthless(const Job& job, int occurrence, WallTime now) {
+// Whether completing the job would no longer earn anything.
+bool IsExpired(const Job& job, int occurrence, WallTime now) {
   const JobDefinition& spec = job.spec;
   const auto age = std::chrono::duration_cast<Milliseconds>(
       now - spec.earliest_start(occurrence));
-  return age > spec.objective() * kWorthlessAfterObjectives;
+  return age > spec.objective() * kExpiredAfterObjectives;
 }
 
 void CollectOccurrence(const Job& job, int occurrence, WallTime now,
-                       std::vector<OpenStep>* open) {
+                       std::vector<ReadyStep>* open) {
   const auto& steps = job.occurrences[static_cast<size_t>(occurrence)];
   for (size_t i = 0; i < steps.size(); ++i) {
     const StepProgress& progress = steps[i];
@@ -29,11 +30,11 @@
     const int index = static_cast<int>(i);
     if (spec.gang && progress.active() > 0) continue;
     if (!JobLedger::IsReady(job, occurrence, index)) continue;
-    OpenStep step;
+    ReadyStep step;
     step.job = &job;
     step.ref = {job.spec.id, occurrence, index};
     step.spec = &spec;
-    step.worthless = IsWorthless(job, occurrence, now);
+    step.expired = IsExpired(job, occurrence, now);
     for (size_t t = 0; t < progress.tasks.size(); ++t) {
       const TaskStatus& task = progress.tasks[t];
       if (task.phase != TaskPhase::kWaiting) continue;
@@ -45,8 +46,8 @@
   }
 }
 
-bool ComesFirst(const OpenStep& a, const OpenStep& b) {
-  const auto key = [](const OpenStep& step) {
+bool HasPrecedence(const ReadyStep& a, const ReadyStep& b) {
+  const auto key = [](const ReadyStep& step) {
     const JobDefinition& job = step.job->spec;
     return std::make_tuple(job.policy.priority, job.accepted);
   };
@@ -55,7 +56,7 @@
 
 }  // namespace
 
-bool OpenStep::job_runs() const {
+bool ReadyStep::job_is_active() const {
   for (const auto& steps : job->occurrences) {
     for (const StepProgress& progress : steps) {
       if (progress.active() > 0) return true;
@@ -64,8 +65,9 @@
   return false;
 }
 
-std::vector<OpenStep> CollectOpenSteps(const JobLedger& ledger, WallTime now) {
-  std::vector<OpenStep> open;
+std::vector<ReadyStep> CollectReadySteps(const JobLedger& ledger,
+                                         WallTime now) {
+  std::vector<ReadyStep> open;
   for (const auto& [id, job] : ledger.jobs()) {
     if (IsTerminal(job->state)) continue;
     for (int k = 0; k < job->spec.occurrence_count(); ++k) {
@@ -73,7 +75,7 @@
       CollectOccurrence(*job, k, now, &open);
     }
   }
-  std::sort(open.begin(), open.end(), ComesFirst);
+  std::sort(open.begin(), open.end(), HasPrecedence);
   return open;
 }
 
--- /dev/null
+++ b/src/libs/workload/ready_step.h
@@ -0,0 +1,41 @@
+// Steps with waiting tasks whose dependencies are done, in the order in which
+// they are placed.
+#ifndef THORNPLANK_WORKLOAD_READY_STEP_H_
+#define THORNPLANK_WORKLOAD_READY_STEP_H_
+
+#include <string>
+#include <vector>
+
+#include "base/time.h"
+#include "workload/job_ledger.h"
+
+namespace thornplank {
+
+struct ReadyStep {
+  const Job* job = nullptr;
+  StepRef ref;
+  const StepSpec* spec = nullptr;
+  // So late that its completion earns nothing any more: no capacity is held
+  // back for it.
+  bool expired = false;
+  // A waiting task has failed before; another failure may end the job.
+  bool failed_before = false;
+  // Workers were lost while they ran one of its waiting tasks.
+  bool on_probation = false;
+  // Indices of its waiting tasks; for a gang, all of them.
+  std::vector<int> waiting;
+
+  int priority() const { return job->spec.policy.priority; }
+  bool urgent() const { return priority() == 0; }
+  // Whether any task of its job is active.
+  bool job_is_active() const;
+  const std::string& service() const { return job->spec.policy.service; }
+};
+
+// Sorted by priority, then by age, oldest first. The pointers refer to the
+// ledger.
+std::vector<ReadyStep> CollectReadySteps(const JobLedger& ledger, WallTime now);
+
+}  // namespace thornplank
+
+#endif  // THORNPLANK_WORKLOAD_READY_STEP_H_
--- a/src/libs/workload/resources.h
+++ b/src/libs/workload/resources.h
@@ -1,4 +1,4 @@
-// What a task takes of a worker, and what a worker has.
+// Resources that a task needs or a worker has.
 #ifndef THORNPLANK_WORKLOAD_RESOURCES_H_
 #define THORNPLANK_WORKLOAD_RESOURCES_H_
 
@@ -17,14 +17,14 @@
     return cpu_millis <= room.cpu_millis && memory_mb <= room.memory_mb &&
            accelerators <= room.accelerators;
   }
-  // More is taken of one of them than there is.
+  // Whether more of some resource is in use than there is.
   bool IsOverdrawn() const {
     return cpu_millis < 0 || memory_mb < 0 || accelerators < 0;
   }
-  bool IsNothing() const {
+  bool IsZero() const {
     return cpu_millis == 0 && memory_mb == 0 && accelerators == 0;
   }
-  // How often this fits into `room`; `limit` when it takes nothing.
+  // How many times this fits into `room`, at least 0 and at most `limit`.
   int64_t TimesIn(const Resources& room, int64_t limit) const {
     int64_t times = limit;
     if (cpu_millis > 0) times = std::min(times, room.cpu_millis / cpu_millis);
@@ -56,19 +56,19 @@
   return !(a == b);
 }
 
-// Of each the smaller one.
-inline Resources Least(const Resources& a, const Resources& b) {
+// The smaller amount of each resource.
+inline Resources ElementwiseMin(const Resources& a, const Resources& b) {
   return {std::min(a.cpu_millis, b.cpu_millis),
           std::min(a.memory_mb, b.memory_mb),
           std::min(a.accelerators, b.accelerators)};
 }
-// Of each the larger one.
-inline Resources Most(const Resources& a, const Resources& b) {
+// The larger amount of each resource.
+inline Resources ElementwiseMax(const Resources& a, const Resources& b) {
   return {std::max(a.cpu_millis, b.cpu_millis),
           std::max(a.memory_mb, b.memory_mb),
           std::max(a.accelerators, b.accelerators)};
 }
-// That share of each, rounded down.
+// The share of each resource, rounded down.
 inline Resources ShareOf(const Resources& all, double share) {
   const auto part = [share](int64_t amount) {
     return static_cast<int64_t>(static_cast<double>(amount) * share);
--- a/src/libs/workload/run_review.cc
+++ b/src/libs/workload/run_review.cc
@@ -1,4 +1,4 @@
-// Progress against time, siblings and what the worker announces.
+// Compares progress with time, sibling tasks and announced departures.
 #include "workload/run_review.h"
 
 #include <utility>
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr char kNoProgress[] = "makes no progress";
-constexpr int kWholeWork = 100;
-// A run is moved when it would end this many times sooner elsewhere, a stop and
-// a start included.
-constexpr int kMoveGain = 2;
+constexpr int kDonePercent = 100;
+// A run is moved when it would end this many times sooner elsewhere, the stop
+// and the start included.
+constexpr int kMinSpeedup = 2;
 
 }  // namespace
 
@@ -18,17 +18,17 @@
   const WorkerRegistration& registration = worker->registration();
   for (const auto& [task, run] : worker->runs()) {
     if (run.stage != RunStage::kRunning || run.profile.long_running) continue;
-    // Standing at the end says nothing of how long it took to get there.
-    if (run.percent >= kWholeWork || run.rate() <= 0) continue;
+    // A run at 100 percent does not show when it got there.
+    if (run.percent >= kDonePercent || run.rate() <= 0) continue;
     const std::string& data_rack = run.profile.data_rack;
     const bool near = data_rack.empty() || registration.rack == data_rack;
-    ProgressSample pace;
-    pace.task = task;
-    pace.gang = run.profile.gang;
-    pace.rate = run.rate();
-    pace.percent_observed = run.percent - run.baseline_percent;
-    pace.slowdown = near ? 1 : settings_.bounds.far_slowdown;
-    speeds_.Observe(registration.id, pace, now);
+    ProgressSample sample;
+    sample.task = task;
+    sample.gang = run.profile.gang;
+    sample.rate = run.rate();
+    sample.percent_observed = run.percent - run.baseline_percent;
+    sample.slowdown = near ? 1 : settings_.bounds.far_slowdown;
+    speeds_.Observe(registration.id, sample, now);
   }
   worker->SetSpeed(speeds_.speed(registration.id, now), now);
   worker->set_steady_speed(speeds_.steady_speed(registration.id));
@@ -54,26 +54,26 @@
 std::string RunReview::ReasonToStop(const WorkerTracker& worker,
                                     const TrackedRun& run, Time now) const {
   // A member that has done its work waits for the rest of its gang.
-  const bool waits = run.profile.gang && run.percent >= kWholeWork;
+  const bool waits = run.profile.gang && run.percent >= kDonePercent;
   if (waits) return "";
-  if (worker.reachable() && now - run.progressed > settings_.stall_after) {
+  if (worker.reachable() && now - run.last_progress > settings_.stall_after) {
     return kNoProgress;
   }
-  // Gangs are judged as a whole.
+  // GangReview handles all else about gangs.
   if (run.profile.gang) return "";
   const Duration left = run.remaining(now);
   if (worker.registration().draining && run.profile.checkpointable &&
       left > worker.registration().drain_remaining) {
     return "worker leaves";
   }
-  const Duration sound = speeds_.NormalDuration(run.task.step);
-  if (left == Duration::max() || sound == Duration::zero()) return "";
+  const Duration normal = speeds_.NormalDuration(run.task.step);
+  if (left == Duration::max() || normal == Duration::zero()) return "";
   if (worker.speed() > kSlowedSpeed) return "";
-  Duration elsewhere = sound;
+  Duration elsewhere = normal;
   if (run.profile.checkpointable) {
-    elsewhere = sound * (kWholeWork - run.percent) / kWholeWork;
+    elsewhere = normal * (kDonePercent - run.percent) / kDonePercent;
   }
-  const Duration moved = elsewhere * kMoveGain + settings_.bounds.move_cost();
+  const Duration moved = elsewhere * kMinSpeedup + settings_.bounds.move_cost();
   return left > moved ? "slow worker" : "";
 }
 
--- a/src/libs/workload/run_review.h
+++ b/src/libs/workload/run_review.h
@@ -1,8 +1,9 @@
-// Which runs should stop for what they or their workers show.
+// Decides which runs should stop because of their progress or the state of
+// their workers.
 //
-// A run that stands still holds its room for nothing; one on a worker that
-// leaves may save its work in time; one on a worker that is far too slow would
-// end sooner elsewhere.
+// A stalled run occupies its room for nothing; a run on a worker that leaves
+// may save its work in time; a run on a very slow worker would end sooner
+// elsewhere.
 #ifndef THORNPLANK_WORKLOAD_RUN_REVIEW_H_
 #define THORNPLANK_WORKLOAD_RUN_REVIEW_H_
 
@@ -18,8 +19,9 @@
 
 struct RunReviewSettings {
   WorkerBounds bounds;
-  // A run whose percentage stands still for longer is stopped: one that is
-  // slowed and far from its data still moves every two or three seconds.
+  // A run whose percentage has not changed for longer is stopped: even a run
+  // that is slowed down and far from its data advances every two or three
+  // seconds.
   Milliseconds stall_after{5000};
 };
 
@@ -34,17 +36,18 @@
  public:
   explicit RunReview(RunReviewSettings settings) : settings_(settings) {}
 
-  // What a report, which the worker's tracker has taken in, tells of its speed.
+  // Updates the worker's speed from its last report, which its tracker has
+  // processed.
   void Observe(WorkerTracker* worker, Time now);
-  // A run that stands still counts against its worker as well.
+  // A stalled run also counts against its worker.
   std::vector<RunVerdict> FindRunsToStop(WorkerTracker* worker, Time now) const;
-  // Drops what is too old to matter.
+  // Drops observations that are too old to matter.
   void DropStale(Time now) { speeds_.DropStale(now); }
 
   const SpeedEstimator& speeds() const { return speeds_; }
 
  private:
-  // "" when it should go on.
+  // Empty when the run should continue.
   std::string ReasonToStop(const WorkerTracker& worker, const TrackedRun& run,
                            Time now) const;
 
--- a/src/libs/workload/speed_estimator.cc
+++ b/src/libs/workload/speed_estimator.cc
@@ -1,4 +1,4 @@
-// Rates of siblings and the speeds that follow.
+// Estimates speeds from the rates of sibling tasks.
 #include "workload/speed_estimator.h"
 
 #include <algorithm>
@@ -7,28 +7,29 @@
 namespace thornplank {
 namespace {
 
-// Spells of slowness last 5 to 7 s; a worker without new evidence for as long
-// is believed to be what it is for good.
-constexpr std::chrono::seconds kEvidenceLasts{6};
-constexpr std::chrono::seconds kStepLasts{60};
-// A step of 200 tasks is reported on dozens of times a second.
-constexpr Milliseconds kJudgedEvery{200};
+// Temporary slowness lasts 5 to 7 s; a worker without new evidence for as long
+// is assumed to have its steady speed.
+constexpr std::chrono::seconds kEvidenceLifetime{6};
+constexpr std::chrono::seconds kStepLifetime{60};
+// Limits the evaluations of a step: one of 200 tasks is reported on dozens of
+// times a second.
+constexpr Milliseconds kEvaluationInterval{200};
 constexpr double kNewWeight = 0.6;
-// A percentage is whole; told by less, a rate is off by more than workers of
-// one service differ.
-constexpr int kTellingOfHardware = 15;
-// Hardware of one service differs by less (0.8 to 1.3 seen); a worker below is
-// slowed for a while.
+// Percentages are whole numbers: a rate observed over fewer percent is less
+// exact than workers of one service differ.
+constexpr int kMinPercent = 15;
+// Hardware of one service differs by less (factors of 0.8 to 1.3 observed); a
+// worker below this ratio is temporarily slowed.
 constexpr double kSlowestHardware = 0.6;
-// Siblings that are no gang tell only if there are as many, and if the middle
-// half of them differs by at most this factor.
-constexpr size_t kTellingSiblings = 4;
-constexpr double kMostSpread = 1.35;
+// Siblings that are not a gang are comparable only if there are at least this
+// many and the middle half of their rates differs by at most this factor.
+constexpr size_t kMinSiblings = 4;
+constexpr double kMaxSpread = 1.35;
 
 }  // namespace
 
 double SpeedEstimator::NormalRate(const Step& step) const {
-  if (step.rates.size() < (step.gang ? 2 : kTellingSiblings)) return 0;
+  if (step.rates.size() < (step.gang ? 2 : kMinSiblings)) return 0;
   std::vector<double> rates;
   rates.reserve(step.rates.size());
   for (const auto& [index, rate] : step.rates) {
@@ -38,36 +39,37 @@
   const size_t quarter = rates.size() / 4;
   const double spread =
       rates[rates.size() - 1 - quarter] / std::max(rates[quarter], 1e-9);
-  if (!step.gang && spread > kMostSpread) return 0;
-  // The upper median: of two, the faster one.
+  if (!step.gang && spread > kMaxSpread) return 0;
+  // The upper median: of two rates, the faster one.
   return rates[rates.size() / 2];
 }
 
 void SpeedEstimator::Observe(const std::string& worker,
-                             const ProgressSample& pace, Time now) {
-  Step& step = steps_[pace.task.step];
-  step.gang = pace.gang;
-  step.last = now;
-  const double rate = pace.rate * pace.slowdown;
-  step.rates[pace.task.index] = {worker, rate};
-  // Few siblings are judged at once: an urgent gang is over in two seconds.
-  if (step.rates.size() < kTellingSiblings ||
-      now - step.judged >= kJudgedEvery) {
+                             const ProgressSample& sample, Time now) {
+  Step& step = steps_[sample.task.step];
+  step.gang = sample.gang;
+  step.last_seen = now;
+  const double rate = sample.rate * sample.slowdown;
+  step.rates[sample.task.index] = {worker, rate};
+  // Few siblings are evaluated at every report: an urgent gang may end within
+  // two seconds.
+  if (step.rates.size() < kMinSiblings ||
+      now - step.evaluated >= kEvaluationInterval) {
     step.normal_rate = NormalRate(step);
-    step.judged = now;
+    step.evaluated = now;
   }
   if (step.normal_rate <= 0) return;
   const double ratio = rate / step.normal_rate;
-  if (pace.gang && pace.percent_observed >= kTellingOfHardware)
-    Learn(worker, ratio);
+  if (sample.gang && sample.percent_observed >= kMinPercent)
+    UpdateSteady(worker, ratio);
   Recent& recent = recent_[worker];
-  const bool fresh = now - recent.last < kEvidenceLasts;
+  const bool fresh = now - recent.last_seen < kEvidenceLifetime;
   recent.speed =
       fresh ? recent.speed * (1 - kNewWeight) + ratio * kNewWeight : ratio;
-  recent.last = now;
+  recent.last_seen = now;
 }
 
-void SpeedEstimator::Learn(const std::string& worker, double ratio) {
+void SpeedEstimator::UpdateSteady(const std::string& worker, double ratio) {
   if (ratio < kSlowestHardware) return;
   const auto [known, is_new] = steady_.emplace(worker, ratio);
   if (is_new) return;
@@ -77,7 +79,7 @@
 double SpeedEstimator::speed(const std::string& worker, Time now) const {
   const auto it = recent_.find(worker);
   const bool fresh =
-      it != recent_.end() && now - it->second.last < kEvidenceLasts;
+      it != recent_.end() && now - it->second.last_seen < kEvidenceLifetime;
   return fresh ? it->second.speed : steady_speed(worker);
 }
 
@@ -97,11 +99,11 @@
 void SpeedEstimator::DropStale(Time now) {
   for (auto it = steps_.begin(); it != steps_.end();) {
     const auto step = it++;
-    if (now - step->second.last > kStepLasts) steps_.erase(step);
+    if (now - step->second.last_seen > kStepLifetime) steps_.erase(step);
   }
   for (auto it = recent_.begin(); it != recent_.end();) {
     const auto recent = it++;
-    if (now - recent->second.last > kStepLasts) recent_.erase(recent);
+    if (now - recent->second.last_seen > kStepLifetime) recent_.erase(recent);
   }
 }
 
--- a/src/libs/workload/speed_estimator.h
+++ b/src/libs/workload/speed_estimator.h
@@ -1,13 +1,15 @@
-// How fast workers are, judged by tasks of one step that run side by side.
+// Estimates the speed of workers from tasks of one step that run at the same
+// time.
 //
-// Callers' estimates are off by a factor of two and more, but by the same
+// Callers' estimates are wrong by a factor of two or more, but by the same
 // factor for all tasks of a step. So the progress of a task is compared with
-// that of its siblings on other workers, and the ratio is held for the worker.
+// that of its siblings on other workers, and the ratio is attributed to the
+// worker.
 //
-// The members of a gang share one piece of work evenly: their rates tell the
-// speeds of their workers to a few percent. Other tasks of a step may differ by
-// more than any two workers do; they tell only of workers that are slowed, and
-// only where the middle half of them is alike.
+// The members of a gang share one piece of work evenly: their rates show the
+// speeds of their workers to within a few percent. Other tasks of a step may
+// differ by more than any two workers do; they only show that a worker is
+// slowed down, and only if the middle half of them is alike.
 #ifndef THORNPLANK_WORKLOAD_SPEED_ESTIMATOR_H_
 #define THORNPLANK_WORKLOAD_SPEED_ESTIMATOR_H_
 
@@ -20,56 +22,57 @@
 
 namespace thornplank {
 
-// What a report shows of a run's speed.
+// What a report shows about the speed of a run.
 struct ProgressSample {
   TaskRef task;
   bool gang = false;
-  // Percent of its work a second.
+  // Percent of its work per second.
   double rate = 0;
-  // Percent of its work from which that is told.
+  // Percent of its work over which the rate was observed.
   int percent_observed = 0;
-  // It takes so many times longer here than near its data.
+  // The factor by which it takes longer here than near its data.
   double slowdown = 1;
 };
 
 class SpeedEstimator {
  public:
-  // The speed of the worker on which the run is follows.
-  void Observe(const std::string& worker, const ProgressSample& pace, Time now);
-  // At present: 1 for a sound worker or one of which nothing is known.
+  // Updates the speed of the worker from a sample of one of its runs.
+  void Observe(const std::string& worker, const ProgressSample& sample,
+               Time now);
+  // The current speed; 1 for a healthy worker or one of which nothing is known.
   double speed(const std::string& worker, Time now) const;
-  // For good, but for spells in which it is slowed: some hardware takes 1.3
-  // times as long. 1 where nothing is known.
+  // The speed apart from temporary slowness: some hardware takes 1.3 times as
+  // long. 1 if nothing is known.
   double steady_speed(const std::string& worker) const;
-  // How long a whole task of the step takes on a sound worker near its data;
-  // zero when its siblings don't tell.
+  // How long a whole task of the step takes near its data on a worker of speed
+  // 1; zero if its siblings do not show that.
   Duration NormalDuration(const StepRef& step) const;
 
-  // Drops what is too old to matter.
+  // Drops observations that are too old to matter.
   void DropStale(Time now);
 
  private:
   struct Rate {
     std::string worker;
-    // Percent a second, near the data.
+    // Percent per second, corrected for the distance to the data.
     double value = 0;
   };
   struct Step {
     bool gang = false;
-    // By the task's index.
+    // By the index of the task.
     std::map<int, Rate> rates;
-    // On a worker of speed 1; zero when the siblings don't tell.
+    // Rate on a worker of speed 1; zero if the siblings do not show it.
     double normal_rate = 0;
-    Time judged{};
-    Time last{};
+    Time evaluated{};
+    Time last_seen{};
   };
   struct Recent {
     double speed = 1;
-    Time last{};
+    Time last_seen{};
   };
 
   double NormalRate(const Step& step) const;
-  void Learn(const std::string& worker, double ratio);
+  void UpdateSteady(const std::string& worker, double ratio);
 
   std::map<StepRef, Step> steps_;
   std::unordered_map<std::string, Recent> recent_;
--- a/src/libs/workload/task_ref.cc
+++ b/src/libs/workload/task_ref.cc
@@ -1,4 +1,4 @@
-// Text forms of step and task names.
+// Text forms of references to steps and tasks.
 #include "workload/task_ref.h"
 
 #include <charconv>
@@ -6,7 +6,7 @@
 namespace thornplank {
 namespace {
 
-// Takes the number behind the last '.' off `text`.
+// Removes the number after the last '.' from `text` and returns it.
 std::optional<int> TakeLastNumber(std::string_view* text) {
   const size_t dot = text->rfind('.');
   if (dot == std::string_view::npos) return std::nullopt;
--- a/src/libs/workload/task_ref.h
+++ b/src/libs/workload/task_ref.h
@@ -1,4 +1,4 @@
-// The names of a step of a job and of one of its tasks.
+// References to a step of a job and to one of its tasks.
 #ifndef THORNPLANK_WORKLOAD_TASK_REF_H_
 #define THORNPLANK_WORKLOAD_TASK_REF_H_
 
--- a/src/libs/workload/task_status.h
+++ b/src/libs/workload/task_status.h
@@ -1,4 +1,4 @@
-// How far one task of a job is.
+// The state of one task of a job.
 #ifndef THORNPLANK_WORKLOAD_TASK_STATUS_H_
 #define THORNPLANK_WORKLOAD_TASK_STATUS_H_
 
@@ -9,7 +9,7 @@
 namespace thornplank {
 
 enum class TaskPhase {
-  // May be started once its turn has come.
+  // May be started once the dependencies of its step are done.
   kWaiting,
   // A run may be on a worker: recorded, sent, running, stopping or unknown.
   kActive,
@@ -21,9 +21,9 @@
   // The number of its last run; 0 before the first.
   int run = 0;
   int failures = 0;
-  // Where kActive: the worker's id.
+  // The worker's id; empty unless kActive.
   std::string worker;
-  // Resumes from here; "" when there is none.
+  // The next run resumes from here; empty if there is none.
   std::string checkpoint;
   CrashRecord crashes{};
 };
--- a/src/libs/workload/room_reclaim.cc
+++ b/src/libs/workload/victim_selection.cc
@@ -1,5 +1,5 @@
-// Victims by the work that is lost with them.
-#include "workload/room_reclaim.h"
+// Selects victims by the work that would be lost.
+#include "workload/victim_selection.h"
 
 #include <algorithm>
 #include <limits>
@@ -7,16 +7,17 @@
 
 namespace thornplank {
 
-std::vector<Eviction> RoomReclaim::Choose(bool near_only, bool one_rack,
-                                          bool may_spread) const {
+std::vector<Eviction> VictimSelection::ChooseEvictions(bool near_only,
+                                                       bool one_rack,
+                                                       bool may_spread) const {
   std::vector<Eviction> all;
   std::map<std::string, std::vector<Eviction>> racks;
-  const auto& rooms = inputs_.rooms->rooms();
-  for (size_t i = 0; i < rooms.size(); ++i) {
-    if (!inputs_.rooms->IsEligible(step_, rooms[i])) continue;
-    const std::string& rack = rooms[i].worker().rack;
+  const auto& workers = inputs_.capacity->workers();
+  for (size_t i = 0; i < workers.size(); ++i) {
+    if (!inputs_.capacity->MayUse(step_, workers[i])) continue;
+    const std::string& rack = workers[i].entry().rack;
     if (near_only && rack != step_.spec->data_rack) continue;
-    for (Eviction& eviction : OnWorker(i)) {
+    for (Eviction& eviction : EvictionsOnWorker(i)) {
       racks[rack].push_back(eviction);
       all.push_back(std::move(eviction));
     }
@@ -39,25 +40,26 @@
   return best;
 }
 
-std::vector<Eviction> RoomReclaim::OnWorker(size_t worker) const {
-  const WorkerRoom& room = inputs_.rooms->room(worker);
+std::vector<Eviction> VictimSelection::EvictionsOnWorker(size_t index) const {
+  const WorkerCapacity& worker = inputs_.capacity->worker(index);
   const Resources need = ReservedFor(*step_.spec);
   const auto members = static_cast<int64_t>(step_.waiting.size());
-  const int64_t bound = inputs_.rooms->BoundLeft(step_, *room.tracker);
+  const int64_t bound =
+      inputs_.capacity->RemainingTaskLimit(step_, *worker.tracker);
   std::vector<std::pair<double, const TrackedRun*>> victims;
-  for (const auto& [task, run] : room.tracker->runs()) {
+  for (const auto& [task, run] : worker.tracker->runs()) {
     if (run.stop_wanted || inputs_.stopped->count(task) > 0) continue;
-    if (!MayGiveWay(run)) continue;
-    victims.emplace_back(Loss(run), &run);
+    if (!IsPreemptible(run)) continue;
+    victims.emplace_back(CostOf(run), &run);
   }
   std::sort(victims.begin(), victims.end());
-  Resources available = room.room + room.coming;
+  Resources available = worker.free + worker.releasing;
   std::vector<Eviction> evictions;
   Eviction next;
-  next.worker = worker;
+  next.worker = index;
   int64_t held = std::min(bound, need.TimesIn(available, members));
   if (held > 0) {
-    evictions.push_back({worker, held, 0, {}});
+    evictions.push_back({index, held, 0, {}});
   }
   for (const auto& [cost, run] : victims) {
     available += run->profile.need;
@@ -69,12 +71,12 @@
     held = tasks;
     evictions.push_back(std::move(next));
     next = Eviction();
-    next.worker = worker;
+    next.worker = index;
   }
   return evictions;
 }
 
-bool RoomReclaim::MayGiveWay(const TrackedRun& run) const {
+bool VictimSelection::IsPreemptible(const TrackedRun& run) const {
   if (run.profile.long_running) return false;
   if (run.profile.priority > 0) return true;
   const std::string& account = step_.job->spec.account;
@@ -85,17 +87,19 @@
          !IsWithinGuarantee(run.profile.account, 0);
 }
 
-bool RoomReclaim::IsWithinGuarantee(const std::string& account,
-                                    int64_t more) const {
+bool VictimSelection::IsWithinGuarantee(const std::string& account,
+                                        int64_t more) const {
   const auto guarantee = inputs_.guarantees->find(account);
   if (guarantee == inputs_.guarantees->end()) return false;
-  return inputs_.rooms->UrgentUse(account) + more <= guarantee->second;
+  return inputs_.capacity->UrgentAccelerators(account) + more <=
+         guarantee->second;
 }
 
-double RoomReclaim::Loss(const TrackedRun& run) const {
-  const double seconds = std::chrono::duration<double>(
-                             run.unsaved(inputs_.now) + inputs_.restart_cost)
-                             .count();
+double VictimSelection::CostOf(const TrackedRun& run) const {
+  const double seconds =
+      std::chrono::duration<double>(run.unsaved_work(inputs_.now) +
+                                    inputs_.restart_cost)
+          .count();
   double members = 1;
   if (run.profile.gang) {
     const StepSpec* spec = inputs_.ledger->FindStepSpec(run.task.step);
--- /dev/null
+++ b/src/libs/workload/victim_selection.h
@@ -0,0 +1,58 @@
+// Selects the runs to evict for an urgent step that finds no room.
+#ifndef THORNPLANK_WORKLOAD_VICTIM_SELECTION_H_
+#define THORNPLANK_WORKLOAD_VICTIM_SELECTION_H_
+
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "base/time.h"
+#include "workload/cluster_capacity.h"
+#include "workload/eviction.h"
+#include "workload/job_ledger.h"
+#include "workload/ready_step.h"
+
+namespace thornplank {
+
+// Accelerators guaranteed to an account's urgent jobs at all times.
+using Guarantees = std::map<std::string, int64_t>;
+
+// Serves one step; all inputs must outlive it.
+class VictimSelection {
+ public:
+  struct Inputs {
+    const ClusterCapacity* capacity = nullptr;
+    const JobLedger* ledger = nullptr;
+    const Guarantees* guarantees = nullptr;
+    // Runs that this round has already decided to stop.
+    const std::set<TaskRef>* stopped = nullptr;
+    // The time a stopped run loses even where all its work is saved.
+    Milliseconds restart_cost{0};
+    Time now{};
+  };
+
+  VictimSelection(const Inputs& inputs, const ReadyStep& step)
+      : inputs_(inputs), step_(step) {}
+
+  // The evictions that lose the least work; empty when no set of them suffices.
+  // With `near_only` only on the rack of the step's data. With `one_rack` all
+  // on one rack, or on several if no rack suffices and `may_spread` is set.
+  std::vector<Eviction> ChooseEvictions(bool near_only, bool one_rack,
+                                        bool may_spread) const;
+
+ private:
+  // Evictions on one worker, each building on those before it.
+  std::vector<Eviction> EvictionsOnWorker(size_t index) const;
+  bool IsPreemptible(const TrackedRun& run) const;
+  bool IsWithinGuarantee(const std::string& account, int64_t more) const;
+  // The work lost with the run and the rest of its gang, weighted by resources.
+  double CostOf(const TrackedRun& run) const;
+
+  const Inputs& inputs_;
+  const ReadyStep& step_;
+};
+
+}  // namespace thornplank
+
+#endif  // THORNPLANK_WORKLOAD_VICTIM_SELECTION_H_
--- a/src/libs/workload/waiting_demand.cc
+++ b/src/libs/workload/waiting_demand.cc
@@ -1,4 +1,4 @@
-// Sums by service and priority.
+// Sums of demand by service and priority.
 #include "workload/waiting_demand.h"
 
 namespace thornplank {
@@ -8,8 +8,8 @@
   needs_[service][priority] += need * tasks;
 }
 
-Resources WaitingDemand::Before(const std::string& service,
-                                int priority) const {
+Resources WaitingDemand::OfHigherPriority(const std::string& service,
+                                          int priority) const {
   Resources sum;
   const auto by_priority = needs_.find(service);
   if (by_priority == needs_.end()) return sum;
--- a/src/libs/workload/waiting_demand.h
+++ b/src/libs/workload/waiting_demand.h
@@ -1,8 +1,8 @@
-// What steps that found no room need, by service and priority.
+// Resources needed by steps that found no room, by service and priority.
 //
 // Small tasks of low priority fit into every gap, a gang only where much is
-// free at one moment. Were they placed as they fit, gangs before them in line
-// would wait for as long as small ones come.
+// free at one moment. If tasks were placed wherever they fit, gangs of higher
+// priority would wait for as long as small tasks keep arriving.
 #ifndef THORNPLANK_WORKLOAD_WAITING_DEMAND_H_
 #define THORNPLANK_WORKLOAD_WAITING_DEMAND_H_
 
@@ -18,8 +18,8 @@
  public:
   void Add(const std::string& service, int priority, const Resources& need,
            int64_t tasks);
-  // Of all steps of the service that come before this priority.
-  Resources Before(const std::string& service, int priority) const;
+  // Demand of all steps of the service with a higher priority than this.
+  Resources OfHigherPriority(const std::string& service, int priority) const;
 
  private:
   // By service, then by priority.
--- a/src/libs/workload/worker_incarnation.cc
+++ b/src/libs/workload/worker_incarnation.cc
@@ -1,4 +1,4 @@
-// By the time at which each life began, and by when it was asked.
+// Compares start times, and when calls were sent.
 #include "workload/worker_incarnation.h"
 
 namespace thornplank {
--- a/src/libs/workload/worker_incarnation.h
+++ b/src/libs/workload/worker_incarnation.h
@@ -1,8 +1,10 @@
-// Tells the lives of a worker apart, which may follow each other under one id.
+// Tells apart the incarnations of a worker, which may follow each other under
+// one id.
 //
-// A worker says with all that it reports when its life began. Reports overtake
-// each other, and clocks are set back: a later time is a later life, and so is
-// another one that answers a call which was sent when this life was known.
+// Every report of a worker includes the start time of its incarnation. Reports
+// may overtake each other, and clocks may be set back: a later start time means
+// a later incarnation, and so does a different one in the answer to a call that
+// was sent after this incarnation was known.
 #ifndef THORNPLANK_WORKLOAD_WORKER_INCARNATION_H_
 #define THORNPLANK_WORKLOAD_WORKER_INCARNATION_H_
 
@@ -16,24 +18,25 @@
  public:
   enum class Verdict {
     kSame,
-    // Another life has begun; this one is over.
+    // Another incarnation has begun; this one is over.
     kNext,
-    // Said by a life that was over before this one began.
+    // From an incarnation that was over before this one began.
     kPast,
   };
 
-  // On a report that says `born` and answers a call sent at `sent`. One that
-  // says nothing is taken for this life's.
+  // Classifies a report with the given start time that answers a call sent at
+  // `sent`. A report without a start time is attributed to this incarnation.
   Verdict Classify(const std::optional<WallTime>& start, Time sent) const;
-  // A report of this life, or the first of the next one, came.
+  // Records the start time in a report of this incarnation or in the first one
+  // of the next.
   void Record(const std::optional<WallTime>& start, Time now);
 
-  // Nullopt: no report has said it.
+  // Nullopt until a report includes it.
   const std::optional<WallTime>& start() const { return start_; }
 
  private:
   std::optional<WallTime> start_;
-  // When a report first said so.
+  // When a report first included start_.
   Time first_heard_{};
 };
 
--- a/src/libs/workload/worker_report.h
+++ b/src/libs/workload/worker_report.h
@@ -1,4 +1,4 @@
-// What a worker says of itself, and what it says of the runs it holds.
+// Workers as the directory lists them, and their reports on the runs they hold.
 #ifndef THORNPLANK_WORKLOAD_WORKER_REPORT_H_
 #define THORNPLANK_WORKLOAD_WORKER_REPORT_H_
 
@@ -14,64 +14,65 @@
 
 namespace thornplank {
 
-// When the life of a worker began, as it says itself.
+// When the incarnation of a worker started, as it reports itself.
 struct IncarnationStart {
   std::optional<WallTime> time = std::nullopt;
-  // Why it cannot be told; "" where it can.
+  // Why the time cannot be read; empty if it can or was not reported.
   std::string error = "";
 };
 
-// An entry of the directory of workers: one life of one worker.
+// An entry of the directory of workers: one incarnation of one worker.
 struct WorkerRegistration {
-  // A worker that has restarted may have the id of the life before.
+  // A restarted worker may have the id of its previous incarnation.
   std::string id;
   IncarnationStart incarnation_start;
   std::string address;
   std::string service;
   std::string failure_domain;
   std::string rack;
-  // Everything that a step may require, the rack included.
+  // All labels that a step may require, including the rack.
   std::vector<std::string> labels;
   Resources capacity;
   bool draining = false;
-  // Where draining: at least this long until it leaves.
+  // While draining: the minimum time until it leaves.
   Milliseconds drain_remaining{0};
 };
 
-// One run that is on a worker.
+// A run that is on a worker.
 struct RunReport {
   TaskRef task;
   int run = 0;
   std::string checkpoint;
-  // Of its work, 0 to 100.
+  // Completed share of its work, 0 to 100.
   int percent = 0;
-  // Of a serving task the tail of its answers in milliseconds, of any other the
+  // For a serving task its tail latency in milliseconds, for any other the
   // thousandths of a core that it uses; over the last half second.
   int64_t load = 0;
 };
 
-// One run that has ended on a worker.
+// A run that has ended on a worker.
 struct RunEndReport {
-  // Counts the ends of one life of a worker from 1.
+  // Sequence number of the end within one incarnation of the worker, from 1.
   int64_t number = 0;
   TaskRef task;
   int run = 0;
   RunEnd end = RunEnd::kLost;
   std::string checkpoint;
-  // When it was first seen at work, by this process's clock; filled in by the
+  // When it was first known to run, by this process's clock. Set by the
   // tracker.
   Time began{};
-  // Of the time since then, what a checkpoint keeps; filled in there as well.
+  // The part of the time since `began` whose work a checkpoint preserves. Set
+  // by the tracker.
   Duration saved_work{};
-  // From then until its worker fell silent; filled in there for a run that
-  // ended with its worker.
+  // The time from `began` until its worker fell silent. Set by the tracker for
+  // a run that ended with its worker.
   Duration survived{};
-  // Which of the lives that were seen under the worker's id; filled in there.
+  // Number of the worker's incarnation, counted by the tracker and set by it.
   int incarnation = 0;
 };
 
 struct WorkerStatusReport {
-  // Begins anew with each life.
+  // The worker's steady clock; restarts with each incarnation.
   Milliseconds clock{0};
   IncarnationStart incarnation_start;
   std::vector<RunReport> running;
--- a/src/libs/workload/worker_tracker.cc
+++ b/src/libs/workload/worker_tracker.cc
@@ -1,4 +1,4 @@
-// Evidence on runs and leases of one worker.
+// Evaluates the evidence on runs and leases of one worker.
 #include "workload/worker_tracker.h"
 
 #include <algorithm>
@@ -8,24 +8,25 @@
 namespace thornplank {
 namespace {
 
-// A worker's steady clock may run this much slower than ours (published).
-constexpr double kSlowestClock = 0.98;
-// Covers a late timer on the worker and the time that a kill takes there.
+// The minimum rate of a worker's steady clock relative to ours (published).
+constexpr double kMinClockRate = 0.98;
+// Covers a late timer on the worker and the time to kill a run there.
 constexpr Milliseconds kLeaseSlack{600};
-constexpr int kWholeWork = 100;
-// With less done, a rate is too coarse to go by.
-constexpr int kTellingPercent = 3;
-
-// What it had saved was told when a report showed it. Of a gang another member
-// may have told of a later checkpoint since, which holds for this one too.
-RunEndReport Settled(const TrackedRun& run, RunEnd end, Time now) {
-  RunEndReport settled;
-  settled.task = run.task;
-  settled.run = run.run;
-  settled.end = end;
-  settled.began = run.began;
-  settled.saved_work = run.saved_work("", now);
-  return settled;
+constexpr int kDonePercent = 100;
+// With less progress, a rate is too coarse to use.
+constexpr int kMinPercentForRate = 3;
+
+// The checkpoint was recorded when a report showed it. For a gang, a later
+// checkpoint of another member may have been reported since, which is valid for
+// this run too.
+RunEndReport MakeRunEnd(const TrackedRun& run, RunEnd end, Time now) {
+  RunEndReport run_end;
+  run_end.task = run.task;
+  run_end.run = run.run;
+  run_end.end = end;
+  run_end.began = run.began;
+  run_end.saved_work = run.saved_work("", now);
+  return run_end;
 }
 
 RunEnd ToRunEnd(IncarnationEnd end) {
@@ -42,29 +43,30 @@
 
 }  // namespace
 
-Duration TrackedRun::unsaved(Time now) const {
+Duration TrackedRun::unsaved_work(Time now) const {
   if (began == Time{} || profile.checkpointable) return Duration::zero();
   return now - began;
 }
 
-bool TrackedRun::is_proven(Time now) const {
-  if (reported != Time{}) return true;
+bool TrackedRun::has_proven_start(Time now) const {
+  if (last_report != Time{}) return true;
   return stage == RunStage::kRunning && now - began >= kStartPhase;
 }
 
 Duration TrackedRun::saved_work(const std::string& made, Time now) const {
   if (began == Time{}) return Duration::zero();
-  // Made by the end itself, which comes as soon as it is there.
-  const bool made_now = !made.empty() && made != checkpoint;
-  if (made_now) return now - began;
+  // The checkpoint was made when the run ended, and the end is reported at
+  // once.
+  const bool made_at_end = !made.empty() && made != checkpoint;
+  if (made_at_end) return now - began;
   return saved == Time{} ? Duration::zero() : saved - began;
 }
 
 double TrackedRun::rate() const {
   const int done = percent - baseline_percent;
-  if (!baseline || done < kTellingPercent) return 0;
+  if (!baseline || done < kMinPercentForRate) return 0;
   const double seconds =
-      std::chrono::duration<double>(progressed - *baseline).count();
+      std::chrono::duration<double>(last_progress - *baseline).count();
   return seconds > 0 ? done / seconds : 0;
 }
 
@@ -72,8 +74,8 @@
   const double speed = rate();
   if (stage != RunStage::kRunning || speed <= 0) return Duration::max();
   const auto left = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>((kWholeWork - percent) / speed));
-  return std::max(left - (now - progressed), Duration::zero());
+      std::chrono::duration<double>((kDonePercent - percent) / speed));
+  return std::max(left - (now - last_progress), Duration::zero());
 }
 
 WorkerTracker::WorkerTracker(WorkerRegistration registration)
@@ -81,15 +83,14 @@
 
 void WorkerTracker::Update(WorkerRegistration registration, Time now) {
   const std::optional<WallTime>& start = registration.incarnation_start.time;
-  const bool is_news = start && start != registration_.incarnation_start.time;
-  // Until a report tells, nothing is known of the life that has begun.
-  if (is_news && incarnation_.start() && start != incarnation_.start())
+  const bool is_new = start && start != registration_.incarnation_start.time;
+  // Until its first report, nothing is known of the incarnation that has begun.
+  if (is_new && incarnation_.start() && start != incarnation_.start())
     synchronized_ = false;
   registration_ = std::move(registration);
   missing_since_.reset();
-  earliest_departure_.reset();
-  if (registration_.draining)
-    earliest_departure_ = now + registration_.drain_remaining;
+  departure_.reset();
+  if (registration_.draining) departure_ = now + registration_.drain_remaining;
 }
 
 void WorkerTracker::SetSpeed(double speed, Time now) {
@@ -107,7 +108,7 @@
   tracked.task = task;
   tracked.run = run;
   tracked.profile = std::move(profile);
-  tracked.since = now;
+  tracked.stage_since = now;
   used_ += tracked.profile.need;
   runs_[task] = std::move(tracked);
 }
@@ -127,15 +128,15 @@
 
 Milliseconds WorkerTracker::MaxLeaseDuration(Milliseconds term) {
   return Milliseconds(static_cast<int64_t>(static_cast<double>(term.count()) /
-                                           kSlowestClock)) +
+                                           kMinClockRate)) +
          kLeaseSlack;
 }
 
 Milliseconds WorkerTracker::IssueDeadline(Milliseconds term, Time now) {
   const auto elapsed =
-      std::chrono::duration_cast<Milliseconds>(now - clock_heard_);
+      std::chrono::duration_cast<Milliseconds>(now - clock_read_at_);
   lease_bound_ =
-      std::max(lease_bound_, clock_heard_ + MaxLeaseDuration(term + elapsed));
+      std::max(lease_bound_, clock_read_at_ + MaxLeaseDuration(term + elapsed));
   return clock_ + elapsed + term;
 }
 
@@ -146,7 +147,7 @@
   tracked->stage = RunStage::kSending;
   tracked->order_deadline = deadline;
   tracked->sent = now;
-  tracked->since = now;
+  tracked->stage_since = now;
 }
 
 std::vector<RunEndReport> WorkerTracker::OnStartAnswer(const TaskRef& task,
@@ -160,16 +161,16 @@
     case StartOutcome::kAccepted:
       if (tracked.stage == RunStage::kRunning) return {};
       tracked.stage = RunStage::kRunning;
-      tracked.since = now;
+      tracked.stage_since = now;
       tracked.began = now;
-      tracked.progressed = now;
+      tracked.last_progress = now;
       if (!tracked.resumed) tracked.baseline = now;
       return {};
     case StartOutcome::kNoAnswer:
       trust_.OnSilence(now);
       if (tracked.stage == RunStage::kSending) {
         tracked.stage = RunStage::kUnknown;
-        tracked.since = now;
+        tracked.stage_since = now;
       }
       return {};
     case StartOutcome::kOtherIncarnation:
@@ -180,9 +181,9 @@
       break;
   }
   if (tracked.stage == RunStage::kRunning) return {};
-  std::vector<RunEndReport> settled = {Settled(tracked, RunEnd::kLost, now)};
+  std::vector<RunEndReport> ends = {MakeRunEnd(tracked, RunEnd::kLost, now)};
   Erase(it);
-  return settled;
+  return ends;
 }
 
 void WorkerTracker::OnStopAnswer(const TaskRef& task, int run,
@@ -202,21 +203,22 @@
 bool WorkerTracker::OutlivesRestart(const TrackedRun& run,
                                     const WorkerStatusReport& report,
                                     Time sent) const {
-  const auto is_it = [&run](const auto& told) {
-    return told.task == run.task && told.run == run.run;
+  const auto is_same_run = [&run](const auto& listed) {
+    return listed.task == run.task && listed.run == run.run;
   };
-  const bool told =
-      std::any_of(report.running.begin(), report.running.end(), is_it) ||
-      std::any_of(report.ended.begin(), report.ended.end(), is_it);
-  if (told) return true;
+  const bool listed =
+      std::any_of(report.running.begin(), report.running.end(), is_same_run) ||
+      std::any_of(report.ended.begin(), report.ended.end(), is_same_run);
+  if (listed) return true;
   switch (run.stage) {
     case RunStage::kRecording:
     case RunStage::kSending:
     case RunStage::kUnknown:
       return true;
     case RunStage::kRunning:
-      // The new life may have taken the order after it wrote the report.
-      return run.since > sent;
+      // The new incarnation may have accepted the order after it wrote the
+      // report.
+      return run.stage_since > sent;
     case RunStage::kInherited:
       return false;
   }
@@ -230,7 +232,7 @@
   for (auto it = runs_.begin(); it != runs_.end();) {
     const auto run = it++;
     if (OutlivesRestart(run->second, report, sent)) {
-      // The deadline was one on the clock of the life before.
+      // The deadline referred to the clock of the previous incarnation.
       run->second.order_deadline = Milliseconds::max();
       continue;
     }
@@ -257,7 +259,7 @@
   incarnation_.Record(report.incarnation_start.time, now);
   if (report.clock >= clock_) {
     clock_ = report.clock;
-    clock_heard_ = now;
+    clock_read_at_ = now;
   }
   failed_reports_ = 0;
   silent_since_.reset();
@@ -288,7 +290,7 @@
     const auto run = it++;
     if (present.count(run->first) > 0) continue;
     if (!IsSettledByAbsence(run->second, sent, report.clock)) continue;
-    ended.push_back(Settled(run->second, RunEnd::kLost, now));
+    ended.push_back(MakeRunEnd(run->second, RunEnd::kLost, now));
     Erase(run);
   }
   return ended;
@@ -298,12 +300,12 @@
                              Time now) {
   if (run->stage != RunStage::kRunning) {
     run->stage = RunStage::kRunning;
-    run->since = now;
+    run->stage_since = now;
     run->began = now;
-    run->progressed = now;
+    run->last_progress = now;
   }
-  if (report.percent != run->percent) run->progressed = now;
-  run->reported = now;
+  if (report.percent != run->percent) run->last_progress = now;
+  run->last_report = now;
   run->percent = report.percent;
   run->load = report.load;
   if (!run->baseline) {
@@ -323,7 +325,7 @@
     case RunStage::kInherited:
       return true;
     case RunStage::kRunning:
-      return run.since <= sent;
+      return run.stage_since <= sent;
     case RunStage::kUnknown:
       return clock > run.order_deadline;
     case RunStage::kRecording:
@@ -350,13 +352,14 @@
 }
 
 RunEnd WorkerTracker::RunEndFor(IncarnationEnd end, Time now) const {
-  const bool left = end == IncarnationEnd::kCrashed && earliest_departure_ &&
-                    now >= *earliest_departure_;
+  const bool left =
+      end == IncarnationEnd::kCrashed && departure_ && now >= *departure_;
   return ToRunEnd(left ? IncarnationEnd::kLeft : end);
 }
 
-// An order without an answer was not taken by a worker that was silent before
-// it went out, nor by one that was never silent: the next life refused it.
+// An unanswered order was not accepted by a worker that was silent before it
+// was sent, nor by one that was never silent: in that case the next incarnation
+// refused it.
 bool WorkerTracker::MayHaveBegun(const TrackedRun& run) const {
   if (run.stage == RunStage::kRecording) return false;
   const bool known = run.began != Time{} || run.stage == RunStage::kInherited;
@@ -366,7 +369,7 @@
 RunEndReport WorkerTracker::LostWithIncarnation(const TrackedRun& run,
                                                 RunEnd end, Time now) const {
   RunEndReport lost =
-      Settled(run, MayHaveBegun(run) ? end : RunEnd::kLost, now);
+      MakeRunEnd(run, MayHaveBegun(run) ? end : RunEnd::kLost, now);
   if (run.began != Time{})
     lost.survived = silent_since_.value_or(now) - run.began;
   return lost;
--- a/src/libs/workload/worker_trust.cc
+++ b/src/libs/workload/worker_trust.cc
@@ -1,4 +1,4 @@
-// Failures in a row, and silence.
+// Counts consecutive failures and remembers silence.
 #include "workload/worker_trust.h"
 
 #include <algorithm>
@@ -6,14 +6,15 @@
 namespace thornplank {
 namespace {
 
-// Failures of as many jobs in a row take a worker out: among sound workers 5%
-// of runs fail, so two in a row by chance are 1 in 400.
-constexpr int kFailuresToQuarantine = 2;
-// Longer than most spells of failure; after it one failure takes the worker out
-// again.
+// Consecutive failures of this many jobs quarantine a worker: on healthy
+// workers 5% of runs fail, so two in a row happen by chance once in 400.
+constexpr int kQuarantineFailures = 2;
+// Longer than most periods of failure; afterwards a single failure quarantines
+// the worker again.
 constexpr std::chrono::seconds kQuarantine{6};
-// One that goes down and up by turns does so within two or three seconds.
-constexpr std::chrono::seconds kSilenceRemembered{6};
+// A worker that alternates between answering and not does so within two or
+// three seconds.
+constexpr std::chrono::seconds kSilenceMemory{6};
 
 }  // namespace
 
@@ -22,7 +23,7 @@
   if (job == last_failed_job_) return;
   last_failed_job_ = job;
   ++failures_;
-  if (failures_ >= kFailuresToQuarantine) {
+  if (failures_ >= kQuarantineFailures) {
     quarantined_until_ = now + kQuarantine;
   }
 }
@@ -34,7 +35,7 @@
 }
 
 void WorkerTrust::OnRunStalled(Time now) {
-  failures_ = std::max(failures_ + 1, kFailuresToQuarantine);
+  failures_ = std::max(failures_ + 1, kQuarantineFailures);
   last_failure_ = now;
   quarantined_until_ = now + kQuarantine;
 }
@@ -45,8 +46,8 @@
   quarantined_until_ = Time{};
 }
 
-bool WorkerTrust::WasSilentLately(Time now) const {
-  return last_silence_ && now - *last_silence_ < kSilenceRemembered;
+bool WorkerTrust::WasSilentRecently(Time now) const {
+  return last_silence_ && now - *last_silence_ < kSilenceMemory;
 }
 
 }  // namespace thornplank
--- a/src/libs/workload/worker_trust.h
+++ b/src/libs/workload/worker_trust.h
@@ -1,4 +1,5 @@
-// Whether a worker can be trusted with work, by what became of work there.
+// Decides from the outcome of runs on a worker whether it can be trusted with
+// new ones.
 #ifndef THORNPLANK_WORKLOAD_WORKER_TRUST_H_
 #define THORNPLANK_WORKLOAD_WORKER_TRUST_H_
 
@@ -11,28 +12,28 @@
 
 class WorkerTrust {
  public:
-  // A run of the job failed there: that may speak against the worker as well as
-  // against the job, so that only failures of distinct jobs add up.
+  // A run of the job failed there. The worker or the job may be the cause, so
+  // only failures of distinct jobs are counted.
   void OnRunFailed(const std::string& job, Time now);
-  // A run that began before the last failure proves nothing: a worker that
-  // begins to fail what it starts still ends well what it had started.
+  // A run succeeded. One that began before the last failure shows nothing: a
+  // worker that starts to fail new runs may still complete earlier ones.
   void OnRunDone(Time began);
-  // It let a run stand still.
+  // A run made no progress there.
   void OnRunStalled(Time now);
-  // It left a call without an answer.
+  // It did not answer a call.
   void OnSilence(Time now) { last_silence_ = now; }
-  // Another life of the worker begins, of which no failure is known.
+  // Another incarnation begins, of which no failure is known.
   void OnRestart();
 
-  // It is given nothing.
+  // Whether it gets no new runs.
   bool Quarantined(Time now) const { return now < quarantined_until_; }
-  // Something failed there since the last run that was done.
+  // Whether a run has failed there since the last one that succeeded.
   bool suspect() const { return failures_ > 0; }
-  // Left a call without an answer a moment ago, though it may answer now.
-  bool WasSilentLately(Time now) const;
+  // Whether it failed to answer a call recently, though it may answer now.
+  bool WasSilentRecently(Time now) const;
 
  private:
-  // Runs that failed here since the last that was done, by distinct jobs.
+  // Failed runs since the last successful one, by distinct jobs.
   int failures_ = 0;
   std::string last_failed_job_;
   Time last_failure_{};
--- a/tests/auto/workload/planner_world.h
+++ b/tests/auto/workload/test_cluster.h
@@ -1,6 +1,6 @@
-// A cluster in which the planner's decisions are carried out at once.
-#ifndef THORNPLANK_TESTS_AUTO_WORKLOAD_PLANNER_WORLD_H_
-#define THORNPLANK_TESTS_AUTO_WORKLOAD_PLANNER_WORLD_H_
+// A simulated cluster in which the planner's decisions take effect at once.
+#ifndef THORNPLANK_TESTS_AUTO_WORKLOAD_TEST_CLUSTER_H_
+#define THORNPLANK_TESTS_AUTO_WORKLOAD_TEST_CLUSTER_H_
 
 #include <map>
 #include <set>
@@ -12,11 +12,11 @@
 
 namespace thornplank::testing {
 
-// A ledger and workers that do at once what the planner decides.
-class World {
+// A ledger and workers that apply the planner's decisions at once.
+class TestCluster {
  public:
-  World(int racks, int workers_per_rack,
-        const WorkerBounds& bounds = WorkerBounds())
+  TestCluster(int racks, int workers_per_rack,
+              const WorkerBounds& bounds = WorkerBounds())
       : planner(SettingsWith(bounds)) {
     for (int rack = 0; rack < racks; ++rack) {
       for (int i = 0; i < workers_per_rack; ++i) {
@@ -60,7 +60,8 @@
     return plan;
   }
 
-  // The stops of a round take effect; a gang ends with any of its members.
+  // Ends the runs that a round decided to stop; a gang ends with any of its
+  // members.
   void CarryOutStops() {
     std::set<StepRef> broken;
     for (const auto& [id, worker] : workers) {
@@ -136,4 +137,4 @@
 
 }  // namespace thornplank::testing
 
-#endif  // THORNPLANK_TESTS_AUTO_WORKLOAD_PLANNER_WORLD_H_
+#endif  // THORNPLANK_TESTS_AUTO_WORKLOAD_TEST_CLUSTER_H_
--- a/tests/auto/workload/tst_closed_domains.cc
+++ b/tests/auto/workload/tst_closed_domains.cc
@@ -1,4 +1,4 @@
-// Failure domains that take no new work.
+// Closing and opening failure domains.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -11,7 +11,7 @@
 namespace thornplank {
 namespace {
 
-TEST_CASE("the last change of a domain counts") {
+TEST_CASE("the last change of a domain wins") {
   struct Row {
     const char* name;
     std::function<void(ClosedDomains*)> changes;
@@ -19,48 +19,48 @@
   };
   const std::vector<Row> rows = {
       {"none", [](ClosedDomains*) {}, {}},
-      {"two at once",
+      {"two domains",
        [](ClosedDomains* d) {
          d->Apply("a", true, 1);
          d->Apply("b", true, 2);
        },
        {"a", "b"}},
-      {"taken back",
+      {"closed, then opened",
        [](ClosedDomains* d) {
          d->Apply("a", true, 1);
          d->Apply("a", false, 2);
        },
        {}},
-      {"and asked for again",
+      {"closed again",
        [](ClosedDomains* d) {
          d->Apply("a", true, 1);
          d->Apply("a", false, 2);
          d->Apply("a", true, 3);
        },
        {"a"}},
-      {"a read that is behind changes nothing",
+      {"a read that is older changes nothing",
        [](ClosedDomains* d) {
          d->Apply("a", true, 3);
          d->Apply("a", false, 2);
        },
        {"a"}},
-      {"opened, never closed",
+      {"opened without being closed",
        [](ClosedDomains* d) { d->Apply("a", false, 1); },
        {}},
-      {"read anew without it",
+      {"a later snapshot without it",
        [](ClosedDomains* d) {
          d->Apply("a", true, 1);
          d->OnSnapshot({}, 5);
        },
        {}},
-      {"read anew with it",
+      {"a later snapshot with it",
        [](ClosedDomains* d) {
          d->Apply("a", true, 1);
          d->Apply("b", true, 2);
          d->OnSnapshot({"a"}, 5);
        },
        {"a"}},
-      {"read anew up to before it was closed",
+      {"a snapshot up to before it was closed",
        [](ClosedDomains* d) {
          d->Apply("a", true, 5);
          d->OnSnapshot({}, 5);
@@ -76,7 +76,7 @@
   }
 }
 
-TEST_CASE("only changes are told") {
+TEST_CASE("only changes are returned") {
   ClosedDomains domains;
   CHECK(domains.Apply("a", true, 1));
   CHECK_FALSE(domains.Apply("a", true, 2));
--- a/tests/auto/workload/tst_crash_record.cc
+++ b/tests/auto/workload/tst_crash_record.cc
@@ -1,4 +1,4 @@
-// Which tasks are given up for the workers that were lost under them.
+// When a task is given up because workers were lost while they ran it.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -17,8 +17,8 @@
 struct RunCase {
   RunEnd end = RunEnd::kWorkerCrashed;
   bool began = true;
-  // Until its worker fell silent.
-  int64_t borne_ms = 20;
+  // Milliseconds from its start until its worker fell silent.
+  int64_t survived_ms = 20;
 };
 
 constexpr RunCase kAtStart{};
@@ -36,7 +36,7 @@
   lost.worker = "w" + std::to_string(number);
   lost.crashed = run.end == RunEnd::kWorkerCrashed;
   lost.began = run.began;
-  lost.survived = Milliseconds(run.borne_ms);
+  lost.survived = Milliseconds(run.survived_ms);
   return lost;
 }
 
@@ -46,7 +46,7 @@
   return ledger;
 }
 
-// A leader that died, and another that has only what was stored.
+// The ledger of a new leader that has only what the previous one stored.
 JobLedger Successor(const JobLedger& before, const StepSpec& step) {
   JobLedger after = LedgerWith(step);
   ProgressBlocks blocks;
@@ -58,58 +58,67 @@
   return after;
 }
 
-// Guards against runs that are lost with their workers and count nowhere: one
-// task took down 26 workers, and did not stop.
-TEST_CASE("when a task is given up for the workers that it took down") {
+// Guards against lost runs that are counted nowhere: one task crashed 26
+// workers and was started again each time.
+TEST_CASE("when a task is given up because of the workers it crashed") {
   struct Row {
     const char* name;
     bool long_running;
     std::vector<RunCase> runs;
-    // The runs after which its job has failed; 0: none.
+    // The number of runs after which its job has failed; 0: it never does.
     size_t failed_after;
     int64_t estimate_ms = 1000;
   };
   const std::vector<Row> rows = {
       {"each start crashes its worker", false, {kAtStart, kAtStart}, 2},
-      {"one crash is nobody's fault", false, {kAtStart}, 0},
-      {"later than its start", false, {kAtWork, kAtWork, kAtWork, kAtWork}, 4},
-      {"racks lose power under it twice", false, {kAtWork, kAtWork}, 0},
-      {"three times, then it ends", false, {kAtWork, kAtWork, kAtWork}, 0},
-      {"before it can answer",
+      {"one crash shows no cause", false, {kAtStart}, 0},
+      {"crashes later than the start",
+       false,
+       {kAtWork, kAtWork, kAtWork, kAtWork},
+       4},
+      {"its racks lose power twice", false, {kAtWork, kAtWork}, 0},
+      {"three crashes, then no more", false, {kAtWork, kAtWork, kAtWork}, 0},
+      {"crashes before the order is answered",
        false,
        {kNoAnswer, kNoAnswer, kNoAnswer, kNoAnswer},
        4},
-      {"a worker bore it in between", false, {kAtStart, kStopped, kAtStart}, 0},
-      {"one that left in between", false, {kAtStart, kLeft, kAtStart}, 0},
-      {"one that crashed later in between",
+      {"a worker survives it in between",
+       false,
+       {kAtStart, kStopped, kAtStart},
+       0},
+      {"a worker leaves in between", false, {kAtStart, kLeft, kAtStart}, 0},
+      {"a worker crashes later in between",
        false,
        {kAtStart, kAtWork, kAtStart},
        0},
-      {"orders that nobody took in between",
+      {"orders that were not accepted in between",
        false,
        {kAtStart, kNeverBegan, kNeverBegan, kAtStart},
        4},
-      {"so late that it may have ended unheard",
+      {"so late that it may have ended unnoticed",
        false,
        {kAtStart, kAtStart},
        0,
        30},
-      {"of a task without an estimate", false, {kAtStart, kAtStart}, 2, 0},
+      {"a task without an estimate", false, {kAtStart, kAtStart}, 2, 0},
       {"a quarter of a second after its start", false, {kSoon, kSoon}, 0},
-      {"workers that are never heard of again",
+      {"workers that stay silent",
        false,
        {kSilent, kSilent, kSilent, kSilent},
        4},
       {"workers that leave", false, {kLeft, kLeft, kLeft, kLeft, kLeft}, 0},
-      {"a task that lasts, each time for long",
+      {"a long-running task that runs for long each time",
        true,
        {kLong, kLong, kLong, kLong, kLong},
        0},
-      {"a task that lasts, and is borne in between",
+      {"a long-running task that runs for long once",
        true,
        {kAtWork, kAtWork, kAtWork, kLong, kAtWork, kAtWork, kAtWork},
        0},
-      {"a task that lasts, at its start", true, {kAtStart, kAtStart}, 2},
+      {"a long-running task that crashes workers at its start",
+       true,
+       {kAtStart, kAtStart},
+       2},
   };
   for (const Row& row : rows) {
     for (const bool leaders_change : {false, true}) {
@@ -133,7 +142,7 @@
   }
 }
 
-TEST_CASE("a gang is given up for the one member that crashes its workers") {
+TEST_CASE("a gang is given up when one of its members crashes workers") {
   StepSpec step = MakeStep(3, 1);
   step.gang = true;
   JobLedger ledger = LedgerWith(step);
@@ -149,7 +158,9 @@
   CHECK(ledger.Find(kStep.job)->state == JobState::kFailed);
 }
 
-TEST_CASE("a job that is given up says which workers were lost, under what") {
+TEST_CASE(
+    "the failure of a job that is given up names the task and its lost "
+    "workers") {
   JobLedger ledger = LedgerWith(MakeStep(1, 1));
   for (int run = 1; run <= 2; ++run) {
     ledger.RecordStart(kStep, {{0, "w"}});
--- a/tests/auto/workload/tst_gang_review.cc
+++ b/tests/auto/workload/tst_gang_review.cc
@@ -1,4 +1,4 @@
-// Which gangs are told to stop, all members at one moment, and which go on.
+// Which gangs are stopped, with all members at once, and which continue.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -14,11 +14,11 @@
 
 constexpr int64_t kBegin = 1000;
 
-// A gang of three, each on a worker of its own. Reports come every half second,
-// as long as `Work` is told.
-class GangWorld {
+// A gang of three members, each on its own worker. Members report every half
+// second while Work() runs.
+class TestGang {
  public:
-  explicit GangWorld(bool checkpointable) {
+  explicit TestGang(bool checkpointable) {
     RunProfile profile;
     profile.gang = true;
     profile.checkpointable = checkpointable;
@@ -33,8 +33,8 @@
 
   static TaskRef Task(int index) { return {{"0123456789abcdef", 0, 0}, index}; }
 
-  // Each member does its percents a second until `end`, reported half a second
-  // apart.
+  // Advances each member by its rate in percent per second until `end`, with a
+  // report every half second.
   void Work(const std::vector<double>& rates, int64_t end) {
     for (int64_t when = last_ + 500; when <= end; when += 500) {
       last_ = when;
@@ -74,26 +74,28 @@
   std::vector<double> done_ = {0, 0, 0};
 };
 
-// A third of the workers turned five times slower for 6 to 8 s while urgent
-// gangs came: each that was moved off threw away what all members had done, and
-// was no earlier. 92 of 540 workers went at 2 s notice, twice: gangs worked on
-// there until they were gone. Tasks stood still on a tenth of the workers.
-TEST_CASE("a gang stops for what one of its members shows") {
+// Guards against three faults. A third of the workers were five times slower
+// for 6 to 8 s while urgent gangs ran: each gang that was moved lost the work
+// of all members and finished no sooner. 92 of 540 workers left at 2 s notice,
+// twice: gangs continued there until the workers were gone. Tasks made no
+// progress on a tenth of the workers.
+TEST_CASE("why a gang is stopped because of one member") {
   struct Row {
     const char* name;
     bool checkpointable;
-    // Percents a second, of each member.
+    // Percent per second, by member.
     std::vector<double> rates;
-    // Told to leave then, with so much left; -1: it stays.
-    int64_t told;
+    // When the first worker announces its departure, and how many milliseconds
+    // ahead; told -1: it stays.
+    int64_t announced_at;
     int64_t left;
-    // When it is judged, from the begin of the day.
+    // Time of the review, in milliseconds.
     int64_t now;
     std::string reason;
   };
   const std::vector<Row> rows = {
-      {"works", false, {40, 40, 40}, -1, 0, 2000, ""},
-      {"one stands still",
+      {"all make progress", false, {40, 40, 40}, -1, 0, 2000, ""},
+      {"one makes no progress",
        false,
        {40, 40, 0},
        -1,
@@ -102,16 +104,34 @@
        "makes no progress"},
       {"not long enough to tell", false, {40, 40, 0}, -1, 0, 1500, ""},
       {"a long gang is given more time", false, {10, 10, 0}, -1, 0, 3500, ""},
-      {"but not for ever",
+      {"a long gang is not given unlimited time",
        false,
        {10, 10, 0},
        -1,
        0,
        4500,
        "makes no progress"},
-      {"one is done and waits", false, {10, 10, 100}, -1, 0, 9000, ""},
-      {"one is five times slower, lately", false, {10, 10, 2}, -1, 0, 4000, ""},
-      {"and stays so", false, {10, 10, 2}, -1, 0, 11000, "slow worker"},
+      {"one is done and waits for the others",
+       false,
+       {10, 10, 100},
+       -1,
+       0,
+       9000,
+       ""},
+      {"one has been five times slower for a short time",
+       false,
+       {10, 10, 2},
+       -1,
+       0,
+       4000,
+       ""},
+      {"one has been five times slower for long",
+       false,
+       {10, 10, 2},
+       -1,
+       0,
+       11000,
+       "slow worker"},
       {"one is a little slower", false, {10, 10, 7}, -1, 0, 11000, ""},
       {"a worker leaves before the end",
        false,
@@ -120,22 +140,28 @@
        1900,
        3000,
        "worker leaves"},
-      {"it leaves after the end", false, {40, 40, 40}, 2000, 1900, 2000, ""},
-      {"the slowest decides when that is",
+      {"a worker leaves after the end",
+       false,
+       {40, 40, 40},
+       2000,
+       1900,
+       2000,
+       ""},
+      {"a worker leaves before the slowest member ends",
        false,
        {40, 40, 20},
        2000,
        1900,
        2000,
        "worker leaves"},
-      {"its work is saved: it works on for now",
+      {"checkpointable work continues for now",
        true,
        {10, 10, 10},
        3000,
        1900,
        3000,
        ""},
-      {"and stops in time",
+      {"checkpointable work stops in time",
        true,
        {10, 10, 10},
        3000,
@@ -145,10 +171,10 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    GangWorld world(row.checkpointable);
-    world.Work(row.rates, row.now);
-    if (row.told >= 0) world.Leave(0, row.left, row.told);
-    const std::vector<GangVerdict> verdicts = world.FindRunsToStop(row.now);
+    TestGang gang(row.checkpointable);
+    gang.Work(row.rates, row.now);
+    if (row.announced_at >= 0) gang.Leave(0, row.left, row.announced_at);
+    const std::vector<GangVerdict> verdicts = gang.FindRunsToStop(row.now);
     CHECK(verdicts.size() == (row.reason.empty() ? 0 : 3));
     int stalled = 0;
     for (const GangVerdict& verdict : verdicts) {
@@ -160,17 +186,18 @@
   }
 }
 
-TEST_CASE("a gang that is not whole, or is stopping, is left alone") {
-  GangWorld world(/*checkpointable=*/false);
-  world.Work({40, 40, 0}, 2500);
-  REQUIRE_FALSE(world.FindRunsToStop(2500).empty());
+TEST_CASE(
+    "a gang that is not running completely, or is stopping, is not stopped") {
+  TestGang gang(/*checkpointable=*/false);
+  gang.Work({40, 40, 0}, 2500);
+  REQUIRE_FALSE(gang.FindRunsToStop(2500).empty());
   SUBCASE("a member is being stopped") {
-    world.workers.at("w0").Find(GangWorld::Task(0))->stop_wanted = true;
+    gang.workers.at("w0").Find(TestGang::Task(0))->stop_wanted = true;
   }
   SUBCASE("a member is not known to run") {
-    world.workers.at("w0").Find(GangWorld::Task(0))->stage = RunStage::kUnknown;
+    gang.workers.at("w0").Find(TestGang::Task(0))->stage = RunStage::kUnknown;
   }
-  CHECK(world.FindRunsToStop(2500).empty());
+  CHECK(gang.FindRunsToStop(2500).empty());
 }
 
 }  // namespace
--- a/tests/auto/workload/tst_job_definition.cc
+++ b/tests/auto/workload/tst_job_definition.cc
@@ -1,4 +1,4 @@
-// What a job may be, its stored form, and the names of tasks.
+// Limits for jobs, their stored form, and references to tasks.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -20,7 +20,7 @@
     bool valid;
   };
   const std::vector<Row> rows = {
-      {"as it is", [](JobDefinition*) {}, true},
+      {"unchanged", [](JobDefinition*) {}, true},
       {"no steps", [](JobDefinition* job) { job->steps.clear(); }, false},
       {"no tasks", [](JobDefinition* job) { job->steps[0].count = 0; }, false},
       {"too many tasks",
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("a stored job is read back as it was") {
+TEST_CASE("a stored job is decoded unchanged") {
   StepSpec step = MakeStep(3, 2);
   step.gang = true;
   step.same_rack = true;
@@ -85,7 +85,7 @@
   CHECK(read->policy.advice->time_per_worker == Milliseconds(2));
 }
 
-TEST_CASE("any bytes are refused without harm") {
+TEST_CASE("arbitrary bytes are decoded or refused without harm") {
   CHECK(rc::check([](const std::string& bytes) {
     Error error;
     if (!DecodeJob(bytes, &error)) RC_ASSERT(!error.reason.empty());
@@ -107,7 +107,7 @@
   }));
 }
 
-TEST_CASE("names of tasks are read as they are written") {
+TEST_CASE("references to tasks are parsed from their text") {
   const TaskRef task{{"0123456789abcdef", 2, 3}, 17};
   CHECK(task.ToString() == "0123456789abcdef.2.3.17");
   CHECK(ParseTaskRef(task.ToString()) == task);
--- a/tests/auto/workload/tst_job_ledger.cc
+++ b/tests/auto/workload/tst_job_ledger.cc
@@ -1,4 +1,4 @@
-// Transitions of tasks, steps and jobs.
+// State transitions of tasks, steps and jobs.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -40,8 +40,8 @@
        JobState::kRunning},
       {"its worker crashed", RunEnd::kWorkerCrashed, TaskPhase::kWaiting, 0,
        JobState::kRunning},
-      {"its worker was not heard of", RunEnd::kWorkerSilent,
-       TaskPhase::kWaiting, 0, JobState::kRunning},
+      {"its worker was silent", RunEnd::kWorkerSilent, TaskPhase::kWaiting, 0,
+       JobState::kRunning},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -58,7 +58,7 @@
   }
 }
 
-TEST_CASE("only the run in force counts, but a done one always does") {
+TEST_CASE("only the current run counts, but a completed run always does") {
   JobLedger ledger;
   ledger.Add(MakeJob(kJob, {MakeStep(1, 1)}), At(0));
   ledger.RecordStart(Ref(0), {{0, "w"}});
@@ -71,7 +71,7 @@
   CHECK_FALSE(ledger.RecordRunEnd(Task(0, 0), 2, RunEnd::kDone, ""));
 }
 
-TEST_CASE("a job fails after its attempts, a gang counts one for all") {
+TEST_CASE("a job fails after its attempts, a gang's failed run counts once") {
   JobLedger ledger;
   ledger.Add(MakeJob(kJob, {Gang(3)}), At(0));
   for (int run = 1; run <= 2; ++run) {
@@ -84,7 +84,9 @@
   CHECK(ledger.Find(kJob)->state == JobState::kFailed);
 }
 
-TEST_CASE("one end of a gang stands for all, and so does a checkpoint") {
+TEST_CASE(
+    "the completion of one gang member counts for all, and so does a "
+    "checkpoint") {
   JobLedger ledger;
   ledger.Add(MakeJob(kJob, {Gang(3)}), At(0));
   ledger.RecordStart(Ref(0), {{0, "u"}, {1, "v"}, {2, "w"}});
@@ -94,7 +96,7 @@
   CHECK(ledger.Find(kJob)->state == JobState::kCompleted);
 }
 
-TEST_CASE("a step is ready once all tasks before it are done") {
+TEST_CASE("a step is ready once all steps that it depends on are done") {
   JobLedger ledger;
   Job& job =
       ledger.Add(MakeJob(kJob, {MakeStep(2, 1), MakeStep(1, 1, {0})}), At(0));
@@ -120,7 +122,7 @@
   }
 }
 
-TEST_CASE("progress that was stored is taken up by a successor") {
+TEST_CASE("stored progress is restored by the next leader") {
   JobLedger before;
   const JobDefinition job =
       MakeJob(kJob, {MakeStep(3, 1), MakeStep(1, 1, {0})});
--- a/tests/auto/workload/tst_pace_control.cc
+++ b/tests/auto/workload/tst_pace_control.cc
@@ -1,4 +1,5 @@
-// How the pace of tasks that fill follows the tails beside them.
+// How the pace of filler tasks follows the tail latencies of the serving tasks
+// on the same worker.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -17,7 +18,8 @@
   return Time{} + std::chrono::hours(1) + milliseconds(ms);
 }
 
-// Reports every half second.
+// The pace after reports of these tail latencies, in milliseconds, every half
+// second.
 int PaceAfter(const std::vector<int>& tails, PaceControl* control,
               int64_t* clock) {
   for (const int tail : tails) {
@@ -27,7 +29,7 @@
   return control->pace();
 }
 
-TEST_CASE("the pace falls with the tails") {
+TEST_CASE("the pace falls as tail latencies rise") {
   struct Row {
     std::string name;
     std::vector<int> tails;
@@ -37,9 +39,9 @@
       {"well below", {50, 50, 50}, 100},
       {"between rise and fall", {80, 80, 80}, 100},
       {"near the target", {95}, 66},
-      {"over it", {101}, 25},
-      {"over it for two seconds", {150, 150, 150, 150}, 0},
-      {"near it for long: too slow to be of use",
+      {"above the target", {101}, 25},
+      {"above the target for two seconds", {150, 150, 150, 150}, 0},
+      {"near the target for long: too slow to be useful",
        {95, 95, 95, 95, 95, 95, 95, 95},
        0},
   };
@@ -51,18 +53,21 @@
   }
 }
 
-TEST_CASE("the pace rises by steps once all has been calm for a while") {
+TEST_CASE(
+    "the pace rises in steps once all tail latencies have been low for a "
+    "while") {
   PaceControl control;
   int64_t clock = 0;
   REQUIRE(PaceAfter({150, 150, 150}, &control, &clock) == 0);
   CHECK(PaceAfter({50, 50}, &control, &clock) == 0);
   CHECK(PaceAfter({50}, &control, &clock) == 20);
   CHECK(PaceAfter({50, 50, 50}, &control, &clock) == 40);
-  // Not calm enough to rise, not near enough to fall.
+  // Too high for the pace to rise, not high enough for it to fall.
   CHECK(PaceAfter({80, 80, 80, 80, 80}, &control, &clock) == 40);
 }
 
-TEST_CASE("the worst tail counts, and none without a target") {
+TEST_CASE(
+    "the worst tail latency decides, those without a target are ignored") {
   PaceControl control;
   control.Observe({{milliseconds(10), kTarget}, {milliseconds(500), kTarget}},
                   At(0));
--- a/tests/auto/workload/tst_progress_block.cc
+++ b/tests/auto/workload/tst_progress_block.cc
@@ -1,4 +1,4 @@
-// What is stored of a step's progress, and what a successor makes of it.
+// The stored form of a step's progress, and how a new leader restores it.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -43,8 +43,10 @@
     std::vector<int> sizes;
   };
   const std::vector<Row> rows = {
-      {"no tasks", Wide(0), {}},        {"one task", Wide(1), {1}},
-      {"one full block", Wide(4), {4}}, {"a rest", Wide(9), {4, 4, 1}},
+      {"no tasks", Wide(0), {}},
+      {"one task", Wide(1), {1}},
+      {"one full block", Wide(4), {4}},
+      {"a partial last block", Wide(9), {4, 4, 1}},
       {"a gang", Wide(9, true), {9}},
   };
   for (const Row& row : rows) {
@@ -63,27 +65,27 @@
   }
 }
 
-TEST_CASE("a task's record brings back all that is asked of it later") {
+TEST_CASE("a task's record keeps everything that is needed later") {
   struct Row {
     const char* name;
     TaskStatus stored;
     TaskStatus read;
   };
   const std::vector<Row> rows = {
-      {"never begun", {}, {}},
-      {"at work",
+      {"never started", {}, {}},
+      {"active",
        {TaskPhase::kActive, 3, 1, "worker", "saved"},
        {TaskPhase::kActive, 3, 1, "worker", "saved"}},
-      {"waits again",
+      {"waiting again",
        {TaskPhase::kWaiting, 3, 1, "", "saved"},
        {TaskPhase::kWaiting, 3, 1, "", "saved"}},
-      {"waits again after crashes",
+      {"waiting again after crashes",
        {TaskPhase::kWaiting, 3, 0, "", "", {{"w1", "w2"}, 1}},
        {TaskPhase::kWaiting, 3, 0, "", "", {{"w1", "w2"}, 1}}},
-      {"at work after a crash, as by now without failures",
+      {"active again after a crash, without failures",
        {TaskPhase::kActive, 2, 0, "w3", "", {{"w1"}, 0}},
        {TaskPhase::kActive, 2, 0, "w3", "", {{"w1"}, 0}}},
-      {"done, without what nobody needs",
+      {"done, without what is no longer needed",
        {TaskPhase::kDone, 3, 0, "", "saved"},
        {TaskPhase::kDone, 3, 0, "", ""}},
       {"done after failures",
@@ -105,7 +107,7 @@
   CHECK(error.step == "decode progress");
 }
 
-TEST_CASE("a step comes back from its blocks, whichever were stored") {
+TEST_CASE("a step is restored from the blocks that were stored") {
   const StepSpec spec = Wide(9);
   const JobDefinition job = MakeJob(kStep.job, {spec});
   JobLedger before;
@@ -127,8 +129,8 @@
   CHECK(after.TakeDirtyBlocks().empty());
 }
 
-// A former release kept each step in one record.
-TEST_CASE("a step in one record is taken up and stored in blocks") {
+// An earlier release stored each step in one record.
+TEST_CASE("a step in one record is restored and stored in blocks") {
   const StepSpec spec = Wide(9);
   JobLedger ledger;
   ledger.Add(MakeJob(kStep.job, {spec}), At(0));
@@ -165,9 +167,10 @@
   }
 }
 
-// Every entry reads what the leader writes, so bytes grow with entries times
-// work. Here the ends of a wide step are stored one at a time.
-TEST_CASE("the tasks of a wide step are stored in bytes that grow with them") {
+// Guards against records whose size grows with the step: every entry reads what
+// the leader writes, so the bytes read grow with the number of entries. Here
+// the ends of a wide step are stored one at a time.
+TEST_CASE("the bytes stored for a wide step grow linearly with its tasks") {
   constexpr int kTasks = 40;
   constexpr size_t kMostBytesOfTask = 150;
   JobLedger ledger;
--- a/tests/auto/workload/tst_run_review.cc
+++ b/tests/auto/workload/tst_run_review.cc
@@ -1,4 +1,4 @@
-// Which runs are told to stop, and which go on.
+// Which runs are stopped, and which continue.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -13,7 +13,7 @@
 const TaskRef kTask{{"0123456789abcdef", 0, 0}, 0};
 const TaskRef kSibling{{"0123456789abcdef", 0, 0}, 1};
 
-// A worker with one run that begins at once.
+// A worker with one run that starts at once.
 WorkerTracker Running(const std::string& id, const TaskRef& task,
                       const RunProfile& profile) {
   WorkerTracker worker = MakeTracker(MakeWorker(id, "r0"));
@@ -30,38 +30,39 @@
   worker->OnReport(report, At(when), At(when), &unexpected);
 }
 
-TEST_CASE("a run stops for what it or its worker shows") {
+TEST_CASE("why a run is stopped") {
   struct Row {
     const char* name;
     bool gang;
     bool long_running;
     bool checkpointable;
     int percent;
-    // Of its sibling on another worker, after as long; none if zero.
+    // Progress of its sibling on another worker after the same time; 0: there
+    // is none.
     int sibling_percent;
     bool draining;
-    // Since the report.
+    // Milliseconds since the report.
     int64_t later;
     std::string reason;
   };
   const std::vector<Row> rows = {
-      {"works", false, false, false, 20, 0, false, 1000, ""},
-      {"stands still", false, false, false, 20, 0, false, 5001,
+      {"makes progress", false, false, false, 20, 0, false, 1000, ""},
+      {"no progress for long", false, false, false, 20, 0, false, 5001,
        "makes no progress"},
-      {"a member that is done waits", true, false, false, 100, 0, false, 9000,
+      {"a gang member that is done waits", true, false, false, 100, 0, false,
+       9000, ""},
+      {"a long-running task has no end", false, true, false, 20, 0, false, 9000,
        ""},
-      {"a task that lasts has no end", false, true, false, 20, 0, false, 9000,
-       ""},
-      {"its worker leaves, its work is saved", false, false, true, 20, 0, true,
+      {"its worker leaves, checkpointable", false, false, true, 20, 0, true,
        100, "worker leaves"},
-      {"its worker leaves, nothing is saved", false, false, false, 20, 0, true,
-       100, ""},
-      {"slower by 5, but its sibling may have less to do", false, false, false,
-       10, 50, false, 100, ""},
-      {"a member slower by 5 is judged with its gang", true, false, false, 10,
-       50, false, 100, ""},
-      {"and so is one whose worker leaves", true, false, true, 20, 0, true, 100,
-       ""},
+      {"its worker leaves, not checkpointable", false, false, false, 20, 0,
+       true, 100, ""},
+      {"five times slower, but its sibling may have less work", false, false,
+       false, 10, 50, false, 100, ""},
+      {"a gang member five times slower is left to the gang review", true,
+       false, false, 10, 50, false, 100, ""},
+      {"a gang member whose worker leaves is left to the gang review", true,
+       false, true, 20, 0, true, 100, ""},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -97,16 +98,16 @@
   }
 }
 
-TEST_CASE("a task on a slow worker is moved where its siblings are alike") {
+TEST_CASE("a task on a slow worker is moved if its siblings are alike") {
   struct Row {
     const char* name;
-    // Percents that the siblings have done.
+    // Progress of the siblings in percent.
     std::vector<int> siblings;
     std::string reason;
   };
   const std::vector<Row> rows = {
       {"alike", {50, 48, 52, 50}, "slow worker"},
-      {"each has another amount of work", {50, 20, 90, 33}, ""},
+      {"different amounts of work", {50, 20, 90, 33}, ""},
       {"too few to tell", {50, 50}, ""},
   };
   for (const Row& row : rows) {
@@ -123,7 +124,7 @@
     WorkerTracker worker = Running("w1", kTask, RunProfile());
     Report(&worker, kTask, 8, 2000);
     review.Observe(&worker, At(2000));
-    // Of many siblings not each report is judged.
+    // With many siblings not every report is evaluated.
     Report(&worker, kTask, 9, 2300);
     review.Observe(&worker, At(2300));
     const std::vector<RunVerdict> verdicts =
--- a/tests/auto/workload/tst_speed_estimator.cc
+++ b/tests/auto/workload/tst_speed_estimator.cc
@@ -1,4 +1,4 @@
-// Speeds of workers from the progress of sibling tasks.
+// Speeds of workers, estimated from the progress of sibling tasks.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -14,18 +14,19 @@
 
 const StepRef kStep{"0123456789abcdef", 0, 0};
 
-// Of a run that has done half of its work.
-ProgressSample Pace(int index, bool gang, double rate, double slowdown = 1) {
-  return {{kStep, index}, gang, rate, /*told_by=*/50, slowdown};
+// A sample of a run that has done half of its work.
+ProgressSample Sample(int index, bool gang, double rate, double slowdown = 1) {
+  return {{kStep, index}, gang, rate, /*percent_observed=*/50, slowdown};
 }
 
-TEST_CASE("a worker is as slow as its task against the siblings") {
+TEST_CASE(
+    "the speed of a worker is that of its task relative to the siblings") {
   struct Row {
     const char* name;
     bool gang;
-    // Worker, percent a second, slowdown away from its data.
+    // Worker, percent per second, slowdown away from its data.
     std::vector<std::tuple<std::string, double, double>> rates;
-    // Of the worker that was observed last.
+    // Speed of the worker that was observed last.
     double speed;
   };
   const std::vector<Row> rows = {
@@ -37,7 +38,7 @@
        true,
        {{"a", 10, 1}, {"b", 9, 1}, {"c", 2, 1}},
        0.2},
-      {"no gang, its sibling may have less to do",
+      {"no gang, its sibling may have less work",
        false,
        {{"a", 10, 1}, {"b", 2, 1}},
        1},
@@ -52,66 +53,69 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    SpeedEstimator book;
+    SpeedEstimator estimator;
     int index = 0;
     for (const auto& [worker, rate, slowdown] : row.rates) {
-      book.Observe(worker, Pace(index++, row.gang, rate, slowdown), At(0));
-      // Of more siblings not each report is judged.
-      book.Observe(worker, Pace(index - 1, row.gang, rate, slowdown),
-                   At(index * 300));
+      estimator.Observe(worker, Sample(index++, row.gang, rate, slowdown),
+                        At(0));
+      // With many siblings not every report is evaluated.
+      estimator.Observe(worker, Sample(index - 1, row.gang, rate, slowdown),
+                        At(index * 300));
     }
-    CHECK(book.speed(std::get<0>(row.rates.back()), At(index * 300)) ==
+    CHECK(estimator.speed(std::get<0>(row.rates.back()), At(index * 300)) ==
           doctest::Approx(row.speed).epsilon(0.01));
   }
 }
 
-// A third of the workers takes 1.3 times as long for good, another is slowed
-// for a while.
-TEST_CASE("hardware is told from spells") {
-  SpeedEstimator book;
+// Some hardware always takes 1.3 times as long, and one worker is slowed
+// temporarily.
+TEST_CASE("slow hardware is told from temporary slowness") {
+  SpeedEstimator estimator;
   for (int second = 0; second < 4; ++second) {
     int index = 0;
     for (const auto& [worker, rate] :
          std::vector<std::pair<std::string, double>>{
              {"a", 26}, {"b", 26}, {"c", 26}, {"old", 20}, {"slowed", 5}}) {
-      book.Observe(worker, Pace(index++, true, rate), At(second * 1000));
+      estimator.Observe(worker, Sample(index++, true, rate), At(second * 1000));
     }
   }
-  CHECK(book.steady_speed("a") == doctest::Approx(1).epsilon(0.01));
-  CHECK(book.steady_speed("old") == doctest::Approx(0.77).epsilon(0.01));
-  CHECK(book.steady_speed("slowed") == 1);
-  CHECK(book.speed("slowed", At(3000)) < 0.25);
-  CHECK(book.speed("slowed", At(10000)) == 1);
-  CHECK(book.speed("old", At(10000)) == doctest::Approx(0.77).epsilon(0.01));
+  CHECK(estimator.steady_speed("a") == doctest::Approx(1).epsilon(0.01));
+  CHECK(estimator.steady_speed("old") == doctest::Approx(0.77).epsilon(0.01));
+  CHECK(estimator.steady_speed("slowed") == 1);
+  CHECK(estimator.speed("slowed", At(3000)) < 0.25);
+  CHECK(estimator.speed("slowed", At(10000)) == 1);
+  CHECK(estimator.speed("old", At(10000)) ==
+        doctest::Approx(0.77).epsilon(0.01));
 
-  SUBCASE("workers of one speed among themselves keep what is known of them") {
-    book.Observe("older", Pace(5, true, 20), At(4000));
-    book.Observe("old", Pace(3, true, 20), At(4000));
+  SUBCASE("equal rates among slow workers do not change their steady speed") {
+    estimator.Observe("older", Sample(5, true, 20), At(4000));
+    estimator.Observe("old", Sample(3, true, 20), At(4000));
     const StepRef other{"fedcba9876543210", 0, 0};
     for (int i = 0; i < 10; ++i) {
-      book.Observe("old", {{other, 0}, true, 10, 50, 1}, At(5000));
-      book.Observe("older", {{other, 1}, true, 10, 50, 1}, At(5000));
+      estimator.Observe("old", {{other, 0}, true, 10, 50, 1}, At(5000));
+      estimator.Observe("older", {{other, 1}, true, 10, 50, 1}, At(5000));
     }
-    CHECK(book.steady_speed("old") == doctest::Approx(0.77).epsilon(0.02));
-    CHECK(book.steady_speed("older") == doctest::Approx(0.77).epsilon(0.02));
+    CHECK(estimator.steady_speed("old") == doctest::Approx(0.77).epsilon(0.02));
+    CHECK(estimator.steady_speed("older") ==
+          doctest::Approx(0.77).epsilon(0.02));
   }
-  SUBCASE("the first percents of a run say nothing of hardware") {
+  SUBCASE("the first few percent of a run do not change the steady speed") {
     const StepRef other{"fedcba9876543210", 0, 0};
-    book.Observe("a", {{other, 0}, true, 10, 4, 1}, At(5000));
-    book.Observe("new", {{other, 1}, true, 8, 4, 1}, At(5000));
-    CHECK(book.steady_speed("new") == 1);
+    estimator.Observe("a", {{other, 0}, true, 10, 4, 1}, At(5000));
+    estimator.Observe("new", {{other, 1}, true, 8, 4, 1}, At(5000));
+    CHECK(estimator.steady_speed("new") == 1);
   }
 }
 
-TEST_CASE("a worker without new evidence counts as sound again") {
-  SpeedEstimator book;
-  book.Observe("a", Pace(0, true, 10), At(0));
-  book.Observe("b", Pace(1, true, 1), At(0));
-  CHECK(book.speed("b", At(5000)) < 0.2);
-  CHECK(book.speed("b", At(7000)) == 1);
-  CHECK(book.NormalDuration(kStep) == std::chrono::seconds(10));
-  book.DropStale(At(100000));
-  CHECK(book.NormalDuration(kStep) == Duration::zero());
+TEST_CASE("a worker without new evidence counts as healthy again") {
+  SpeedEstimator estimator;
+  estimator.Observe("a", Sample(0, true, 10), At(0));
+  estimator.Observe("b", Sample(1, true, 1), At(0));
+  CHECK(estimator.speed("b", At(5000)) < 0.2);
+  CHECK(estimator.speed("b", At(7000)) == 1);
+  CHECK(estimator.NormalDuration(kStep) == std::chrono::seconds(10));
+  estimator.DropStale(At(100000));
+  CHECK(estimator.NormalDuration(kStep) == Duration::zero());
 }
 
 TEST_CASE("progress is measured from the start, or from the first report") {
@@ -120,7 +124,7 @@
     bool resumed;
     double rate;
   };
-  // Reports of 40% after a second and of 60% after two.
+  // Reports of 40% after one second and of 60% after two.
   const std::vector<Row> rows = {
       {"from the start", false, 30},
       {"resumed from a checkpoint", true, 20},
--- a/tests/auto/workload/tst_worker_bounds.cc
+++ b/tests/auto/workload/tst_worker_bounds.cc
@@ -1,15 +1,15 @@
-// Figures of scheduling that must fit what a deployment promises.
+// Scheduling parameters that must fit the time limits of a deployment.
 #include <doctest/doctest.h>
 
 #include <vector>
 
-#include "planner_world.h"
+#include "test_cluster.h"
 #include "workload/worker_bounds.h"
 
 namespace thornplank::testing {
 namespace {
 
-// How long a call of a worker is waited for.
+// Timeout of a call to a worker.
 constexpr Milliseconds kCallTimeout{900};
 
 struct Row {
@@ -31,17 +31,17 @@
 
 const std::vector<Row>& Rows() {
   static const std::vector<Row> kRows = {
-      {"as by default", WorkerBounds()},
+      {"defaults", WorkerBounds()},
       {"short leases, fast stops", Make(6000, 200, 3000, 3000, 2700, 100)},
       {"long leases, slow stops", Make(20000, 1200, 5000, 6000, 6000, 2000)},
       {"tight gangs", Make(4000, 300, 1200, 2000, 1500, 0)},
-      {"stops of a quarter of the reclaim",
+      {"stops of a quarter of the reclaim bound",
        Make(10000, 900, 4000, 4000, 3400, 100)},
   };
   return kRows;
 }
 
-TEST_CASE("every figure fits the bounds") {
+TEST_CASE("all scheduling parameters fit the bounds") {
   for (const Row& row : Rows()) {
     CAPTURE(row.name);
     const WorkerBounds& bounds = row.bounds;
@@ -57,33 +57,34 @@
   CHECK(WorkerBounds().start_order_term() > kCallTimeout);
 }
 
-TEST_CASE("room taken from others is used within the bound on reclaim") {
+TEST_CASE("room freed by evictions is used within the reclaim bound") {
   for (const Row& row : Rows()) {
     CAPTURE(row.name);
-    World world(2, 2, row.bounds);
-    world.ledger.Add(MakeJob(Id(1), {MakeStep(32, 1)}, 2), world.now);
-    world.Round();
-    REQUIRE(world.free_accelerators() == 0);
-    const Time submitted = world.now;
-    world.ledger.Add(MakeJob(Id(2), {Gang(2, 8, true)}, 0), world.now);
-    REQUIRE_FALSE(world.Round().stops.empty());
-    // Others of the same urgency come; the room is kept from them.
-    world.ledger.Add(MakeJob(Id(3), {MakeStep(16, 1)}, 0), world.now);
-    world.now += row.bounds.stop_bound;
-    world.CarryOutStops();
-    world.Round();
-    CHECK(world.ledger.Find(Id(2))->occurrences[0][0].waiting == 0);
-    CHECK(world.now - submitted < row.bounds.reclaim_bound);
+    TestCluster cluster(2, 2, row.bounds);
+    cluster.ledger.Add(MakeJob(Id(1), {MakeStep(32, 1)}, 2), cluster.now);
+    cluster.Round();
+    REQUIRE(cluster.free_accelerators() == 0);
+    const Time submitted = cluster.now;
+    cluster.ledger.Add(MakeJob(Id(2), {Gang(2, 8, true)}, 0), cluster.now);
+    REQUIRE_FALSE(cluster.Round().stops.empty());
+    // Other urgent tasks arrive; the room must stay reserved.
+    cluster.ledger.Add(MakeJob(Id(3), {MakeStep(16, 1)}, 0), cluster.now);
+    cluster.now += row.bounds.stop_bound;
+    cluster.CarryOutStops();
+    cluster.Round();
+    CHECK(cluster.ledger.Find(Id(2))->occurrences[0][0].waiting == 0);
+    CHECK(cluster.now - submitted < row.bounds.reclaim_bound);
   }
 }
 
 TEST_CASE(
-    "a guaranteed gang spreads over racks early enough to begin in time") {
+    "a guaranteed gang spreads over racks early enough to start in time") {
   for (const Row& row : Rows()) {
     CAPTURE(row.name);
-    World world(2, 2, row.bounds);
-    world.guarantees = {{"north", 16}};
-    // One worker of each rack is held for good; a rack could hold the gang.
+    TestCluster cluster(2, 2, row.bounds);
+    cluster.guarantees = {{"north", 16}};
+    // One worker of each rack is occupied permanently; an empty rack could hold
+    // the gang.
     StepSpec lasting = MakeStep(2, 8);
     lasting.long_running = true;
     lasting.max_per_worker = 1;
@@ -91,15 +92,15 @@
     StepSpec other = lasting;
     lasting.data_rack = "r0";
     other.data_rack = "r1";
-    world.ledger.Add(MakeJob(Id(1), {lasting, other}, 1), world.now);
-    world.Round();
-    REQUIRE(world.free_accelerators() == 16);
-    const Time submitted = world.now;
-    world.ledger.Add(MakeJob(Id(2), {Gang(2, 8, true)}, 0), world.now);
-    CHECK(world.Round().starts.empty());
-    world.now += row.bounds.urgent_rack_wait() + Milliseconds(1);
-    CHECK(world.Round().starts.size() == 1);
-    CHECK(world.now - submitted < row.bounds.reclaim_bound);
+    cluster.ledger.Add(MakeJob(Id(1), {lasting, other}, 1), cluster.now);
+    cluster.Round();
+    REQUIRE(cluster.free_accelerators() == 16);
+    const Time submitted = cluster.now;
+    cluster.ledger.Add(MakeJob(Id(2), {Gang(2, 8, true)}, 0), cluster.now);
+    CHECK(cluster.Round().starts.empty());
+    cluster.now += row.bounds.urgent_rack_wait() + Milliseconds(1);
+    CHECK(cluster.Round().starts.size() == 1);
+    CHECK(cluster.now - submitted < row.bounds.reclaim_bound);
   }
 }
 
