--- a/tests/auto/workload/tst_worker_restart.cc
+++ b/tests/auto/workload/tst_worker_restart.cc
@@ -1,4 +1,4 @@
-// A worker that restarts under its id: what becomes of its runs, ends and
+// A worker that restarts under the same id: the effect on its runs, ends and
 // clock.
 #include <doctest/doctest.h>
 
@@ -14,10 +14,10 @@
 const TaskRef kTask{{"0123456789abcdef", 0, 0}, 0};
 const TaskRef kOther{{"0123456789abcdef", 0, 0}, 1};
 
-// The clock of the first life, that of the second begins anew.
+// Clock of the first incarnation; that of the second starts near zero.
 constexpr int64_t kFirstClock = 900000;
-constexpr int64_t kFirstBorn = 5000;
-constexpr int64_t kSecondBorn = 9000;
+constexpr int64_t kFirstStart = 5000;
+constexpr int64_t kSecondStart = 9000;
 
 RunProfile Profile() {
   RunProfile profile;
@@ -25,9 +25,9 @@
   return profile;
 }
 
-WorkerStatusReport Report(int64_t born, int64_t clock) {
+WorkerStatusReport Report(int64_t start, int64_t clock) {
   WorkerStatusReport report;
-  report.incarnation_start.time = FromUnixMilliseconds(born);
+  report.incarnation_start.time = FromUnixMilliseconds(start);
   report.clock = Milliseconds(clock);
   return report;
 }
@@ -38,24 +38,25 @@
   return report;
 }
 
-std::vector<RunEndReport> Hear(WorkerTracker* tracker, int64_t sent,
-                               int64_t heard,
-                               const WorkerStatusReport& report) {
+std::vector<RunEndReport> HandleReport(WorkerTracker* tracker, int64_t sent,
+                                       int64_t received,
+                                       const WorkerStatusReport& report) {
   std::vector<RunReport> unexpected;
-  return tracker->OnReport(report, At(sent), At(heard), &unexpected);
+  return tracker->OnReport(report, At(sent), At(received), &unexpected);
 }
 
-// A worker in its first life, of which twenty ends were recorded.
-WorkerTracker FirstLife() {
+// A worker in its first incarnation, with twenty recorded ends.
+WorkerTracker FirstIncarnation() {
   WorkerTracker tracker(MakeWorker("w", "r1"));
-  Hear(&tracker, 0, 10, WithEnd(Report(kFirstBorn, kFirstClock), 20, kOther));
+  HandleReport(&tracker, 0, 10,
+               WithEnd(Report(kFirstStart, kFirstClock), 20, kOther));
   tracker.OnEndsRecorded(0, 20);
   return tracker;
 }
 
 enum class Order { kNotSent, kSent, kNoAnswer, kAccepted, kInherited };
 
-void Give(WorkerTracker* tracker, Order order, int64_t now) {
+void GiveOrder(WorkerTracker* tracker, Order order, int64_t now) {
   if (order == Order::kInherited) {
     return tracker->Inherit(kTask, 1, Profile(), At(now), At(now + 9000));
   }
@@ -70,37 +71,40 @@
                          At(now));
 }
 
-// Guards against runs that a new life never had and that hold its room for
-// ever, and against a second start of what an order under way may yet begin.
+// Guards against runs that the new incarnation never had but that keep
+// occupying its room, and against a second start of a task whose order is still
+// under way.
 TEST_CASE("what a restart does to a run") {
   struct Row {
     const char* name;
     Order order;
-    // Given at this time; the first report of the new life is asked for at 500.
+    // When the order was given; the first report of the new incarnation is
+    // requested at 500.
     int64_t given;
-    // The new life lists it.
+    // Whether the new incarnation lists the run.
     bool listed;
     bool ended;
   };
   const std::vector<Row> rows = {
-      {"at work before", Order::kAccepted, 100, false, true},
-      {"a predecessor's", Order::kInherited, 100, false, true},
+      {"running before", Order::kAccepted, 100, false, true},
+      {"inherited from the previous leader", Order::kInherited, 100, false,
+       true},
       {"decided, not sent", Order::kNotSent, 100, false, false},
       {"sent", Order::kSent, 100, false, false},
-      {"sent, without an answer", Order::kNoAnswer, 100, false, false},
-      {"accepted since, by whom is not known", Order::kAccepted, 510, false,
-       false},
-      {"begun by the new life", Order::kAccepted, 100, true, false},
-      {"begun by the new life, not answered", Order::kNoAnswer, 100, true,
+      {"sent, not answered", Order::kNoAnswer, 100, false, false},
+      {"accepted since, by either incarnation", Order::kAccepted, 510, false,
        false},
+      {"started by the new incarnation", Order::kAccepted, 100, true, false},
+      {"started by the new incarnation, not answered", Order::kNoAnswer, 100,
+       true, false},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    WorkerTracker tracker = FirstLife();
-    Give(&tracker, row.order, row.given);
-    WorkerStatusReport report = Report(kSecondBorn, 40);
+    WorkerTracker tracker = FirstIncarnation();
+    GiveOrder(&tracker, row.order, row.given);
+    WorkerStatusReport report = Report(kSecondStart, 40);
     if (row.listed) report.running.push_back({kTask, 1, "", 1});
-    const auto ends = Hear(&tracker, 500, 520, report);
+    const auto ends = HandleReport(&tracker, 500, 520, report);
     CHECK(tracker.incarnation() == 1);
     REQUIRE(ends.size() == (row.ended ? 1 : 0));
     CHECK((tracker.Find(kTask) == nullptr) == row.ended);
@@ -109,106 +113,112 @@
   }
 }
 
-TEST_CASE("an order of the life before is settled by a stop alone") {
-  WorkerTracker tracker = FirstLife();
-  Give(&tracker, Order::kNoAnswer, 100);
-  Hear(&tracker, 500, 520, Report(kSecondBorn, 40));
-  // Its deadline was on the clock of the life before.
-  CHECK(Hear(&tracker, 5000, 5020, Report(kSecondBorn, 4540)).empty());
-  CHECK(Hear(&tracker, 9000000, 9000020, Report(kSecondBorn, 9000000)).empty());
+TEST_CASE("an order of the previous incarnation is settled only by a stop") {
+  WorkerTracker tracker = FirstIncarnation();
+  GiveOrder(&tracker, Order::kNoAnswer, 100);
+  HandleReport(&tracker, 500, 520, Report(kSecondStart, 40));
+  // Its deadline referred to the clock of the previous incarnation.
+  CHECK(HandleReport(&tracker, 5000, 5020, Report(kSecondStart, 4540)).empty());
+  CHECK(HandleReport(&tracker, 9000000, 9000020, Report(kSecondStart, 9000000))
+            .empty());
   tracker.OnStopAnswer(kTask, 1, /*acknowledged=*/true, At(9000030));
-  CHECK(Hear(&tracker, 9000040, 9000050, Report(kSecondBorn, 9000010)).size() ==
-        1);
+  CHECK(HandleReport(&tracker, 9000040, 9000050, Report(kSecondStart, 9000010))
+            .size() == 1);
 }
 
 // Guards against tasks that run again after they were done: ends of the new
-// life were passed over by their numbers, and told as recorded.
-TEST_CASE("the numbers of ends begin anew") {
-  WorkerTracker tracker = FirstLife();
+// incarnation were skipped because of their low numbers and acknowledged as
+// recorded.
+TEST_CASE("the numbers of ends restart with each incarnation") {
+  WorkerTracker tracker = FirstIncarnation();
   CHECK(tracker.recorded_ends() == 20);
-  Hear(&tracker, 500, 520, Report(kSecondBorn, 40));
+  HandleReport(&tracker, 500, 520, Report(kSecondStart, 40));
   CHECK(tracker.recorded_ends() == 0);
-  // Stored only now, of the life before.
+  // Ends of the previous incarnation, stored only now.
   tracker.OnEndsRecorded(0, 20);
   CHECK(tracker.recorded_ends() == 0);
-  Give(&tracker, Order::kAccepted, 600);
-  const auto ends =
-      Hear(&tracker, 800, 820, WithEnd(Report(kSecondBorn, 340), 1, kTask));
+  GiveOrder(&tracker, Order::kAccepted, 600);
+  const auto ends = HandleReport(&tracker, 800, 820,
+                                 WithEnd(Report(kSecondStart, 340), 1, kTask));
   REQUIRE(ends.size() == 1);
   CHECK(ends[0].end == RunEnd::kDone);
   CHECK(ends[0].incarnation == 1);
-  // No more than was heard of.
+  // No more than were reported.
   tracker.OnEndsRecorded(1, 7);
   CHECK(tracker.recorded_ends() == 1);
 }
 
-TEST_CASE("the clock begins anew") {
-  WorkerTracker tracker = FirstLife();
-  Hear(&tracker, 500, 500, Report(kSecondBorn, 40));
+TEST_CASE("the clock restarts with each incarnation") {
+  WorkerTracker tracker = FirstIncarnation();
+  HandleReport(&tracker, 500, 500, Report(kSecondStart, 40));
   CHECK(tracker.IssueDeadline(Milliseconds(1000), At(600)) ==
         Milliseconds(1140));
 }
 
 TEST_CASE(
-    "an end that was noted is not undone by small numbers of a new life") {
+    "an end that was processed is not undone by low numbers of a new "
+    "incarnation") {
   WorkerTracker tracker(MakeWorker("w", "r1"));
-  Hear(&tracker, 0, 10, Report(kFirstBorn, kFirstClock));
-  Give(&tracker, Order::kAccepted, 100);
-  CHECK(Hear(&tracker, 200, 210,
-             WithEnd(Report(kFirstBorn, kFirstClock + 200), 1, kTask))
+  HandleReport(&tracker, 0, 10, Report(kFirstStart, kFirstClock));
+  GiveOrder(&tracker, Order::kAccepted, 100);
+  CHECK(HandleReport(&tracker, 200, 210,
+                     WithEnd(Report(kFirstStart, kFirstClock + 200), 1, kTask))
             .size() == 1);
-  // The worker crashes a moment after the task was done.
-  CHECK(Hear(&tracker, 500, 520, Report(kSecondBorn, 40)).empty());
+  // The worker crashes just after the task was done.
+  CHECK(HandleReport(&tracker, 500, 520, Report(kSecondStart, 40)).empty());
 }
 
-// Guards against a list of runs that was overtaken by one of the next life.
-TEST_CASE("a report of a life that is over changes nothing") {
-  WorkerTracker tracker = FirstLife();
-  Hear(&tracker, 500, 520, Report(kSecondBorn, 40));
-  Give(&tracker, Order::kAccepted, 600);
-  WorkerStatusReport late = Report(kFirstBorn, kFirstClock + 400);
+// Guards against a list of runs that arrives after one of the next incarnation.
+TEST_CASE("a report of a past incarnation changes nothing") {
+  WorkerTracker tracker = FirstIncarnation();
+  HandleReport(&tracker, 500, 520, Report(kSecondStart, 40));
+  GiveOrder(&tracker, Order::kAccepted, 600);
+  WorkerStatusReport late = Report(kFirstStart, kFirstClock + 400);
   late = WithEnd(late, 21, kTask);
   CHECK(tracker.IsFromPastIncarnation(late, At(480)));
-  CHECK(Hear(&tracker, 480, 700, late).empty());
+  CHECK(HandleReport(&tracker, 480, 700, late).empty());
   CHECK(tracker.Find(kTask) != nullptr);
   CHECK(tracker.processed_ends() == 0);
   CHECK(tracker.incarnation() == 1);
   CHECK(tracker.clock() == Milliseconds(40));
 }
 
-TEST_CASE("nothing begins on a worker that is listed with another birth") {
+TEST_CASE(
+    "nothing starts on a worker listed with another start time until it "
+    "reports") {
   struct Row {
     const char* name;
-    // Of the entries, in their order; 0: it says nothing.
+    // Start times in the entries, in order; 0: not included.
     std::vector<int64_t> entries;
-    bool believed;
+    bool usable;
   };
   const std::vector<Row> rows = {
-      {"the same", {kFirstBorn, kFirstBorn}, true},
-      {"another", {kFirstBorn, kSecondBorn}, false},
-      {"one that says nothing", {kFirstBorn, 0}, true},
+      {"the same start time", {kFirstStart, kFirstStart}, true},
+      {"another start time", {kFirstStart, kSecondStart}, false},
+      {"no start time", {kFirstStart, 0}, true},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    WorkerTracker tracker = FirstLife();
-    for (const int64_t born : row.entries) {
+    WorkerTracker tracker = FirstIncarnation();
+    for (const int64_t start : row.entries) {
       WorkerRegistration entry = MakeWorker("w", "r1");
-      if (born > 0) entry.incarnation_start.time = FromUnixMilliseconds(born);
+      if (start > 0) entry.incarnation_start.time = FromUnixMilliseconds(start);
       tracker.Update(entry, At(100));
     }
     CHECK((tracker.availability(At(100)) == WorkerAvailability::kUsable) ==
-          row.believed);
-    Hear(&tracker, 200, 210, Report(kSecondBorn, 40));
+          row.usable);
+    HandleReport(&tracker, 200, 210, Report(kSecondStart, 40));
     CHECK(tracker.availability(At(210)) == WorkerAvailability::kUsable);
   }
 }
 
-TEST_CASE("failures of the life before are not held against the new one") {
-  WorkerTracker tracker = FirstLife();
+TEST_CASE(
+    "failures of the previous incarnation do not count against the new one") {
+  WorkerTracker tracker = FirstIncarnation();
   tracker.trust().OnRunFailed("job1", At(100));
   tracker.trust().OnRunFailed("job2", At(110));
   REQUIRE(tracker.trust().Quarantined(At(200)));
-  Hear(&tracker, 500, 520, Report(kSecondBorn, 40));
+  HandleReport(&tracker, 500, 520, Report(kSecondStart, 40));
   CHECK_FALSE(tracker.trust().Quarantined(At(530)));
   CHECK_FALSE(tracker.trust().suspect());
 }
--- a/tests/auto/workload/tst_worker_tracker.cc
+++ b/tests/auto/workload/tst_worker_tracker.cc
@@ -1,4 +1,4 @@
-// Which evidence settles a run, and when a worker's leases are over.
+// Which evidence settles a run, and when a worker's leases have expired.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -26,14 +26,14 @@
   return report;
 }
 
-std::vector<RunEndReport> Hear(WorkerTracker* tracker, int64_t sent,
-                               int64_t heard,
-                               const WorkerStatusReport& report) {
+std::vector<RunEndReport> HandleReport(WorkerTracker* tracker, int64_t sent,
+                                       int64_t received,
+                                       const WorkerStatusReport& report) {
   std::vector<RunReport> unexpected;
-  return tracker->OnReport(report, At(sent), At(heard), &unexpected);
+  return tracker->OnReport(report, At(sent), At(received), &unexpected);
 }
 
-// A run whose order has had no answer until 500.
+// A run whose start order was not answered until 500.
 WorkerTracker Undecided() {
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
   tracker.Add(kTask, 1, Profile(), At(0));
@@ -43,7 +43,7 @@
   return tracker;
 }
 
-TEST_CASE("an order without an answer is settled by evidence alone") {
+TEST_CASE("an order without an answer is settled only by evidence") {
   struct Row {
     const char* name;
     std::function<std::vector<RunEndReport>(WorkerTracker*)> happens;
@@ -52,38 +52,38 @@
   const std::vector<Row> rows = {
       {"absent before its deadline",
        [](WorkerTracker* tracker) {
-         return Hear(tracker, 600, 700, Report(700, false));
+         return HandleReport(tracker, 600, 700, Report(700, false));
        },
        false},
       {"absent after its deadline",
        [](WorkerTracker* tracker) {
-         return Hear(tracker, 1600, 1700, Report(1700, false));
+         return HandleReport(tracker, 1600, 1700, Report(1700, false));
        },
        true},
       {"seen running",
        [](WorkerTracker* tracker) {
-         return Hear(tracker, 600, 700, Report(700, true));
+         return HandleReport(tracker, 600, 700, Report(700, true));
        },
        false},
-      {"stopped, and absent in a report asked for after that",
+      {"stopped, and absent in a report requested afterwards",
        [](WorkerTracker* tracker) {
          tracker->OnStopAnswer(kTask, 1, true, At(650));
-         return Hear(tracker, 700, 800, Report(800, false));
+         return HandleReport(tracker, 700, 800, Report(800, false));
        },
        true},
-      {"stopped, and absent in a report asked for before",
+      {"stopped, and absent in a report requested before",
        [](WorkerTracker* tracker) {
          tracker->OnStopAnswer(kTask, 1, true, At(650));
-         return Hear(tracker, 600, 800, Report(800, false));
+         return HandleReport(tracker, 600, 800, Report(800, false));
        },
        false},
-      {"the stop has no answer",
+      {"the stop is not answered",
        [](WorkerTracker* tracker) {
          tracker->OnStopAnswer(kTask, 1, false, At(650));
-         return Hear(tracker, 700, 800, Report(800, false));
+         return HandleReport(tracker, 700, 800, Report(800, false));
        },
        false},
-      {"another life answers",
+      {"another incarnation answers",
        [](WorkerTracker* tracker) {
          return tracker->OnIncarnationEnded(IncarnationEnd::kCrashed, At(600));
        },
@@ -110,49 +110,49 @@
   CHECK(tracker.room().accelerators == 8);
 }
 
-TEST_CASE("an answer that a report overtook changes nothing") {
+TEST_CASE("a start answer that arrives after a report changes nothing") {
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
   tracker.Add(kTask, 1, Profile(), At(0));
   tracker.OnStartSent(kTask, 1, Milliseconds(1500), At(0));
-  Hear(&tracker, 5, 20, Report(20, true));
+  HandleReport(&tracker, 5, 20, Report(20, true));
   CHECK(
       tracker.OnStartAnswer(kTask, 1, StartOutcome::kRefused, At(30)).empty());
   CHECK(tracker.Find(kTask)->stage == RunStage::kRunning);
 }
 
-TEST_CASE("a running task that a later report lacks is lost") {
+TEST_CASE("a running task that is absent in a later report is lost") {
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
   tracker.Add(kTask, 1, Profile(), At(0));
   tracker.OnStartSent(kTask, 1, Milliseconds(1500), At(0));
   tracker.OnStartAnswer(kTask, 1, StartOutcome::kAccepted, At(20));
   // The worker may have written this report before the start.
-  CHECK(Hear(&tracker, 10, 30, Report(30, false)).empty());
-  CHECK(Hear(&tracker, 40, 50, Report(50, false)).size() == 1);
+  CHECK(HandleReport(&tracker, 10, 30, Report(30, false)).empty());
+  CHECK(HandleReport(&tracker, 40, 50, Report(50, false)).size() == 1);
 }
 
-TEST_CASE("each end is told once") {
+TEST_CASE("each end is returned once") {
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
   tracker.Add(kTask, 1, Profile(), At(0));
   WorkerStatusReport report = Report(100, false);
   report.ended.push_back({1, kTask, 1, RunEnd::kDone, ""});
-  CHECK(Hear(&tracker, 90, 100, report).size() == 1);
-  CHECK(Hear(&tracker, 110, 120, report).empty());
+  CHECK(HandleReport(&tracker, 90, 100, report).size() == 1);
+  CHECK(HandleReport(&tracker, 110, 120, report).empty());
   CHECK(tracker.processed_ends() == 1);
   CHECK(tracker.recorded_ends() == 0);
   tracker.OnEndsRecorded(0, 1);
   CHECK(tracker.recorded_ends() == 1);
 }
 
-TEST_CASE("what a run's end keeps of its work") {
+TEST_CASE("how much of a run's work is preserved at its end") {
   struct Row {
     const char* name;
-    // The run began with it.
+    // Checkpoint that the run resumed from.
     const char* resumed_from;
-    // Of the reports at 1000, 2000 and 3000.
+    // Checkpoints in the reports at 1000, 2000 and 3000.
     std::vector<const char*> reported;
-    // At 4000; null where its worker is gone instead.
+    // Checkpoint of the end at 4000; null if its worker is gone instead.
     const char* at_end;
-    int64_t kept_ms;
+    int64_t saved_ms;
   };
   const std::vector<Row> rows = {
       {"never saved", "", {"", "", ""}, "", 0},
@@ -176,7 +176,7 @@
       now += 1000;
       WorkerStatusReport report = Report(now, false);
       report.running.push_back({kTask, 1, checkpoint, 10});
-      Hear(&tracker, now, now, report);
+      HandleReport(&tracker, now, now, report);
     }
     std::vector<RunEndReport> ends;
     if (row.at_end == nullptr) {
@@ -184,18 +184,19 @@
     } else {
       WorkerStatusReport report = Report(4000, false);
       report.ended.push_back({1, kTask, 1, RunEnd::kStopped, row.at_end});
-      ends = Hear(&tracker, 4000, 4000, report);
+      ends = HandleReport(&tracker, 4000, 4000, report);
     }
     REQUIRE(ends.size() == 1);
-    CHECK(ends[0].saved_work == Milliseconds(row.kept_ms));
+    CHECK(ends[0].saved_work == Milliseconds(row.saved_ms));
     CHECK(ends[0].began == At(0));
   }
 }
 
-// Members save at the same points of their work, but their reports come at
-// different times: the last that one member showed may be older than what
-// another has shown since.
-TEST_CASE("a lost member of a gang takes back no later checkpoint") {
+// Guards against a lost member that resets a gang's checkpoint: members
+// checkpoint at the same points of their work, but report at different times,
+// so the last checkpoint reported by one member may be older than what another
+// has reported since.
+TEST_CASE("a lost gang member does not reset a later checkpoint") {
   const StepRef step{"0123456789abcdef", 0, 0};
   StepSpec spec = MakeStep(2, 1);
   spec.gang = true;
@@ -207,7 +208,7 @@
   lost.Add({step, 0}, 1, Profile(), At(0));
   WorkerStatusReport report = Report(1000, false);
   report.running.push_back({{step, 0}, 1, "first", 10});
-  Hear(&lost, 1000, 1000, report);
+  HandleReport(&lost, 1000, 1000, report);
   ledger.RecordCheckpoint({step, 0}, 1, "first");
   ledger.RecordCheckpoint({step, 1}, 1, "second");
   for (const RunEndReport& end :
@@ -218,52 +219,52 @@
   CHECK(ledger.FindTask({step, 1})->checkpoint == "second");
 }
 
-// Guards against one word for all that can end with a worker: who reads the log
-// could not tell a task that took its worker down from one that never began.
-TEST_CASE("the end of a worker's life names what became of its runs") {
+// Guards against a single reason for all runs that end with a worker: the log
+// must tell a task that crashed its worker from one that never began.
+TEST_CASE("runs that end with their worker's incarnation get the reason") {
   enum class Order { kNotSent, kSent, kAccepted, kInherited };
   struct Row {
     const char* name;
     IncarnationEnd end;
     Order order;
-    // When a call to the worker failed first; -1: none did. Orders go out at
+    // When a call to the worker first failed; -1: never. Orders are sent at
     // 100.
     int64_t silent;
-    // It had announced to leave by this time; -1: it had not.
-    int64_t leaves;
+    // The announced time of departure; -1: none.
+    int64_t announced_departure;
     RunEnd expected;
   };
   const std::vector<Row> rows = {
       {"crashed", IncarnationEnd::kCrashed, Order::kAccepted, 110, -1,
        RunEnd::kWorkerCrashed},
-      {"crashed, found by its next life", IncarnationEnd::kCrashed,
+      {"crashed, found by its next incarnation", IncarnationEnd::kCrashed,
        Order::kAccepted, -1, -1, RunEnd::kWorkerCrashed},
       {"before the order was sent", IncarnationEnd::kCrashed, Order::kNotSent,
        110, -1, RunEnd::kLost},
       {"before the order was answered", IncarnationEnd::kCrashed, Order::kSent,
        110, -1, RunEnd::kWorkerCrashed},
-      {"before the order came", IncarnationEnd::kCrashed, Order::kSent, 90, -1,
-       RunEnd::kLost},
-      {"the order found the next life", IncarnationEnd::kCrashed, Order::kSent,
-       -1, -1, RunEnd::kLost},
-      {"a predecessor's", IncarnationEnd::kCrashed, Order::kInherited, -1, -1,
-       RunEnd::kWorkerCrashed},
+      {"before the order arrived", IncarnationEnd::kCrashed, Order::kSent, 90,
+       -1, RunEnd::kLost},
+      {"the order reached the next incarnation", IncarnationEnd::kCrashed,
+       Order::kSent, -1, -1, RunEnd::kLost},
+      {"inherited from the previous leader", IncarnationEnd::kCrashed,
+       Order::kInherited, -1, -1, RunEnd::kWorkerCrashed},
       {"left", IncarnationEnd::kLeft, Order::kAccepted, -1, 500,
        RunEnd::kWorkerLeft},
       {"left, and another is there already", IncarnationEnd::kCrashed,
        Order::kAccepted, -1, 500, RunEnd::kWorkerLeft},
       {"crashed before it could leave", IncarnationEnd::kCrashed,
        Order::kAccepted, -1, 5000, RunEnd::kWorkerCrashed},
-      {"not heard of", IncarnationEnd::kSilent, Order::kAccepted, 110, -1,
+      {"silent", IncarnationEnd::kSilent, Order::kAccepted, 110, -1,
        RunEnd::kWorkerSilent},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
     WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
-    if (row.leaves >= 0) {
+    if (row.announced_departure >= 0) {
       WorkerRegistration leaving = MakeWorker("w", "r1");
       leaving.draining = true;
-      leaving.drain_remaining = Milliseconds(row.leaves);
+      leaving.drain_remaining = Milliseconds(row.announced_departure);
       tracker.Update(leaving, At(0));
     }
     if (row.order == Order::kInherited) {
@@ -284,19 +285,20 @@
   }
 }
 
-// Guards against work that is given up since its workers lost power before a
-// report showed it: a report may wait for seconds, a broken connection tells.
-TEST_CASE("how long a worker bore a run is told by when it fell silent") {
+// Guards against tasks that are given up because their workers lost power
+// before a report included the run: a report may be delayed for seconds, a
+// broken connection shows at once.
+TEST_CASE("how long a worker survived a run ends when it fell silent") {
   struct Row {
     const char* name;
-    // When a call failed first; -1: none did.
+    // When a call first failed; -1: never.
     int64_t silent;
-    int64_t borne_ms;
+    int64_t survived_ms;
   };
   const std::vector<Row> rows = {
       {"at the start", 20, 20},
       {"later, though no report has shown the run", 1000, 1000},
-      {"nobody asked", -1, 3000},
+      {"no call was made", -1, 3000},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -310,27 +312,27 @@
     const auto ends =
         tracker.OnIncarnationEnded(IncarnationEnd::kCrashed, At(3000));
     REQUIRE(ends.size() == 1);
-    CHECK(ends[0].survived == Milliseconds(row.borne_ms));
+    CHECK(ends[0].survived == Milliseconds(row.survived_ms));
   }
 }
 
-TEST_CASE("a predecessor's run is believed until the first report") {
+TEST_CASE("an inherited run is kept until the first report") {
   WorkerTracker tracker(MakeWorker("w", "r1"));
   tracker.Inherit(kTask, 1, Profile(), At(0), At(9000));
   CHECK_FALSE(tracker.synchronized());
   CHECK_FALSE(tracker.LeasesExpired(At(8000)));
   CHECK(tracker.LeasesExpired(At(9001)));
   SUBCASE("it runs") {
-    CHECK(Hear(&tracker, 10, 20, Report(20, true)).empty());
+    CHECK(HandleReport(&tracker, 10, 20, Report(20, true)).empty());
     CHECK(tracker.Find(kTask)->stage == RunStage::kRunning);
   }
   SUBCASE("it does not") {
-    CHECK(Hear(&tracker, 10, 20, Report(20, false)).size() == 1);
+    CHECK(HandleReport(&tracker, 10, 20, Report(20, false)).size() == 1);
   }
   CHECK(tracker.synchronized());
 }
 
-TEST_CASE("the bound of leases allows for the slowest clock") {
+TEST_CASE("the lease bound allows for the slowest clock") {
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
   const Milliseconds deadline =
       tracker.IssueDeadline(Milliseconds(4900), At(100));
@@ -340,7 +342,8 @@
   CHECK(tracker.LeasesExpired(At(5800)));
 }
 
-TEST_CASE("a worker that fails jobs in a row gets nothing for a while") {
+TEST_CASE(
+    "a worker that fails several jobs in a row is quarantined for a while") {
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
   tracker.trust().OnRunFailed("job1", At(0));
   tracker.trust().OnRunFailed("job1", At(10));
@@ -353,13 +356,13 @@
     tracker.trust().OnRunDone(At(31));
     CHECK_FALSE(tracker.trust().suspect());
   }
-  SUBCASE("a run that began before proves nothing") {
+  SUBCASE("a run that began before does not clear it") {
     tracker.trust().OnRunDone(At(29));
     CHECK(tracker.trust().suspect());
   }
 }
 
-TEST_CASE("runs that nobody decided on are reported") {
+TEST_CASE("runs that this process did not decide on are returned") {
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
   std::vector<RunReport> unexpected;
   tracker.OnReport(Report(10, true), At(5), At(10), &unexpected);
--- a/tests/auto/workload/workload_fixtures.h
+++ b/tests/auto/workload/workload_fixtures.h
@@ -1,4 +1,4 @@
-// Short ways to make jobs and workers.
+// Helpers that create jobs and workers for the tests of this folder.
 #ifndef THORNPLANK_TESTS_AUTO_WORKLOAD_WORKLOAD_FIXTURES_H_
 #define THORNPLANK_TESTS_AUTO_WORKLOAD_WORKLOAD_FIXTURES_H_
 
@@ -54,7 +54,7 @@
   return Time{} + std::chrono::hours(1) + Milliseconds(milliseconds);
 }
 
-// A worker that has given its first report.
+// The tracker of a worker that has sent its first report.
 inline WorkerTracker MakeTracker(const WorkerRegistration& registration) {
   WorkerTracker tracker(registration);
   std::vector<RunReport> unexpected;
