--- a/tests/standins/users_executor_model.cc
+++ b/tests/standins/users_executor_model.cc
@@ -241,7 +241,7 @@
 
 Resources UsersExecutorModel::AllowedCapacity(int64_t now) const {
   const bool fresh = now - resized_at_ <= kResizeGraceMs;
-  return fresh ? Most(capacity_, former_) : capacity_;
+  return fresh ? ElementwiseMax(capacity_, former_) : capacity_;
 }
 
 void UsersExecutorModel::Crash(int64_t now) {
