--- a/src/libs/workload/job_ledger.cc
+++ b/src/libs/workload/job_ledger.cc
@@ -18,8 +18,8 @@
 
 // Records what the end of a run shows about crashes of its task; a run that
 // never began shows nothing.
-void RecordCrash(RunEnd end, const LostRun& lost, const StepSpec& step,
-                 CrashRecord* crashes) {
+void UpdateCrashRecord(RunEnd end, const LostRun& lost, const StepSpec& step,
+                       CrashRecord* crashes) {
   if (end == RunEnd::kLost) return;
   const bool with_worker =
       end == RunEnd::kWorkerCrashed || end == RunEnd::kWorkerSilent;
@@ -236,7 +236,7 @@
     return true;
   }
   SetPhase(progress, task, TaskPhase::kWaiting);
-  RecordCrash(end, lost, spec, &task->crashes);
+  UpdateCrashRecord(end, lost, spec, &task->crashes);
   FailJobIfGivenUp(ref, job, *task);
   if (end != RunEnd::kFailed || spec.long_running) return true;
   int failures = ++task->failures;
--- a/src/libs/workload/worker_bounds.h
+++ b/src/libs/workload/worker_bounds.h
@@ -33,9 +33,9 @@
   // takes longer.
   double far_slowdown = 3;
 
-  // Length of the lease that a report renews. Long enough for a new leader (2.3
-  // s of silence, 0.5 s to load) to find the runs alive; the tasks of a lost
-  // worker are blocked for as long.
+  // Length of the lease that a report renews. Long enough for a new leader,
+  // which takes over after 2.3 s of silence and loads its state for 0.5 s, to
+  // find the runs alive; the tasks of a lost worker are blocked for as long.
   Milliseconds lease_term() const {
     return std::min(Milliseconds(6500), longest_lease);
   }
@@ -62,8 +62,8 @@
   // How long an urgent gang waits for a single rack before it spreads: it must
   // leave time for two attempts, each an eviction with its report and records.
   Milliseconds urgent_rack_wait() const {
-    const Milliseconds tries = (stop_bound + Milliseconds(450)) * 2;
-    return std::max(reclaim_bound - tries, Milliseconds::zero());
+    const Milliseconds attempts = (stop_bound + Milliseconds(450)) * 2;
+    return std::max(reclaim_bound - attempts, Milliseconds::zero());
   }
   // Maximum age of the view of the job board on which starts are decided.
   // Leaves time for a start order that is still under way when the view has
--- a/src/libs/workload/worker_tracker.cc
+++ b/src/libs/workload/worker_tracker.cc
@@ -16,9 +16,9 @@
 // With less progress, a rate is too coarse to use.
 constexpr int kMinPercentForRate = 3;
 
-// The checkpoint was recorded when a report showed it. For a gang, a later
-// checkpoint of another member may have been reported since, which is valid for
-// this run too.
+// The end carries no checkpoint: that of the run was recorded when a report
+// showed it. For a gang, a later checkpoint of another member may have been
+// recorded since, which is valid for this run too.
 RunEndReport MakeRunEnd(const TrackedRun& run, RunEnd end, Time now) {
   RunEndReport run_end;
   run_end.task = run.task;
@@ -53,13 +53,16 @@
   return stage == RunStage::kRunning && now - began >= kStartPhase;
 }
 
-Duration TrackedRun::saved_work(const std::string& made, Time now) const {
+Duration TrackedRun::saved_work(const std::string& end_checkpoint,
+                                Time now) const {
   if (began == Time{}) return Duration::zero();
   // The checkpoint was made when the run ended, and the end is reported at
   // once.
-  const bool made_at_end = !made.empty() && made != checkpoint;
+  const bool made_at_end =
+      !end_checkpoint.empty() && end_checkpoint != checkpoint;
   if (made_at_end) return now - began;
-  return saved == Time{} ? Duration::zero() : saved - began;
+  return checkpoint_seen_at == Time{} ? Duration::zero()
+                                      : checkpoint_seen_at - began;
 }
 
 double TrackedRun::rate() const {
@@ -146,7 +149,7 @@
   if (tracked == nullptr || tracked->run != run) return;
   tracked->stage = RunStage::kSending;
   tracked->order_deadline = deadline;
-  tracked->sent = now;
+  tracked->order_sent = now;
   tracked->stage_since = now;
 }
 
@@ -283,7 +286,7 @@
       unexpected->push_back(running);
       continue;
     }
-    Progress(tracked, running, now);
+    UpdateProgress(tracked, running, now);
   }
   synchronized_ = true;
   for (auto it = runs_.begin(); it != runs_.end();) {
@@ -296,8 +299,8 @@
   return ended;
 }
 
-void WorkerTracker::Progress(TrackedRun* run, const RunReport& report,
-                             Time now) {
+void WorkerTracker::UpdateProgress(TrackedRun* run, const RunReport& report,
+                                   Time now) {
   if (run->stage != RunStage::kRunning) {
     run->stage = RunStage::kRunning;
     run->stage_since = now;
@@ -314,7 +317,7 @@
   }
   const bool resumes_from_it = run->resumed && run->checkpoint.empty();
   const bool is_new = report.checkpoint != run->checkpoint && !resumes_from_it;
-  if (is_new) run->saved = now;
+  if (is_new) run->checkpoint_seen_at = now;
   run->checkpoint = report.checkpoint;
 }
 
@@ -347,8 +350,8 @@
   if (missing()) return WorkerAvailability::kNotListed;
   if (registration_.draining) return WorkerAvailability::kLeaving;
   if (domain_closed_) return WorkerAvailability::kDomainClosed;
-  return trust_.Quarantined(now) ? WorkerAvailability::kQuarantined
-                                 : WorkerAvailability::kUsable;
+  return trust_.IsQuarantined(now) ? WorkerAvailability::kQuarantined
+                                   : WorkerAvailability::kUsable;
 }
 
 RunEnd WorkerTracker::RunEndFor(IncarnationEnd end, Time now) const {
@@ -363,7 +366,7 @@
 bool WorkerTracker::MayHaveBegun(const TrackedRun& run) const {
   if (run.stage == RunStage::kRecording) return false;
   const bool known = run.began != Time{} || run.stage == RunStage::kInherited;
-  return known || (silent_since_ && *silent_since_ >= run.sent);
+  return known || (silent_since_ && *silent_since_ >= run.order_sent);
 }
 
 RunEndReport WorkerTracker::LostWithIncarnation(const TrackedRun& run,
--- a/src/libs/workload/worker_tracker.h
+++ b/src/libs/workload/worker_tracker.h
@@ -70,7 +70,7 @@
   // When the stage began, by this process's clock.
   Time stage_since{};
   // When its start order was first sent.
-  Time sent{};
+  Time order_sent{};
   // When it was first known to run.
   Time began{};
   int percent = 0;
@@ -91,7 +91,7 @@
   bool resumed = false;
   std::string checkpoint;
   // When a report first included that checkpoint, if this run made it.
-  Time saved{};
+  Time checkpoint_seen_at{};
   // Deadline on the worker's clock: a start order that arrives later has no
   // effect.
   Milliseconds order_deadline{0};
@@ -104,9 +104,9 @@
   Duration unsaved_work(Time now) const;
   // Whether its worker is alive and has survived its start.
   bool has_proven_start(Time now) const;
-  // The part of its run time whose work is preserved when it ends now; `made`
-  // is the checkpoint that came with the end, or empty.
-  Duration saved_work(const std::string& made, Time now) const;
+  // The part of its run time whose work is preserved when it ends now;
+  // `end_checkpoint` is the checkpoint that came with the end, or empty.
+  Duration saved_work(const std::string& end_checkpoint, Time now) const;
   // Percent per second since the baseline; zero while that is not yet
   // meaningful.
   double rate() const;
@@ -256,7 +256,7 @@
   void set_steady_speed(double speed) { steady_speed_ = speed; }
 
  private:
-  void Progress(TrackedRun* run, const RunReport& report, Time now);
+  void UpdateProgress(TrackedRun* run, const RunReport& report, Time now);
   void Erase(std::map<TaskRef, TrackedRun>::iterator run);
   // A report shows that the previous incarnation is over. Returns its runs that
   // have ended.
@@ -278,6 +278,7 @@
   WorkerRegistration registration_;
   WorkerIncarnation incarnation_;
   int incarnation_number_ = 0;
+  // The earliest time of an announced departure.
   std::optional<Time> departure_;
   std::optional<Time> missing_since_;
   bool domain_closed_ = false;
--- a/src/libs/workload/worker_trust.h
+++ b/src/libs/workload/worker_trust.h
@@ -26,7 +26,7 @@
   void OnRestart();
 
   // Whether it gets no new runs.
-  bool Quarantined(Time now) const { return now < quarantined_until_; }
+  bool IsQuarantined(Time now) const { return now < quarantined_until_; }
   // Whether a run has failed there since the last one that succeeded.
   bool suspect() const { return failures_ > 0; }
   // Whether it failed to answer a call recently, though it may answer now.
--- a/tests/auto/workload/test_cluster.h
+++ b/tests/auto/workload/planner_cluster.h
@@ -1,6 +1,6 @@
 // A simulated cluster in which the planner's decisions take effect at once.
-#ifndef THORNPLANK_TESTS_AUTO_WORKLOAD_TEST_CLUSTER_H_
-#define THORNPLANK_TESTS_AUTO_WORKLOAD_TEST_CLUSTER_H_
+#ifndef THORNPLANK_TESTS_AUTO_WORKLOAD_PLANNER_CLUSTER_H_
+#define THORNPLANK_TESTS_AUTO_WORKLOAD_PLANNER_CLUSTER_H_
 
 #include <map>
 #include <set>
@@ -13,10 +13,10 @@
 namespace thornplank::testing {
 
 // A ledger and workers that apply the planner's decisions at once.
-class TestCluster {
+class PlannerCluster {
  public:
-  TestCluster(int racks, int workers_per_rack,
-              const WorkerBounds& bounds = WorkerBounds())
+  PlannerCluster(int racks, int workers_per_rack,
+                 const WorkerBounds& bounds = WorkerBounds())
       : planner(SettingsWith(bounds)) {
     for (int rack = 0; rack < racks; ++rack) {
       for (int i = 0; i < workers_per_rack; ++i) {
@@ -137,4 +137,4 @@
 
 }  // namespace thornplank::testing
 
-#endif  // THORNPLANK_TESTS_AUTO_WORKLOAD_TEST_CLUSTER_H_
+#endif  // THORNPLANK_TESTS_AUTO_WORKLOAD_PLANNER_CLUSTER_H_
--- a/tests/auto/workload/tst_planner.cc
+++ b/tests/auto/workload/tst_planner.cc
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "test_cluster.h"
+#include "planner_cluster.h"
 #include "workload/planner.h"
 
 namespace thornplank::testing {
 namespace {
 
 TEST_CASE("filler tasks start where cores are idle") {
-  TestCluster cluster(1, 3);
+  PlannerCluster cluster(1, 3);
   StepSpec busy = MakeStep(1, 1);
   busy.need.cpu_millis = 64000;
   cluster.ledger.Add(MakeJob(Id(1), {busy}), cluster.now);
@@ -60,7 +60,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(2, 3);
+    PlannerCluster cluster(2, 3);
     cluster.ledger.Add(MakeJob(Id(1), {row.step}), cluster.now);
     const Plan plan = cluster.Round();
     size_t started = 0;
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE("small tasks use gaps and leave whole workers free") {
-  TestCluster cluster(1, 3);
+  PlannerCluster cluster(1, 3);
   cluster.ledger.Add(MakeJob(Id(1), {MakeStep(3, 2)}), cluster.now);
   cluster.Round();
   cluster.ledger.Add(MakeJob(Id(2), {MakeStep(1, 2)}), cluster.now);
@@ -87,7 +87,7 @@
 TEST_CASE(
     "tasks wait for the rack of their data, but not for long in an idle "
     "cluster") {
-  TestCluster cluster(3, 1);
+  PlannerCluster cluster(3, 1);
   StepSpec filler = MakeStep(1, 8);
   filler.required_label = "r0";
   cluster.ledger.Add(MakeJob(Id(1), {filler}), cluster.now);
@@ -109,7 +109,7 @@
 TEST_CASE(
     "a task starts neither before its dependencies are done nor before its "
     "time") {
-  TestCluster cluster(1, 2);
+  PlannerCluster cluster(1, 2);
   cluster.ledger.Add(MakeJob(Id(1), {MakeStep(1, 1), MakeStep(1, 1, {0})}),
                      cluster.now);
   JobDefinition scheduled = MakeJob(Id(2), {MakeStep(1, 1)});
@@ -126,7 +126,7 @@
 }
 
 TEST_CASE("urgent jobs evict the runs with the least unsaved work") {
-  TestCluster cluster(1, 2);
+  PlannerCluster cluster(1, 2);
   // The work of a checkpointable task is saved whenever it is stopped.
   StepSpec unsaved = MakeStep(1, 8);
   StepSpec saved = MakeStep(1, 8);
@@ -160,7 +160,7 @@
 TEST_CASE("a guarantee is reclaimed only from accounts above their own") {
   for (const bool beyond : {true, false}) {
     CAPTURE(beyond);
-    TestCluster cluster(1, 2);
+    PlannerCluster cluster(1, 2);
     cluster.guarantees = {{"north", 8}, {"south", beyond ? 8 : 16}};
     cluster.ledger.Add(MakeJob(Id(1), {MakeStep(16, 1)}, 0, "south"),
                        cluster.now);
@@ -173,7 +173,7 @@
 
 TEST_CASE(
     "jobs of lower priority leave workers empty while urgent ones arrive") {
-  TestCluster cluster(2, 5);
+  PlannerCluster cluster(2, 5);
   // Two of the ten workers are left empty.
   cluster.ledger.Add(MakeJob(Id(1), {MakeStep(1, 8)}, 0), cluster.now);
   cluster.Round();
@@ -204,7 +204,7 @@
 }
 
 // Invariants that must hold in every state that random work leads to.
-void CheckInvariants(const TestCluster& cluster) {
+void CheckInvariants(const PlannerCluster& cluster) {
   for (const auto& [id, worker] : cluster.workers) {
     RC_ASSERT(worker.room().accelerators >= 0);
     RC_ASSERT(worker.room().cpu_millis >= 0);
@@ -226,7 +226,7 @@
 
 TEST_CASE("no sequence of work breaks capacity, gangs or order") {
   CHECK(rc::check([] {
-    TestCluster cluster(2, 3);
+    PlannerCluster cluster(2, 3);
     cluster.guarantees = {{"north", 16}, {"south", 8}};
     const int rounds = *rc::gen::inRange(1, 25);
     for (int i = 0; i < rounds; ++i) {
--- a/tests/auto/workload/tst_planner_eligibility.cc
+++ b/tests/auto/workload/tst_planner_eligibility.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "test_cluster.h"
+#include "planner_cluster.h"
 
 namespace thornplank::testing {
 namespace {
@@ -18,7 +18,7 @@
 }
 
 TEST_CASE("a step that needs advice starts on approved workers only") {
-  TestCluster cluster(2, 3);
+  PlannerCluster cluster(2, 3);
   JobDefinition job = MakeJob(Id(1), {MakeStep(4, 8)});
   job.policy.advice = AdviceTerms{};
   cluster.ledger.Add(job, cluster.now);
@@ -66,7 +66,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(1, 3);
+    PlannerCluster cluster(1, 3);
     // The best fit, since half of it is in use.
     cluster.workers.at("w0-0").Add({{Id(9), 0, 0}, 0}, 1, HalfOfAWorker(),
                                    cluster.now);
@@ -93,7 +93,7 @@
 
 TEST_CASE(
     "urgent work that needs advice evicts runs on approved workers only") {
-  TestCluster cluster(1, 3);
+  PlannerCluster cluster(1, 3);
   cluster.ledger.Add(MakeJob(Id(1), {MakeStep(3, 8)}, 2), cluster.now);
   cluster.Round();
   JobDefinition urgent = MakeJob(Id(2), {MakeStep(1, 8)}, 0);
@@ -148,7 +148,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(1, 1);
+    PlannerCluster cluster(1, 1);
     WorkerTracker& worker = cluster.workers.begin()->second;
     row.change(&worker);
     CHECK(worker.availability(cluster.now) == row.availability);
@@ -190,7 +190,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(1, 1);
+    PlannerCluster cluster(1, 1);
     WorkerTracker& worker = cluster.workers.begin()->second;
     RunProfile profile;
     profile.need = {4000, 4000, 4};
@@ -209,7 +209,7 @@
 
 TEST_CASE(
     "evictions on a worker with reduced capacity cover the excess first") {
-  TestCluster cluster(1, 1);
+  PlannerCluster cluster(1, 1);
   cluster.ledger.Add(MakeJob(Id(1), {MakeStep(4, 2)}, 2), cluster.now);
   cluster.Round();
   WorkerTracker& worker = cluster.workers.begin()->second;
@@ -230,7 +230,7 @@
 }
 
 TEST_CASE("a task that has failed does not start where runs fail") {
-  TestCluster cluster(1, 3);
+  PlannerCluster cluster(1, 3);
   cluster.ledger.Add(MakeJob(Id(1), {MakeStep(1, 1)}), cluster.now);
   const Plan first = cluster.Round();
   REQUIRE(first.starts.size() == 1);
@@ -250,7 +250,7 @@
 }
 
 // Marks the waiting task of the job as one that lost a worker.
-void PutOnProbation(TestCluster* cluster, const std::string& job) {
+void PutOnProbation(PlannerCluster* cluster, const std::string& job) {
   const StepRef step{job, 0, 0};
   const int run = cluster->ledger.RecordStart(step, {{0, "gone"}});
   LostRun lost;
@@ -284,7 +284,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(1, 1);
+    PlannerCluster cluster(1, 1);
     WorkerTracker& worker = cluster.workers.begin()->second;
     cluster.ledger.Add(MakeJob(Id(1), {MakeStep(1, 1)}), cluster.now);
     cluster.Round();
@@ -306,7 +306,7 @@
 TEST_CASE("a run is proven once its worker has survived it for a while") {
   for (const int after_ms : {199, 200}) {
     CAPTURE(after_ms);
-    TestCluster cluster(1, 1);
+    PlannerCluster cluster(1, 1);
     cluster.ledger.Add(MakeJob(Id(1), {MakeStep(1, 1)}), cluster.now);
     cluster.Round();
     cluster.ledger.Add(MakeJob(Id(2), {MakeStep(1, 1)}), cluster.now);
@@ -317,7 +317,7 @@
 }
 
 TEST_CASE("two tasks on probation do not start together in one round") {
-  TestCluster cluster(1, 1);
+  PlannerCluster cluster(1, 1);
   for (const int job : {1, 2}) {
     cluster.ledger.Add(MakeJob(Id(job), {MakeStep(1, 1)}), cluster.now);
     PutOnProbation(&cluster, Id(job));
@@ -327,7 +327,7 @@
 }
 
 TEST_CASE("a task that lost a worker starts where least is in use") {
-  TestCluster cluster(1, 3);
+  PlannerCluster cluster(1, 3);
   for (const std::string id : {"w0-0", "w0-1"}) {
     RunProfile some;
     some.need = {1000, 1000, 4};
@@ -360,7 +360,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(2, 3);
+    PlannerCluster cluster(2, 3);
     cluster.ledger.Add(MakeJob(Id(1), {MakeStep(6, 8)}), cluster.now);
     REQUIRE(cluster.Round().waits.empty());
     cluster.ledger.Add(MakeJob(Id(2), {row.step}), cluster.now);
--- a/tests/auto/workload/tst_planner_load.cc
+++ b/tests/auto/workload/tst_planner_load.cc
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "test_cluster.h"
+#include "planner_cluster.h"
 
 namespace thornplank::testing {
 namespace {
@@ -31,7 +31,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(2, 4);
+    PlannerCluster cluster(2, 4);
     if (row.guaranteed > 0) cluster.guarantees = {{"north", row.guaranteed}};
     for (int rack = 0; rack < 2; ++rack) {
       StepSpec held = Gang(row.held / 8, 8, true);
@@ -82,7 +82,7 @@
     return false;
   }
 
-  TestCluster cluster{2, 4};
+  PlannerCluster cluster{2, 4};
 };
 
 TEST_CASE("a gang gets room before small tasks of lower priority") {
@@ -146,7 +146,7 @@
 // in use, or the other way round, and gangs wait although one resource is
 // mostly free.
 TEST_CASE("gangs start in a service of which one resource is mostly free") {
-  TestCluster cluster(1, 4);
+  PlannerCluster cluster(1, 4);
   StepSpec held = MakeStep(4, 6);
   held.need.cpu_millis = 1000;
   cluster.ledger.Add(MakeJob(Id(1), {held}, 0), cluster.now);
@@ -181,7 +181,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(2, 5);
+    PlannerCluster cluster(2, 5);
     StepSpec urgent = MakeStep(1, 8);
     urgent.data_rack = "r0";
     cluster.ledger.Add(MakeJob(Id(1), {urgent}, 0), cluster.now);
@@ -211,7 +211,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(2, 6);
+    PlannerCluster cluster(2, 6);
     int number = 0;
     for (auto& [id, worker] : cluster.workers) {
       worker.set_steady_speed(number++ % 2 == 0 ? 0.77 : 1);
@@ -243,7 +243,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TestCluster cluster(1, 4);
+    PlannerCluster cluster(1, 4);
     for (int i = 0; i < 4; ++i) {
       WorkerRegistration other = MakeWorker("x" + std::to_string(i), "r9");
       other.service = "letters";
--- a/tests/auto/workload/tst_worker_bounds.cc
+++ b/tests/auto/workload/tst_worker_bounds.cc
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "test_cluster.h"
+#include "planner_cluster.h"
 #include "workload/worker_bounds.h"
 
 namespace thornplank::testing {
@@ -60,7 +60,7 @@
 TEST_CASE("room freed by evictions is used within the reclaim bound") {
   for (const Row& row : Rows()) {
     CAPTURE(row.name);
-    TestCluster cluster(2, 2, row.bounds);
+    PlannerCluster cluster(2, 2, row.bounds);
     cluster.ledger.Add(MakeJob(Id(1), {MakeStep(32, 1)}, 2), cluster.now);
     cluster.Round();
     REQUIRE(cluster.free_accelerators() == 0);
@@ -81,7 +81,7 @@
     "a guaranteed gang spreads over racks early enough to start in time") {
   for (const Row& row : Rows()) {
     CAPTURE(row.name);
-    TestCluster cluster(2, 2, row.bounds);
+    PlannerCluster cluster(2, 2, row.bounds);
     cluster.guarantees = {{"north", 16}};
     // One worker of each rack is occupied permanently; an empty rack could hold
     // the gang.
--- a/tests/auto/workload/tst_worker_restart.cc
+++ b/tests/auto/workload/tst_worker_restart.cc
@@ -217,9 +217,9 @@
   WorkerTracker tracker = FirstIncarnation();
   tracker.trust().OnRunFailed("job1", At(100));
   tracker.trust().OnRunFailed("job2", At(110));
-  REQUIRE(tracker.trust().Quarantined(At(200)));
+  REQUIRE(tracker.trust().IsQuarantined(At(200)));
   HandleReport(&tracker, 500, 520, Report(kSecondStart, 40));
-  CHECK_FALSE(tracker.trust().Quarantined(At(530)));
+  CHECK_FALSE(tracker.trust().IsQuarantined(At(530)));
   CHECK_FALSE(tracker.trust().suspect());
 }
 
--- a/tests/auto/workload/tst_worker_tracker.cc
+++ b/tests/auto/workload/tst_worker_tracker.cc
@@ -347,11 +347,11 @@
   WorkerTracker tracker = MakeTracker(MakeWorker("w", "r1"));
   tracker.trust().OnRunFailed("job1", At(0));
   tracker.trust().OnRunFailed("job1", At(10));
-  CHECK_FALSE(tracker.trust().Quarantined(At(20)));
+  CHECK_FALSE(tracker.trust().IsQuarantined(At(20)));
   CHECK(tracker.trust().suspect());
   tracker.trust().OnRunFailed("job2", At(30));
-  CHECK(tracker.trust().Quarantined(At(40)));
-  CHECK_FALSE(tracker.trust().Quarantined(At(40 + 6000)));
+  CHECK(tracker.trust().IsQuarantined(At(40)));
+  CHECK_FALSE(tracker.trust().IsQuarantined(At(40 + 6000)));
   SUBCASE("a run that began after the failure clears it") {
     tracker.trust().OnRunDone(At(31));
     CHECK_FALSE(tracker.trust().suspect());
