--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -31,7 +31,7 @@
 #include "net/http_server.h"
 #include "outlook/entry_client.h"
 #include "outlook/entry_questions.h"
-#include "outlook/outlook_survey.h"
+#include "outlook/reachability_poller.h"
 #include "platform/advice_client.h"
 #include "platform/executor_client.h"
 #include "platform/metadata_store.h"
@@ -233,8 +233,8 @@
     return settings;
   }
 
-  OutlookSurveySettings SurveySettings() const {
-    OutlookSurveySettings settings;
+  ReachabilityPollerSettings SurveySettings() const {
+    ReachabilityPollerSettings settings;
     settings.seed = SeedOf(settings_);
     return settings;
   }
@@ -441,7 +441,7 @@
   ClosedDomains closed_domains_;
   EntryClient entry_client_;
   EntryRoll roll_;
-  OutlookSurvey survey_;
+  ReachabilityPoller survey_;
   StreamContact board_contact_{"board"};
   StreamContact configuration_contact_{"configuration"};
   RecordTail board_tail_;
--- a/src/libs/outlook/outlook_survey.cc
+++ b/src/libs/outlook/reachability_poller.cc
@@ -1,5 +1,5 @@
 // Rounds of questions to entries that are chosen by chance.
-#include "outlook/outlook_survey.h"
+#include "outlook/reachability_poller.h"
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -14,36 +14,37 @@
 
 }  // namespace
 
-OutlookSurvey::OutlookSurvey(boost::asio::io_context& io, EntryCalls& calls,
-                             OutlookSurveySettings settings,
-                             std::function<std::vector<std::string>()> peers)
+ReachabilityPoller::ReachabilityPoller(
+    boost::asio::io_context& io, EntryCalls& calls,
+    ReachabilityPollerSettings settings,
+    std::function<std::vector<std::string>()> peers)
     : calls_(calls),
       settings_(settings),
       peers_(std::move(peers)),
       timer_(io),
       random_(settings.seed) {}
 
-OutlookSurvey::~OutlookSurvey() { *alive_ = false; }
+ReachabilityPoller::~ReachabilityPoller() { *alive_ = false; }
 
-void OutlookSurvey::OnLost() {
+void ReachabilityPoller::OnLost() {
   if (outlook_.lost()) return;
   outlook_.OnLost(Now());
   Tell();
   Ask();
 }
 
-void OutlookSurvey::OnReached() {
+void ReachabilityPoller::OnReached() {
   if (!outlook_.lost()) return;
   timer_.cancel();
   outlook_.OnReached();
   Tell();
 }
 
-bool OutlookSurvey::ServedElsewhere() const {
+bool ReachabilityPoller::ServedElsewhere() const {
   return outlook_.ServedElsewhere(Now());
 }
 
-void OutlookSurvey::Ask() {
+void ReachabilityPoller::Ask() {
   std::vector<std::string> peers = peers_();
   std::shuffle(peers.begin(), peers.end(), random_);
   if (peers.size() > settings_.asked) peers.resize(settings_.asked);
@@ -62,8 +63,8 @@
   });
 }
 
-void OutlookSurvey::OnAnswer(const std::string& peer, Time sent,
-                             std::optional<Milliseconds> age) {
+void ReachabilityPoller::OnAnswer(const std::string& peer, Time sent,
+                                  std::optional<Milliseconds> age) {
   if (age) {
     outlook_.OnAnswer(*age, sent, Now());
   } else {
@@ -72,7 +73,7 @@
   Tell();
 }
 
-void OutlookSurvey::Tell() {
+void ReachabilityPoller::Tell() {
   const StoreBelief belief = outlook_.belief(Now());
   if (belief == told_) return;
   told_ = belief;
--- a/src/libs/outlook/outlook_survey.h
+++ b/src/libs/outlook/reachability_poller.h
@@ -1,6 +1,6 @@
 // Asks other entries whether they reach the store, while this one does not.
-#ifndef THORNPLANK_OUTLOOK_OUTLOOK_SURVEY_H_
-#define THORNPLANK_OUTLOOK_OUTLOOK_SURVEY_H_
+#ifndef THORNPLANK_OUTLOOK_REACHABILITY_POLLER_H_
+#define THORNPLANK_OUTLOOK_REACHABILITY_POLLER_H_
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstddef>
@@ -21,7 +21,7 @@
 
 namespace thornplank {
 
-struct OutlookSurveySettings {
+struct ReachabilityPollerSettings {
   // Between two rounds of questions. Followers read twice a second, so that the
   // first proof comes 0.25 s after a loss in the mean.
   Milliseconds interval{250};
@@ -32,13 +32,13 @@
   uint32_t seed = 1;
 };
 
-class OutlookSurvey {
+class ReachabilityPoller {
  public:
   // `peers`: addresses of the other entries that are known.
-  OutlookSurvey(boost::asio::io_context& io, EntryCalls& calls,
-                OutlookSurveySettings settings,
-                std::function<std::vector<std::string>()> peers);
-  ~OutlookSurvey();
+  ReachabilityPoller(boost::asio::io_context& io, EntryCalls& calls,
+                     ReachabilityPollerSettings settings,
+                     std::function<std::vector<std::string>()> peers);
+  ~ReachabilityPoller();
 
   // The store could not be read; or it could.
   void OnLost();
@@ -54,7 +54,7 @@
   void Tell();
 
   EntryCalls& calls_;
-  const OutlookSurveySettings settings_;
+  const ReachabilityPollerSettings settings_;
   const std::function<std::vector<std::string>()> peers_;
   boost::asio::steady_timer timer_;
   std::minstd_rand random_;
@@ -66,4 +66,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_OUTLOOK_SURVEY_H_
+#endif  // THORNPLANK_OUTLOOK_REACHABILITY_POLLER_H_
--- a/tests/auto/outlook/tst_outlook_survey.cc
+++ b/tests/auto/outlook/tst_reachability_poller.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "outlook/entry_questions.h"
-#include "outlook/outlook_survey.h"
+#include "outlook/reachability_poller.h"
 
 namespace thornplank {
 namespace {
@@ -43,13 +43,14 @@
     CAPTURE(row.known);
     boost::asio::io_context io;
     ScriptedEntries entries;
-    OutlookSurvey survey(io, entries, OutlookSurveySettings(), [&row] {
-      std::vector<std::string> peers;
-      for (size_t i = 0; i < row.known; ++i) {
-        peers.push_back("127.0.0.1:" + std::to_string(i + 1));
-      }
-      return peers;
-    });
+    ReachabilityPoller survey(
+        io, entries, ReachabilityPollerSettings(), [&row] {
+          std::vector<std::string> peers;
+          for (size_t i = 0; i < row.known; ++i) {
+            peers.push_back("127.0.0.1:" + std::to_string(i + 1));
+          }
+          return peers;
+        });
     survey.OnReached();
     CHECK(entries.asked.empty());
     survey.OnLost();
@@ -69,10 +70,11 @@
 TEST_CASE("it goes on asking until the store is reached") {
   boost::asio::io_context io;
   ScriptedEntries entries;
-  OutlookSurveySettings settings;
+  ReachabilityPollerSettings settings;
   settings.interval = Milliseconds(1);
-  OutlookSurvey survey(io, entries, settings,
-                       [] { return std::vector<std::string>{"127.0.0.1:1"}; });
+  ReachabilityPoller survey(io, entries, settings, [] {
+    return std::vector<std::string>{"127.0.0.1:1"};
+  });
   survey.OnLost();
   while (entries.asked.size() < 5) io.run_one();
   entries.Answer(std::nullopt);
