--- a/src/libs/outlook/entry_client.cc
+++ b/src/libs/outlook/entry_client.cc
@@ -8,7 +8,7 @@
 
 namespace thornplank {
 
-void EntryClient::AskStoreAge(
+void EntryClient::FetchStoreAge(
     const std::string& address, Milliseconds timeout,
     std::function<void(std::optional<Milliseconds>)> done) {
   HttpRequest request;
--- a/src/libs/outlook/entry_client.h
+++ b/src/libs/outlook/entry_client.h
@@ -7,16 +7,16 @@
 #include <string>
 
 #include "net/http_client.h"
-#include "outlook/entry_calls.h"
+#include "outlook/entry_client_interface.h"
 
 namespace thornplank {
 
-class EntryClient : public EntryCalls {
+class EntryClient : public EntryClientInterface {
  public:
   // `client` outlives this object.
   explicit EntryClient(HttpClient& client) : client_(client) {}
 
-  void AskStoreAge(
+  void FetchStoreAge(
       const std::string& address, Milliseconds timeout,
       std::function<void(std::optional<Milliseconds>)> done) override;
 
--- a/src/libs/outlook/entry_calls.h
+++ b/src/libs/outlook/entry_client_interface.h
@@ -1,6 +1,6 @@
 // What one entry asks another.
-#ifndef THORNPLANK_OUTLOOK_ENTRY_CALLS_H_
-#define THORNPLANK_OUTLOOK_ENTRY_CALLS_H_
+#ifndef THORNPLANK_OUTLOOK_ENTRY_CLIENT_INTERFACE_H_
+#define THORNPLANK_OUTLOOK_ENTRY_CLIENT_INTERFACE_H_
 
 #include <functional>
 #include <optional>
@@ -10,17 +10,17 @@
 
 namespace thornplank {
 
-class EntryCalls {
+class EntryClientInterface {
  public:
-  virtual ~EntryCalls() = default;
+  virtual ~EntryClientInterface() = default;
 
   // How long ago the last whole read of the store began there; nullopt without
   // an answer. `done` runs once, on the loop that the entry runs on.
-  virtual void AskStoreAge(
+  virtual void FetchStoreAge(
       const std::string& address, Milliseconds timeout,
       std::function<void(std::optional<Milliseconds>)> done) = 0;
 };
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_ENTRY_CALLS_H_
+#endif  // THORNPLANK_OUTLOOK_ENTRY_CLIENT_INTERFACE_H_
--- a/src/libs/outlook/reachability_poller.cc
+++ b/src/libs/outlook/reachability_poller.cc
@@ -15,7 +15,7 @@
 }  // namespace
 
 ReachabilityPoller::ReachabilityPoller(
-    boost::asio::io_context& io, EntryCalls& calls,
+    boost::asio::io_context& io, EntryClientInterface& calls,
     ReachabilityPollerSettings settings,
     std::function<std::vector<std::string>()> peers)
     : calls_(calls),
@@ -49,11 +49,11 @@
   std::shuffle(peers.begin(), peers.end(), random_);
   if (peers.size() > settings_.asked) peers.resize(settings_.asked);
   for (const std::string& peer : peers) {
-    calls_.AskStoreAge(peer, settings_.timeout,
-                       [this, alive = alive_, peer,
-                        sent = Now()](std::optional<Milliseconds> age) {
-                         if (*alive) OnAnswer(peer, sent, age);
-                       });
+    calls_.FetchStoreAge(peer, settings_.timeout,
+                         [this, alive = alive_, peer,
+                          sent = Now()](std::optional<Milliseconds> age) {
+                           if (*alive) OnAnswer(peer, sent, age);
+                         });
   }
   timer_.expires_after(settings_.interval);
   timer_.async_wait([this](const boost::system::error_code& code) {
--- a/src/libs/outlook/reachability_poller.h
+++ b/src/libs/outlook/reachability_poller.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "outlook/entry_calls.h"
+#include "outlook/entry_client_interface.h"
 #include "outlook/store_outlook.h"
 
 namespace boost::asio {
@@ -35,7 +35,7 @@
 class ReachabilityPoller {
  public:
   // `peers`: addresses of the other entries that are known.
-  ReachabilityPoller(boost::asio::io_context& io, EntryCalls& calls,
+  ReachabilityPoller(boost::asio::io_context& io, EntryClientInterface& calls,
                      ReachabilityPollerSettings settings,
                      std::function<std::vector<std::string>()> peers);
   ~ReachabilityPoller();
@@ -53,7 +53,7 @@
   // Logs the belief when it has changed.
   void Tell();
 
-  EntryCalls& calls_;
+  EntryClientInterface& calls_;
   const ReachabilityPollerSettings settings_;
   const std::function<std::vector<std::string>()> peers_;
   boost::asio::steady_timer timer_;
--- a/tests/auto/outlook/tst_reachability_poller.cc
+++ b/tests/auto/outlook/tst_reachability_poller.cc
@@ -15,9 +15,9 @@
 namespace thornplank {
 namespace {
 
-class ScriptedEntries : public EntryCalls {
+class ScriptedEntries : public EntryClientInterface {
  public:
-  void AskStoreAge(
+  void FetchStoreAge(
       const std::string& address, Milliseconds,
       std::function<void(std::optional<Milliseconds>)> done) override {
     asked.push_back(address);
