--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -30,8 +30,8 @@
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "outlook/entry_client.h"
-#include "outlook/entry_questions.h"
 #include "outlook/reachability_poller.h"
+#include "outlook/store_age_route.h"
 #include "platform/advice_client.h"
 #include "platform/executor_client.h"
 #include "platform/metadata_store.h"
@@ -149,7 +149,7 @@
         entry_server_(io, HttpServerLimits(),
                       [this](const HttpRequest& request,
                              const HttpServer::Responder& respond) {
-                        respond(AnswerEntry(request, StoreAge()));
+                        respond(HandleStoreAgeRequest(request, StoreAge()));
                       }),
         metrics_server_(
             io, HttpServerLimits(),
--- a/src/libs/outlook/entry_client.cc
+++ b/src/libs/outlook/entry_client.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "base/json.h"
-#include "outlook/entry_questions.h"
+#include "outlook/store_age_route.h"
 
 namespace thornplank {
 
--- a/src/libs/outlook/entry_questions.cc
+++ b/src/libs/outlook/store_age_route.cc
@@ -1,12 +1,12 @@
 // The one question so far.
-#include "outlook/entry_questions.h"
+#include "outlook/store_age_route.h"
 
 #include "base/json.h"
 
 namespace thornplank {
 
-HttpResponse AnswerEntry(const HttpRequest& request,
-                         std::optional<Milliseconds> store_age) {
+HttpResponse HandleStoreAgeRequest(const HttpRequest& request,
+                                   std::optional<Milliseconds> store_age) {
   HttpResponse response;
   if (request.method != "GET" || request.path() != kStoreAgePath) {
     response.status = 404;
--- a/src/libs/outlook/entry_questions.h
+++ b/src/libs/outlook/store_age_route.h
@@ -1,6 +1,6 @@
 // Answers the questions of other entries.
-#ifndef THORNPLANK_OUTLOOK_ENTRY_QUESTIONS_H_
-#define THORNPLANK_OUTLOOK_ENTRY_QUESTIONS_H_
+#ifndef THORNPLANK_OUTLOOK_STORE_AGE_ROUTE_H_
+#define THORNPLANK_OUTLOOK_STORE_AGE_ROUTE_H_
 
 #include <functional>
 #include <optional>
@@ -15,9 +15,9 @@
 inline constexpr char kStoreAgePath[] = "/v1/entry/store-age";
 inline constexpr char kStoreAgeField[] = "store_age_ms";
 
-HttpResponse AnswerEntry(const HttpRequest& request,
-                         std::optional<Milliseconds> store_age);
+HttpResponse HandleStoreAgeRequest(const HttpRequest& request,
+                                   std::optional<Milliseconds> store_age);
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_ENTRY_QUESTIONS_H_
+#endif  // THORNPLANK_OUTLOOK_STORE_AGE_ROUTE_H_
--- a/tests/auto/outlook/tst_reachability_poller.cc
+++ b/tests/auto/outlook/tst_reachability_poller.cc
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "outlook/entry_questions.h"
 #include "outlook/reachability_poller.h"
+#include "outlook/store_age_route.h"
 
 namespace thornplank {
 namespace {
@@ -105,7 +105,7 @@
     HttpRequest request;
     request.method = row.method;
     request.target = row.target;
-    const HttpResponse response = AnswerEntry(request, row.age);
+    const HttpResponse response = HandleStoreAgeRequest(request, row.age);
     CHECK(response.status == row.status);
     CHECK(response.body == row.body);
   }
