--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -266,12 +266,12 @@
       SpreadRetries();
       coordinator_.OnBoardContact(board_tail_.latency());
       if (board_contact_.OnContact(board_tail_.next())) WakeStreams();
-      survey_.OnReached();
+      survey_.OnReadSucceeded();
       roll_.OnCurrent();
     };
     handlers.on_failure = [this](const Error& error) {
       board_contact_.OnFailure(error);
-      survey_.OnLost();
+      survey_.OnReadFailed();
     };
     return handlers;
   }
--- a/src/libs/outlook/reachability_poller.cc
+++ b/src/libs/outlook/reachability_poller.cc
@@ -26,17 +26,17 @@
 
 ReachabilityPoller::~ReachabilityPoller() { *alive_ = false; }
 
-void ReachabilityPoller::OnLost() {
+void ReachabilityPoller::OnReadFailed() {
   if (outlook_.lost()) return;
-  outlook_.OnLost(Now());
+  outlook_.OnReadFailed(Now());
   Tell();
   Ask();
 }
 
-void ReachabilityPoller::OnReached() {
+void ReachabilityPoller::OnReadSucceeded() {
   if (!outlook_.lost()) return;
   timer_.cancel();
-  outlook_.OnReached();
+  outlook_.OnReadSucceeded();
   Tell();
 }
 
--- a/src/libs/outlook/reachability_poller.h
+++ b/src/libs/outlook/reachability_poller.h
@@ -41,8 +41,8 @@
   ~ReachabilityPoller();
 
   // The store could not be read; or it could.
-  void OnLost();
-  void OnReached();
+  void OnReadFailed();
+  void OnReadSucceeded();
 
   bool ServedElsewhere() const;
 
--- a/src/libs/outlook/store_outlook.cc
+++ b/src/libs/outlook/store_outlook.cc
@@ -12,11 +12,11 @@
 
 }  // namespace
 
-void StoreOutlook::OnLost(Time now) {
+void StoreOutlook::OnReadFailed(Time now) {
   if (!lost_) lost_ = now;
 }
 
-void StoreOutlook::OnReached() { *this = StoreOutlook(); }
+void StoreOutlook::OnReadSucceeded() { *this = StoreOutlook(); }
 
 void StoreOutlook::OnAnswer(Duration age, Time sent, Time now) {
   if (!lost_) return;
--- a/src/libs/outlook/store_outlook.h
+++ b/src/libs/outlook/store_outlook.h
@@ -32,8 +32,8 @@
 class StoreOutlook {
  public:
   // The store was lost, or is still; only the first of a row counts.
-  void OnLost(Time now);
-  void OnReached();
+  void OnReadFailed(Time now);
+  void OnReadSucceeded();
   // A question that was sent to another entry at `sent` has an answer: its last
   // whole read of the store began `age` before that.
   void OnAnswer(Duration age, Time sent, Time now);
--- a/tests/auto/outlook/tst_reachability_poller.cc
+++ b/tests/auto/outlook/tst_reachability_poller.cc
@@ -51,10 +51,10 @@
           }
           return peers;
         });
-    survey.OnReached();
+    survey.OnReadSucceeded();
     CHECK(entries.asked.empty());
-    survey.OnLost();
-    survey.OnLost();
+    survey.OnReadFailed();
+    survey.OnReadFailed();
     CHECK(entries.asked.size() == row.asked);
     const std::set<std::string> distinct(entries.asked.begin(),
                                          entries.asked.end());
@@ -62,7 +62,7 @@
     CHECK_FALSE(survey.ServedElsewhere());
     entries.Answer(Milliseconds(0));
     CHECK(survey.ServedElsewhere() == (row.asked > 0));
-    survey.OnReached();
+    survey.OnReadSucceeded();
     CHECK_FALSE(survey.ServedElsewhere());
   }
 }
@@ -75,11 +75,11 @@
   ReachabilityPoller survey(io, entries, settings, [] {
     return std::vector<std::string>{"127.0.0.1:1"};
   });
-  survey.OnLost();
+  survey.OnReadFailed();
   while (entries.asked.size() < 5) io.run_one();
   entries.Answer(std::nullopt);
   CHECK_FALSE(survey.ServedElsewhere());
-  survey.OnReached();
+  survey.OnReadSucceeded();
   io.run();
   CHECK(entries.asked.size() == 5);
 }
--- a/tests/auto/outlook/tst_store_outlook.cc
+++ b/tests/auto/outlook/tst_store_outlook.cc
@@ -30,23 +30,23 @@
   const std::vector<Row> rows = {
       {"never lost", [](StoreOutlook* o) { Answer(o, 0, 10); }, 100,
        StoreBelief::kReached, false},
-      {"lost, nobody asked", [](StoreOutlook* o) { o->OnLost(At(0)); }, 100,
-       StoreBelief::kUnknown, false},
+      {"lost, nobody asked", [](StoreOutlook* o) { o->OnReadFailed(At(0)); },
+       100, StoreBelief::kUnknown, false},
       {"a read since the loss",
        [](StoreOutlook* o) {
-         o->OnLost(At(0));
+         o->OnReadFailed(At(0));
          Answer(o, 100, 300);
        },
        400, StoreBelief::kServesOthers, true},
       {"a read before the loss: it may not have noticed yet",
        [](StoreOutlook* o) {
-         o->OnLost(At(0));
+         o->OnReadFailed(At(0));
          Answer(o, 400, 300);
        },
        400, StoreBelief::kUnknown, false},
       {"one of three is enough",
        [](StoreOutlook* o) {
-         o->OnLost(At(0));
+         o->OnReadFailed(At(0));
          Answer(o, 5000, 300);
          o->OnSilence("a");
          Answer(o, 100, 300);
@@ -54,41 +54,41 @@
        400, StoreBelief::kServesOthers, true},
       {"a proof that is not renewed",
        [](StoreOutlook* o) {
-         o->OnLost(At(0));
+         o->OnReadFailed(At(0));
          Answer(o, 100, 300);
          Answer(o, 1500, 1200);
        },
        1400, StoreBelief::kUnknown, false},
       {"lost again in the same spell counts from the first time",
        [](StoreOutlook* o) {
-         o->OnLost(At(0));
-         o->OnLost(At(500));
+         o->OnReadFailed(At(0));
+         o->OnReadFailed(At(500));
          Answer(o, 400, 600);
        },
        700, StoreBelief::kServesOthers, true},
       {"lost anew",
        [](StoreOutlook* o) {
-         o->OnLost(At(0));
+         o->OnReadFailed(At(0));
          Answer(o, 0, 300);
-         o->OnReached();
-         o->OnLost(At(500));
+         o->OnReadSucceeded();
+         o->OnReadFailed(At(500));
        },
        600, StoreBelief::kUnknown, false},
       {"nobody answers",
        [](StoreOutlook* o) {
-         o->OnLost(At(0));
+         o->OnReadFailed(At(0));
          for (const char* peer : {"a", "b", "c"}) o->OnSilence(peer);
        },
        400, StoreBelief::kCutOff, true},
       {"the same one twice is one",
        [](StoreOutlook* o) {
-         o->OnLost(At(0));
+         o->OnReadFailed(At(0));
          for (const char* peer : {"a", "b", "a"}) o->OnSilence(peer);
        },
        400, StoreBelief::kUnknown, false},
       {"somebody answers, and has lost it too",
        [](StoreOutlook* o) {
-         o->OnLost(At(0));
+         o->OnReadFailed(At(0));
          for (const char* peer : {"a", "b", "c"}) o->OnSilence(peer);
          Answer(o, 5000, 300);
        },
