--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -373,7 +373,7 @@
     surroundings.board = &board_;
     surroundings.board_tail = &board_tail_;
     surroundings.served_elsewhere = [this] {
-      return survey_.ServedElsewhere();
+      return survey_.ReachableElsewhere();
     };
     return surroundings;
   }
--- a/src/libs/outlook/reachability_poller.cc
+++ b/src/libs/outlook/reachability_poller.cc
@@ -40,8 +40,8 @@
   Tell();
 }
 
-bool ReachabilityPoller::ServedElsewhere() const {
-  return outlook_.ServedElsewhere(Now());
+bool ReachabilityPoller::ReachableElsewhere() const {
+  return outlook_.ReachableElsewhere(Now());
 }
 
 void ReachabilityPoller::Ask() {
--- a/src/libs/outlook/reachability_poller.h
+++ b/src/libs/outlook/reachability_poller.h
@@ -44,7 +44,7 @@
   void OnReadFailed();
   void OnReadSucceeded();
 
-  bool ServedElsewhere() const;
+  bool ReachableElsewhere() const;
 
  private:
   void Ask();
--- a/src/libs/outlook/store_outlook.cc
+++ b/src/libs/outlook/store_outlook.cc
@@ -39,7 +39,7 @@
   return StoreBelief::kUnknown;
 }
 
-bool StoreOutlook::ServedElsewhere(Time now) const {
+bool StoreOutlook::ReachableElsewhere(Time now) const {
   const StoreBelief current = belief(now);
   return current == StoreBelief::kServesOthers ||
          current == StoreBelief::kCutOff;
--- a/src/libs/outlook/store_outlook.h
+++ b/src/libs/outlook/store_outlook.h
@@ -42,7 +42,7 @@
 
   StoreBelief belief(Time now) const;
   // Whether a caller should try another entry at once.
-  bool ServedElsewhere(Time now) const;
+  bool ReachableElsewhere(Time now) const;
   bool lost() const { return lost_.has_value(); }
 
  private:
--- a/tests/auto/outlook/tst_reachability_poller.cc
+++ b/tests/auto/outlook/tst_reachability_poller.cc
@@ -59,11 +59,11 @@
     const std::set<std::string> distinct(entries.asked.begin(),
                                          entries.asked.end());
     CHECK(distinct.size() == row.asked);
-    CHECK_FALSE(survey.ServedElsewhere());
+    CHECK_FALSE(survey.ReachableElsewhere());
     entries.Answer(Milliseconds(0));
-    CHECK(survey.ServedElsewhere() == (row.asked > 0));
+    CHECK(survey.ReachableElsewhere() == (row.asked > 0));
     survey.OnReadSucceeded();
-    CHECK_FALSE(survey.ServedElsewhere());
+    CHECK_FALSE(survey.ReachableElsewhere());
   }
 }
 
@@ -78,7 +78,7 @@
   survey.OnReadFailed();
   while (entries.asked.size() < 5) io.run_one();
   entries.Answer(std::nullopt);
-  CHECK_FALSE(survey.ServedElsewhere());
+  CHECK_FALSE(survey.ReachableElsewhere());
   survey.OnReadSucceeded();
   io.run();
   CHECK(entries.asked.size() == 5);
--- a/tests/auto/outlook/tst_store_outlook.cc
+++ b/tests/auto/outlook/tst_store_outlook.cc
@@ -99,7 +99,7 @@
     StoreOutlook outlook;
     row.events(&outlook);
     CHECK(outlook.belief(At(row.now)) == row.belief);
-    CHECK(outlook.ServedElsewhere(At(row.now)) == row.elsewhere);
+    CHECK(outlook.ReachableElsewhere(At(row.now)) == row.elsewhere);
   }
 }
 
