--- a/src/libs/outlook/reachability_poller.cc
+++ b/src/libs/outlook/reachability_poller.cc
@@ -74,7 +74,7 @@
 }
 
 void ReachabilityPoller::Tell() {
-  const StoreBelief belief = outlook_.belief(Now());
+  const StoreStatus belief = outlook_.belief(Now());
   if (belief == told_) return;
   told_ = belief;
   LogEvent(events::kStoreOutlook, {{"belief", std::string(ToText(belief))}});
--- a/src/libs/outlook/reachability_poller.h
+++ b/src/libs/outlook/reachability_poller.h
@@ -13,7 +13,7 @@
 
 #include "base/time.h"
 #include "outlook/entry_client_interface.h"
-#include "outlook/store_outlook.h"
+#include "outlook/store_reachability.h"
 
 namespace boost::asio {
 class io_context;
@@ -58,8 +58,8 @@
   const std::function<std::vector<std::string>()> peers_;
   boost::asio::steady_timer timer_;
   std::minstd_rand random_;
-  StoreOutlook outlook_;
-  StoreBelief told_ = StoreBelief::kReached;
+  StoreReachability outlook_;
+  StoreStatus told_ = StoreStatus::kReached;
   // Callbacks of calls that outlive this object do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/libs/outlook/store_outlook.cc
+++ b/src/libs/outlook/store_reachability.cc
@@ -1,5 +1,5 @@
 // What proves that the store serves others.
-#include "outlook/store_outlook.h"
+#include "outlook/store_reachability.h"
 
 namespace thornplank {
 namespace {
@@ -12,13 +12,13 @@
 
 }  // namespace
 
-void StoreOutlook::OnReadFailed(Time now) {
+void StoreReachability::OnReadFailed(Time now) {
   if (!lost_) lost_ = now;
 }
 
-void StoreOutlook::OnReadSucceeded() { *this = StoreOutlook(); }
+void StoreReachability::OnReadSucceeded() { *this = StoreReachability(); }
 
-void StoreOutlook::OnAnswer(Duration age, Time sent, Time now) {
+void StoreReachability::OnAnswer(Duration age, Time sent, Time now) {
   if (!lost_) return;
   heard_ = true;
   // A read that began before the loss shows nothing: the other entry may not
@@ -26,34 +26,34 @@
   if (sent - age >= *lost_) proved_ = now;
 }
 
-void StoreOutlook::OnSilence(const std::string& peer) {
+void StoreReachability::OnSilence(const std::string& peer) {
   if (lost_) silent_.insert(peer);
 }
 
-StoreBelief StoreOutlook::belief(Time now) const {
-  if (!lost_) return StoreBelief::kReached;
+StoreStatus StoreReachability::belief(Time now) const {
+  if (!lost_) return StoreStatus::kReached;
   if (proved_ && now - *proved_ < kProofLasts) {
-    return StoreBelief::kServesOthers;
+    return StoreStatus::kServesOthers;
   }
-  if (!heard_ && silent_.size() >= kTellingSilence) return StoreBelief::kCutOff;
-  return StoreBelief::kUnknown;
+  if (!heard_ && silent_.size() >= kTellingSilence) return StoreStatus::kCutOff;
+  return StoreStatus::kUnknown;
 }
 
-bool StoreOutlook::ReachableElsewhere(Time now) const {
-  const StoreBelief current = belief(now);
-  return current == StoreBelief::kServesOthers ||
-         current == StoreBelief::kCutOff;
+bool StoreReachability::ReachableElsewhere(Time now) const {
+  const StoreStatus current = belief(now);
+  return current == StoreStatus::kServesOthers ||
+         current == StoreStatus::kCutOff;
 }
 
-std::string_view ToText(StoreBelief belief) {
+std::string_view ToText(StoreStatus belief) {
   switch (belief) {
-    case StoreBelief::kReached:
+    case StoreStatus::kReached:
       return "reached";
-    case StoreBelief::kUnknown:
+    case StoreStatus::kUnknown:
       return "unknown";
-    case StoreBelief::kServesOthers:
+    case StoreStatus::kServesOthers:
       return "serves others";
-    case StoreBelief::kCutOff:
+    case StoreStatus::kCutOff:
       return "cut off";
   }
   return "unknown";
--- a/src/libs/outlook/store_outlook.h
+++ b/src/libs/outlook/store_reachability.h
@@ -4,8 +4,8 @@
 // at once. Where the store is away for all, that would use up the caller's
 // tries within milliseconds. Decisions only: what others say comes in as
 // events.
-#ifndef THORNPLANK_OUTLOOK_STORE_OUTLOOK_H_
-#define THORNPLANK_OUTLOOK_STORE_OUTLOOK_H_
+#ifndef THORNPLANK_OUTLOOK_STORE_REACHABILITY_H_
+#define THORNPLANK_OUTLOOK_STORE_REACHABILITY_H_
 
 #include <optional>
 #include <set>
@@ -16,7 +16,7 @@
 
 namespace thornplank {
 
-enum class StoreBelief {
+enum class StoreStatus {
   // This entry reaches it.
   kReached,
   // Not reached, and nobody has said yet whether others reach it.
@@ -27,9 +27,9 @@
   kCutOff,
 };
 
-std::string_view ToText(StoreBelief belief);
+std::string_view ToText(StoreStatus belief);
 
-class StoreOutlook {
+class StoreReachability {
  public:
   // The store was lost, or is still; only the first of a row counts.
   void OnReadFailed(Time now);
@@ -40,7 +40,7 @@
   // A question to `peer` has no answer.
   void OnSilence(const std::string& peer);
 
-  StoreBelief belief(Time now) const;
+  StoreStatus belief(Time now) const;
   // Whether a caller should try another entry at once.
   bool ReachableElsewhere(Time now) const;
   bool lost() const { return lost_.has_value(); }
@@ -57,4 +57,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_STORE_OUTLOOK_H_
+#endif  // THORNPLANK_OUTLOOK_STORE_REACHABILITY_H_
--- a/tests/auto/outlook/tst_store_outlook.cc
+++ b/tests/auto/outlook/tst_store_reachability.cc
@@ -4,7 +4,7 @@
 #include <functional>
 #include <vector>
 
-#include "outlook/store_outlook.h"
+#include "outlook/store_reachability.h"
 
 namespace thornplank {
 namespace {
@@ -14,89 +14,90 @@
 }
 
 // An answer sent for at `sent` that tells of a read which began `age` before.
-void Answer(StoreOutlook* outlook, int64_t age, int64_t sent) {
+void Answer(StoreReachability* outlook, int64_t age, int64_t sent) {
   outlook->OnAnswer(Milliseconds(age), At(sent), At(sent + 2));
 }
 
 TEST_CASE("what others say shows whether the store serves them") {
   struct Row {
     const char* name;
-    std::function<void(StoreOutlook*)> events;
+    std::function<void(StoreReachability*)> events;
     // When it is asked for.
     int64_t now;
-    StoreBelief belief;
+    StoreStatus belief;
     bool elsewhere;
   };
   const std::vector<Row> rows = {
-      {"never lost", [](StoreOutlook* o) { Answer(o, 0, 10); }, 100,
-       StoreBelief::kReached, false},
-      {"lost, nobody asked", [](StoreOutlook* o) { o->OnReadFailed(At(0)); },
-       100, StoreBelief::kUnknown, false},
+      {"never lost", [](StoreReachability* o) { Answer(o, 0, 10); }, 100,
+       StoreStatus::kReached, false},
+      {"lost, nobody asked",
+       [](StoreReachability* o) { o->OnReadFailed(At(0)); }, 100,
+       StoreStatus::kUnknown, false},
       {"a read since the loss",
-       [](StoreOutlook* o) {
+       [](StoreReachability* o) {
          o->OnReadFailed(At(0));
          Answer(o, 100, 300);
        },
-       400, StoreBelief::kServesOthers, true},
+       400, StoreStatus::kServesOthers, true},
       {"a read before the loss: it may not have noticed yet",
-       [](StoreOutlook* o) {
+       [](StoreReachability* o) {
          o->OnReadFailed(At(0));
          Answer(o, 400, 300);
        },
-       400, StoreBelief::kUnknown, false},
+       400, StoreStatus::kUnknown, false},
       {"one of three is enough",
-       [](StoreOutlook* o) {
+       [](StoreReachability* o) {
          o->OnReadFailed(At(0));
          Answer(o, 5000, 300);
          o->OnSilence("a");
          Answer(o, 100, 300);
        },
-       400, StoreBelief::kServesOthers, true},
+       400, StoreStatus::kServesOthers, true},
       {"a proof that is not renewed",
-       [](StoreOutlook* o) {
+       [](StoreReachability* o) {
          o->OnReadFailed(At(0));
          Answer(o, 100, 300);
          Answer(o, 1500, 1200);
        },
-       1400, StoreBelief::kUnknown, false},
+       1400, StoreStatus::kUnknown, false},
       {"lost again in the same spell counts from the first time",
-       [](StoreOutlook* o) {
+       [](StoreReachability* o) {
          o->OnReadFailed(At(0));
          o->OnReadFailed(At(500));
          Answer(o, 400, 600);
        },
-       700, StoreBelief::kServesOthers, true},
+       700, StoreStatus::kServesOthers, true},
       {"lost anew",
-       [](StoreOutlook* o) {
+       [](StoreReachability* o) {
          o->OnReadFailed(At(0));
          Answer(o, 0, 300);
          o->OnReadSucceeded();
          o->OnReadFailed(At(500));
        },
-       600, StoreBelief::kUnknown, false},
+       600, StoreStatus::kUnknown, false},
       {"nobody answers",
-       [](StoreOutlook* o) {
+       [](StoreReachability* o) {
          o->OnReadFailed(At(0));
          for (const char* peer : {"a", "b", "c"}) o->OnSilence(peer);
        },
-       400, StoreBelief::kCutOff, true},
+       400, StoreStatus::kCutOff, true},
       {"the same one twice is one",
-       [](StoreOutlook* o) {
+       [](StoreReachability* o) {
          o->OnReadFailed(At(0));
          for (const char* peer : {"a", "b", "a"}) o->OnSilence(peer);
        },
-       400, StoreBelief::kUnknown, false},
+       400, StoreStatus::kUnknown, false},
       {"somebody answers, and has lost it too",
-       [](StoreOutlook* o) {
+       [](StoreReachability* o) {
          o->OnReadFailed(At(0));
          for (const char* peer : {"a", "b", "c"}) o->OnSilence(peer);
          Answer(o, 5000, 300);
        },
-       400, StoreBelief::kUnknown, false},
+       400, StoreStatus::kUnknown, false},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    StoreOutlook outlook;
+    StoreReachability outlook;
     row.events(&outlook);
     CHECK(outlook.belief(At(row.now)) == row.belief);
     CHECK(outlook.ReachableElsewhere(At(row.now)) == row.elsewhere);
