--- a/src/libs/membership/membership_table.cc
+++ b/src/libs/membership/membership_table.cc
@@ -125,7 +125,7 @@
   if (member.identity.incarnation == peer.incarnation) member.linked = false;
 }
 
-void MembershipTable::HandleList(const std::vector<std::string>& names) {
+void MembershipTable::SetListedNames(const std::vector<std::string>& names) {
   listed_ = std::set<std::string>(names.begin(), names.end());
 }
 
--- a/src/libs/membership/membership_table.h
+++ b/src/libs/membership/membership_table.h
@@ -99,7 +99,7 @@
   Changes HandleLinkUp(const MemberIdentity& peer, Time now);
   void HandleLinkDown(const MemberIdentity& peer);
   // The names of all entries that the instance list holds.
-  void HandleList(const std::vector<std::string>& names);
+  void SetListedNames(const std::vector<std::string>& names);
   // To be called about once every heartbeat interval.
   Changes HandleTick(Time now);
 
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -136,7 +136,7 @@
 
 void MembershipManager::Impl::SetListed(const std::vector<std::string>& names) {
   const std::lock_guard lock(mutex_);
-  table_.HandleList(names);
+  table_.SetListedNames(names);
 }
 
 void MembershipManager::Impl::FetchSnapshot(const std::string& name,
--- a/tests/auto/membership/tst_membership_table.cc
+++ b/tests/auto/membership/tst_membership_table.cc
@@ -49,10 +49,10 @@
         table_.HandleLinkDown(b);
         break;
       case Step::kListed:
-        table_.HandleList({"a", "b"});
+        table_.SetListedNames({"a", "b"});
         break;
       case Step::kUnlisted:
-        table_.HandleList({"a"});
+        table_.SetListedNames({"a"});
         break;
       case Step::kTicksTo:
         break;
