--- a/src/libs/membership/membership_table.cc
+++ b/src/libs/membership/membership_table.cc
@@ -71,8 +71,9 @@
   member.linked = true;
 }
 
-MembershipTable::Changes MembershipTable::SetSelf(bool ready, bool leaving,
-                                                  Time now) {
+MembershipTable::Changes MembershipTable::SetOwnReadiness(bool ready,
+                                                          bool leaving,
+                                                          Time now) {
   Changes changes;
   ChangeState(&members_[self_], HeardState(ready, leaving), "own readiness",
               now, &changes);
--- a/src/libs/membership/membership_table.h
+++ b/src/libs/membership/membership_table.h
@@ -94,7 +94,7 @@
   // This entry itself is a member too, never suspect or dead.
   MembershipTable(MembershipSettings settings, MemberIdentity self, Time now);
 
-  Changes SetSelf(bool ready, bool leaving, Time now);
+  Changes SetOwnReadiness(bool ready, bool leaving, Time now);
   Changes HandleHeartbeat(const Heartbeat& heartbeat, Time now);
   Changes HandleLinkUp(const MemberIdentity& peer, Time now);
   void HandleLinkDown(const MemberIdentity& peer);
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -129,7 +129,7 @@
     const std::lock_guard lock(mutex_);
     ready_ = ready.value_or(ready_);
     leaving_ = leaving_ || leaving;
-    PostChanges(table_.SetSelf(ready_, leaving_, Now()));
+    PostChanges(table_.SetOwnReadiness(ready_, leaving_, Now()));
   }
   SendHeartbeat();
 }
--- a/tests/auto/membership/tst_membership_table.cc
+++ b/tests/auto/membership/tst_membership_table.cc
@@ -28,7 +28,7 @@
 class Run {
  public:
   Run() : table_(MembershipSettings(), {"a", "1", "north"}, At(0)) {
-    table_.SetSelf(true, false, At(0));
+    table_.SetOwnReadiness(true, false, At(0));
   }
 
   void Feed(const Step& step) {
@@ -167,7 +167,7 @@
   for (const std::string& name : names) {
     tables.emplace(
         name, MembershipTable(MembershipSettings(), {name, "1", ""}, At(0)));
-    tables.at(name).SetSelf(true, false, At(0));
+    tables.at(name).SetOwnReadiness(true, false, At(0));
   }
   const auto side = [](const std::string& name) { return name < "c"; };
   for (int tick = 1; tick <= 60; ++tick) {
@@ -195,7 +195,7 @@
 TEST_CASE("the loss of a member moves only the keys that it owned") {
   MembershipTable table(MembershipSettings(), {"a", "1", ""}, At(0));
   CHECK_FALSE(table.OwnerOf("key"));
-  table.SetSelf(true, false, At(0));
+  table.SetOwnReadiness(true, false, At(0));
   for (const char* name : {"b", "c", "d"}) {
     table.HandleHeartbeat({{name, "1", ""}, 1, true, false}, At(0));
   }
