--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -264,7 +264,7 @@
   Json Offsets() const {
     return {{"settings", tree_.offset()},
             {"jobs", jobs_.jobs_offset()},
-            {"claims", requests_.claims_offset()}};
+            {"claims", requests_.next_claims_offset()}};
   }
 
   // What readiness waits for; empty when ready.
--- a/src/libs/requests/request_manager.cc
+++ b/src/libs/requests/request_manager.cc
@@ -60,6 +60,8 @@
 
 bool RequestManager::claims_ready() const { return impl_->claims_ready(); }
 
-int64_t RequestManager::claims_offset() const { return impl_->claims_offset(); }
+int64_t RequestManager::next_claims_offset() const {
+  return impl_->next_claims_offset();
+}
 
 }  // namespace thornplank
--- a/src/libs/requests/request_manager.h
+++ b/src/libs/requests/request_manager.h
@@ -116,7 +116,7 @@
   // True from the moment at which the claim stream was first read to its end.
   bool claims_ready() const;
   // The offset of the claim stream that comes next.
-  int64_t claims_offset() const;
+  int64_t next_claims_offset() const;
 
  private:
   class Impl;
--- a/src/libs/requests/request_manager_impl.h
+++ b/src/libs/requests/request_manager_impl.h
@@ -49,7 +49,7 @@
   void Drain(std::function<void()> done);
   size_t in_flight() const;
   bool claims_ready() const { return claims_.ready(); }
-  int64_t claims_offset() const { return claims_.offset(); }
+  int64_t next_claims_offset() const { return claims_.offset(); }
 
  private:
   // One request of a caller.
--- a/tests/auto/requests/tst_request_claims.cc
+++ b/tests/auto/requests/tst_request_claims.cc
@@ -188,7 +188,7 @@
   fixture.log.set_mode(LogMode::kWorks);
   REQUIRE(WaitUntil([&] { return fixture.log.Count("released") == 1; }));
   RequestManager& manager = *fixture.entries[0]->manager;
-  REQUIRE(WaitUntil([&] { return manager.claims_offset() >= 2; }));
+  REQUIRE(WaitUntil([&] { return manager.next_claims_offset() >= 2; }));
   CHECK(fixture.executor.runs("unseen") == 0);
   // The writer may still count the log as down, and refuse; nothing else.
   REQUIRE(WaitUntil([&] {
