--- a/src/libs/membership/membership_table.cc
+++ b/src/libs/membership/membership_table.cc
@@ -26,7 +26,7 @@
   changes->push_back({member->identity.name, member->identity.incarnation,
                       member->state, to, std::move(reason)});
   member->state = to;
-  member->since = now;
+  member->state_since = now;
 }
 
 MemberState HeardState(bool ready, bool leaving) {
@@ -66,7 +66,7 @@
     : settings_(settings), self_(self.name), last_tick_(now) {
   Member& member = members_[self_];
   member.identity = std::move(self);
-  member.since = now;
+  member.state_since = now;
   member.last_heard = now;
   member.linked = true;
 }
@@ -188,7 +188,7 @@
     }
   }
   fresh.identity = identity;
-  fresh.since = now;
+  fresh.state_since = now;
   fresh.last_heard = now;
   fresh.linked = true;
   fresh.mean_gap = settings_.heartbeat_interval;
@@ -227,7 +227,7 @@
   if (gap < kPauseIntervals * settings_.heartbeat_interval) return false;
   for (auto& [name, member] : members_) {
     member.last_heard += gap;
-    if (member.state == MemberState::kSuspect) member.since += gap;
+    if (member.state == MemberState::kSuspect) member.state_since += gap;
   }
   return true;
 }
@@ -236,7 +236,7 @@
                                    Changes* changes) const {
   if (member->state == MemberState::kDead) return;
   if (member->state == MemberState::kSuspect) {
-    if (now - member->since < DeadAfter(*member)) return;
+    if (now - member->state_since < DeadAfter(*member)) return;
     ChangeState(member, MemberState::kDead, "silent for too long", now,
                 changes);
     return;
@@ -251,7 +251,7 @@
     const Member& member = it->second;
     const bool forget = member.state == MemberState::kDead &&
                         listed_.count(it->first) == 0 &&
-                        now - member.since > settings_.forget_after;
+                        now - member.state_since > settings_.forget_after;
     it = forget ? members_.erase(it) : std::next(it);
   }
 }
--- a/src/libs/membership/membership_table.h
+++ b/src/libs/membership/membership_table.h
@@ -76,7 +76,7 @@
   MemberIdentity identity;
   MemberState state = MemberState::kJoining;
   // When `state` began.
-  Time since;
+  Time state_since;
   bool linked = false;
   uint64_t sequence = 0;
   Time last_heard;
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -181,7 +181,8 @@
     view.incarnation = member.identity.incarnation;
     view.failure_domain = member.identity.failure_domain;
     view.state = member.state;
-    view.since = std::chrono::duration_cast<Milliseconds>(now - member.since);
+    view.since =
+        std::chrono::duration_cast<Milliseconds>(now - member.state_since);
     const auto offsets = peer_offsets_.find(name);
     if (offsets != peer_offsets_.end()) view.offsets = offsets->second;
     if (name == settings_.name) view.offsets = own_offsets;
