--- a/src/libs/membership/membership_table.cc
+++ b/src/libs/membership/membership_table.cc
@@ -83,8 +83,8 @@
 MembershipTable::Changes MembershipTable::HandleHeartbeat(
     const Heartbeat& heartbeat, Time now) {
   Changes changes;
-  const bool known = IsCurrent(heartbeat.from);
-  Member* member = Admit(heartbeat.from, now);
+  const bool known = IsCurrent(heartbeat.sender);
+  Member* member = Admit(heartbeat.sender, now);
   if (member == nullptr || heartbeat.sequence <= member->sequence) {
     return changes;
   }
--- a/src/libs/membership/membership_table.h
+++ b/src/libs/membership/membership_table.h
@@ -56,7 +56,7 @@
 };
 
 struct Heartbeat {
-  MemberIdentity from;
+  MemberIdentity sender;
   // Grows with each heartbeat of an incarnation; begins at 1.
   uint64_t sequence = 0;
   bool ready = false;
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -234,7 +234,7 @@
 void MembershipManager::Impl::HandleHeartbeat(const PeerIdentity& from,
                                               const Json& body) {
   Heartbeat heartbeat;
-  heartbeat.from = ToMemberIdentity(from);
+  heartbeat.sender = ToMemberIdentity(from);
   heartbeat.sequence =
       static_cast<uint64_t>(IntField(body, "sequence").value_or(0));
   heartbeat.ready = BoolField(body, "ready").value_or(false);
