--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -29,13 +29,13 @@
 #include "metrics/process_metrics.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "outlook/entry_client.h"
-#include "outlook/reachability_poller.h"
-#include "outlook/store_age_route.h"
 #include "platform/advice_client.h"
 #include "platform/executor_client.h"
 #include "platform/metadata_store.h"
 #include "platform/wire_formats.h"
+#include "reachability/entry_client.h"
+#include "reachability/reachability_poller.h"
+#include "reachability/store_age_route.h"
 #include "workload/closed_domains.h"
 
 namespace thornplank {
--- a/src/libs/outlook/entry_client.cc
+++ b/src/libs/reachability/entry_client.cc
@@ -1,10 +1,10 @@
 // One GET a question.
-#include "outlook/entry_client.h"
+#include "reachability/entry_client.h"
 
 #include <utility>
 
 #include "base/json.h"
-#include "outlook/store_age_route.h"
+#include "reachability/store_age_route.h"
 
 namespace thornplank {
 
--- a/src/libs/outlook/entry_client.h
+++ b/src/libs/reachability/entry_client.h
@@ -1,13 +1,13 @@
 // Asks other entries over HTTP.
-#ifndef THORNPLANK_OUTLOOK_ENTRY_CLIENT_H_
-#define THORNPLANK_OUTLOOK_ENTRY_CLIENT_H_
+#ifndef THORNPLANK_REACHABILITY_ENTRY_CLIENT_H_
+#define THORNPLANK_REACHABILITY_ENTRY_CLIENT_H_
 
 #include <functional>
 #include <optional>
 #include <string>
 
 #include "net/http_client.h"
-#include "outlook/entry_client_interface.h"
+#include "reachability/entry_client_interface.h"
 
 namespace thornplank {
 
@@ -26,4 +26,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_ENTRY_CLIENT_H_
+#endif  // THORNPLANK_REACHABILITY_ENTRY_CLIENT_H_
--- a/src/libs/outlook/entry_client_interface.h
+++ b/src/libs/reachability/entry_client_interface.h
@@ -1,6 +1,6 @@
 // What one entry asks another.
-#ifndef THORNPLANK_OUTLOOK_ENTRY_CLIENT_INTERFACE_H_
-#define THORNPLANK_OUTLOOK_ENTRY_CLIENT_INTERFACE_H_
+#ifndef THORNPLANK_REACHABILITY_ENTRY_CLIENT_INTERFACE_H_
+#define THORNPLANK_REACHABILITY_ENTRY_CLIENT_INTERFACE_H_
 
 #include <functional>
 #include <optional>
@@ -23,4 +23,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_ENTRY_CLIENT_INTERFACE_H_
+#endif  // THORNPLANK_REACHABILITY_ENTRY_CLIENT_INTERFACE_H_
--- a/src/libs/outlook/reachability_poller.cc
+++ b/src/libs/reachability/reachability_poller.cc
@@ -1,5 +1,5 @@
 // Rounds of questions to entries that are chosen by chance.
-#include "outlook/reachability_poller.h"
+#include "reachability/reachability_poller.h"
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
--- a/src/libs/outlook/reachability_poller.h
+++ b/src/libs/reachability/reachability_poller.h
@@ -1,6 +1,6 @@
 // Asks other entries whether they reach the store, while this one does not.
-#ifndef THORNPLANK_OUTLOOK_REACHABILITY_POLLER_H_
-#define THORNPLANK_OUTLOOK_REACHABILITY_POLLER_H_
+#ifndef THORNPLANK_REACHABILITY_REACHABILITY_POLLER_H_
+#define THORNPLANK_REACHABILITY_REACHABILITY_POLLER_H_
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstddef>
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "base/time.h"
-#include "outlook/entry_client_interface.h"
-#include "outlook/store_reachability.h"
+#include "reachability/entry_client_interface.h"
+#include "reachability/store_reachability.h"
 
 namespace boost::asio {
 class io_context;
@@ -66,4 +66,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_REACHABILITY_POLLER_H_
+#endif  // THORNPLANK_REACHABILITY_REACHABILITY_POLLER_H_
--- a/src/libs/outlook/store_age_route.cc
+++ b/src/libs/reachability/store_age_route.cc
@@ -1,5 +1,5 @@
 // The one question so far.
-#include "outlook/store_age_route.h"
+#include "reachability/store_age_route.h"
 
 #include "base/json.h"
 
--- a/src/libs/outlook/store_age_route.h
+++ b/src/libs/reachability/store_age_route.h
@@ -1,6 +1,6 @@
 // Answers the questions of other entries.
-#ifndef THORNPLANK_OUTLOOK_STORE_AGE_ROUTE_H_
-#define THORNPLANK_OUTLOOK_STORE_AGE_ROUTE_H_
+#ifndef THORNPLANK_REACHABILITY_STORE_AGE_ROUTE_H_
+#define THORNPLANK_REACHABILITY_STORE_AGE_ROUTE_H_
 
 #include <functional>
 #include <optional>
@@ -20,4 +20,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_STORE_AGE_ROUTE_H_
+#endif  // THORNPLANK_REACHABILITY_STORE_AGE_ROUTE_H_
--- a/src/libs/outlook/store_reachability.cc
+++ b/src/libs/reachability/store_reachability.cc
@@ -1,5 +1,5 @@
 // What proves that the store serves others.
-#include "outlook/store_reachability.h"
+#include "reachability/store_reachability.h"
 
 namespace thornplank {
 namespace {
--- a/src/libs/outlook/store_reachability.h
+++ b/src/libs/reachability/store_reachability.h
@@ -4,8 +4,8 @@
 // at once. Where the store is away for all, that would use up the caller's
 // tries within milliseconds. Decisions only: what others say comes in as
 // events.
-#ifndef THORNPLANK_OUTLOOK_STORE_REACHABILITY_H_
-#define THORNPLANK_OUTLOOK_STORE_REACHABILITY_H_
+#ifndef THORNPLANK_REACHABILITY_STORE_REACHABILITY_H_
+#define THORNPLANK_REACHABILITY_STORE_REACHABILITY_H_
 
 #include <optional>
 #include <set>
@@ -57,4 +57,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_STORE_REACHABILITY_H_
+#endif  // THORNPLANK_REACHABILITY_STORE_REACHABILITY_H_
--- a/tests/auto/outlook/tst_reachability_poller.cc
+++ b/tests/auto/reachability/tst_reachability_poller.cc
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "outlook/reachability_poller.h"
-#include "outlook/store_age_route.h"
+#include "reachability/reachability_poller.h"
+#include "reachability/store_age_route.h"
 
 namespace thornplank {
 namespace {
--- a/tests/auto/outlook/tst_store_reachability.cc
+++ b/tests/auto/reachability/tst_store_reachability.cc
@@ -4,7 +4,7 @@
 #include <functional>
 #include <vector>
 
-#include "outlook/store_reachability.h"
+#include "reachability/store_reachability.h"
 
 namespace thornplank {
 namespace {
