--- a/src/libs/requests/attempt_sender.cc
+++ b/src/libs/requests/attempt_sender.cc
@@ -1,4 +1,5 @@
-// Requests to executors, and what their answers and failures mean.
+// Translation of attempts into HTTP requests, and of responses and failures
+// into outcomes.
 #include "requests/attempt_sender.h"
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 constexpr char kHealthTarget[] = "/healthz";
 constexpr int kServiceUnavailable = 503;
 constexpr int kFirstServerError = 500;
-constexpr Duration kLeastTimeout = Milliseconds(1);
+constexpr Duration kMinTimeout = Milliseconds(1);
 
 bool ProvesNotRun(const HttpResponse& response) {
   return response.status == kServiceUnavailable &&
@@ -55,14 +56,15 @@
   return report;
 }
 
-HttpRequest ToHttpRequest(Attempt* attempt, Duration rest) {
+HttpRequest ToHttpRequest(Attempt* attempt, Duration time_left) {
   HttpRequest request;
   request.method = "POST";
   request.target = "/v1/services/" + attempt->service + "/requests";
   request.headers.Set(kRequestIdHeader, attempt->id);
   request.headers.Set(
       kDeadlineHeader,
-      std::to_string(std::chrono::duration_cast<Milliseconds>(rest).count()));
+      std::to_string(
+          std::chrono::duration_cast<Milliseconds>(time_left).count()));
   if (!attempt->content_type.empty()) {
     request.headers.Set("Content-Type", attempt->content_type);
   }
@@ -78,19 +80,19 @@
 AttemptSender::AttemptSender(HttpClient& http) : http_(http) {}
 
 void AttemptSender::Send(Attempt attempt, Callback callback) {
-  const Time begun = std::chrono::steady_clock::now();
-  const Duration rest = std::max(kLeastTimeout, attempt.deadline - begun);
+  const Time start = std::chrono::steady_clock::now();
+  const Duration time_left = std::max(kMinTimeout, attempt.deadline - start);
   HttpSendOptions options;
-  options.timeout = rest;
+  options.timeout = time_left;
   options.prove_live = !attempt.idempotency_key.empty();
   options.match_header = kRequestIdHeader;
   options.may_send = std::move(attempt.may_send);
-  HttpRequest request = ToHttpRequest(&attempt, rest);
+  HttpRequest request = ToHttpRequest(&attempt, time_left);
   http_.Send(
       attempt.address, std::move(request), std::move(options),
-      [executor = attempt.executor, begun, callback = std::move(callback)](
+      [executor = attempt.executor, start, callback = std::move(callback)](
           std::optional<HttpResponse> response, const HttpFailure& failure) {
-        const Duration latency = std::chrono::steady_clock::now() - begun;
+        const Duration latency = std::chrono::steady_clock::now() - start;
         callback(ReportOf(response, failure, executor, latency));
       });
 }
@@ -100,14 +102,14 @@
   HttpRequest request;
   request.target = kHealthTarget;
   HttpSendOptions options;
-  options.timeout = std::max(kLeastTimeout, timeout);
-  const Time begun = std::chrono::steady_clock::now();
+  options.timeout = std::max(kMinTimeout, timeout);
+  const Time start = std::chrono::steady_clock::now();
   http_.Send(
       address, std::move(request), std::move(options),
-      [begun, callback = std::move(callback)](
+      [start, callback = std::move(callback)](
           std::optional<HttpResponse> response, const HttpFailure& failure) {
         callback(ResultOf(response, failure,
-                          std::chrono::steady_clock::now() - begun));
+                          std::chrono::steady_clock::now() - start));
       });
 }
 
--- a/src/libs/requests/attempt_sender.h
+++ b/src/libs/requests/attempt_sender.h
@@ -1,4 +1,5 @@
-// Sends one attempt of a request to an executor and says how it went.
+// Sends single attempts of requests to executors over HTTP and classifies their
+// outcomes.
 #ifndef THORNPLANK_REQUESTS_ATTEMPT_SENDER_H_
 #define THORNPLANK_REQUESTS_ATTEMPT_SENDER_H_
 
@@ -15,27 +16,29 @@
 
 namespace thornplank {
 
-// One attempt as it goes to the executor.
+// The data of one attempt.
 struct Attempt {
-  // Unique per attempt; the executor echoes it.
+  // Unique per attempt. The executor returns it with its answer.
   std::string id;
   std::string service;
+  // Name of the executor.
   std::string executor;
   std::string address;
   std::string content_type;
   std::string body;
-  // "" when the request is idempotent.
+  // Empty when the request is idempotent.
   std::string idempotency_key;
   Time deadline;
-  // Last check before the first byte; may be empty.
+  // Called right before the first byte is sent; the attempt is abandoned when
+  // it returns false. May be empty.
   std::function<bool()> may_send;
 };
 
 struct AttemptReport {
   AttemptResult result;
-  // Set exactly when `result` is kAnswered or kFailed.
+  // Set if and only if the outcome is kAnswered or kFailed.
   std::optional<UpstreamAnswer> answer;
-  // Set when there is no answer.
+  // Set when no response arrived.
   Error error;
 };
 
@@ -45,9 +48,9 @@
 
   explicit AttemptSender(HttpClient& http);
 
-  // `callback` runs once, on any thread, never before Send returns.
+  // `callback` runs once, on any thread, after Send has returned.
   void Send(Attempt attempt, Callback callback);
-  // Asks the executor for its health.
+  // Sends a health check to the executor.
   void Probe(const std::string& address, Duration timeout,
              std::function<void(AttemptResult)> callback);
 
--- a/src/libs/requests/caller_request.cc
+++ b/src/libs/requests/caller_request.cc
@@ -1,4 +1,4 @@
-// Header and body checks of the route for requests.
+// Validation of the headers and the body of a caller's request.
 #include "requests/caller_request.h"
 
 #include <algorithm>
@@ -41,9 +41,10 @@
   return Milliseconds(*value);
 }
 
-// Of two values it would be anyone's guess which one counts: another reader of
-// the same request could run a key that this one takes for another.
-bool CheckGivenOnce(const HttpRequest& request, RequestFault* fault) {
+// Rejects requests that repeat one of these headers. If there were two values,
+// another component that reads the same request might use the other one and run
+// it under a different key.
+bool CheckNoRepeatedHeaders(const HttpRequest& request, RequestFault* fault) {
   for (const char* name : {kDeadlineHeader, kIdempotencyKeyHeader,
                            kIdempotencyKeyTimeHeader, kRepeatHeader}) {
     if (request.headers.Count(name) <= 1) continue;
@@ -54,13 +55,13 @@
   return true;
 }
 
-bool IsVisibleAscii(const std::string& text) {
+bool IsPrintableAscii(const std::string& text) {
   return std::all_of(text.begin(), text.end(),
                      [](unsigned char c) { return c >= 0x20 && c < 0x7f; });
 }
 
-// False and `*fault` when the two headers do not form a key; leaves `*key`
-// empty when neither is there.
+// Returns false and sets `*fault` when the two headers do not form a valid key.
+// Leaves `*key` empty when both are absent.
 bool ReadIdempotencyKey(const HttpRequest& request,
                         const CallerRequestLimits& limits,
                         std::optional<IdempotencyKey>* key,
@@ -77,7 +78,7 @@
   }
   std::string text = request.headers.Value(kIdempotencyKeyHeader);
   if (text.empty() || text.size() > limits.max_idempotency_key_bytes ||
-      !IsVisibleAscii(text)) {
+      !IsPrintableAscii(text)) {
     SetFault(kBadRequest, "Bad idempotency key",
              std::string(kIdempotencyKeyHeader) + " must have 1 to " +
                  std::to_string(limits.max_idempotency_key_bytes) +
@@ -87,8 +88,8 @@
   }
   const auto time =
       ParseWholeNumber(request.headers.Value(kIdempotencyKeyTimeHeader));
-  // Beyond this the value can't be a time in milliseconds, and arithmetic on
-  // it would overflow.
+  // Larger values are not plausible as milliseconds since the epoch, and time
+  // arithmetic with them would overflow.
   constexpr int64_t kMaxUnixMilliseconds = int64_t{1} << 42;
   if (!time || *time < 0 || *time > kMaxUnixMilliseconds) {
     SetFault(kBadRequest, "Bad idempotency key time",
@@ -116,7 +117,7 @@
              fault);
     return std::nullopt;
   }
-  if (!CheckGivenOnce(request, fault)) return std::nullopt;
+  if (!CheckNoRepeatedHeaders(request, fault)) return std::nullopt;
   const auto time_allowed = ReadDeadline(request, limits, fault);
   if (!time_allowed) return std::nullopt;
   CallerRequest result;
--- a/src/libs/requests/caller_request.h
+++ b/src/libs/requests/caller_request.h
@@ -1,4 +1,4 @@
-// Reads and checks what a caller asks for, before any decision is made.
+// Parses and validates a caller's HTTP request.
 #ifndef THORNPLANK_REQUESTS_CALLER_REQUEST_H_
 #define THORNPLANK_REQUESTS_CALLER_REQUEST_H_
 
@@ -15,27 +15,28 @@
 inline constexpr char kDeadlineHeader[] = "Thornplank-Deadline-Ms";
 inline constexpr char kIdempotencyKeyHeader[] = "Idempotency-Key";
 inline constexpr char kIdempotencyKeyTimeHeader[] = "Idempotency-Key-Time";
-// "1" when the caller may have sent a request of this key before.
+// "1" when the caller may already have sent a request with this key.
 inline constexpr char kRepeatHeader[] = "Thornplank-Repeat";
 
-// Present when the request is not idempotent.
+// The key of a non-idempotent request, with what identifies its repeats.
 struct IdempotencyKey {
   std::string key;
-  // When the caller made the key.
+  // When the caller created the key.
   WallTime key_time;
   Digest128 body_digest;
-  // The caller says that it may have sent a request of this key before.
+  // The caller declares that it may already have sent a request with this key.
   bool repeat = false;
 };
 
-// One request as the caller sent it, checked.
+// A validated request of a caller.
 struct CallerRequest {
   std::string account;
   std::string service;
   std::string content_type;
   std::string body;
-  // From the arrival; never zero or below.
+  // Time from the arrival of the request to its deadline; always positive.
   Milliseconds time_allowed{};
+  // Set if and only if the request is not idempotent.
   std::optional<IdempotencyKey> idempotency_key;
 
   bool idempotent() const { return !idempotency_key.has_value(); }
@@ -48,14 +49,15 @@
   size_t max_idempotency_key_bytes = 256;
 };
 
-// Why a request is refused because of what it is, not of the system's state.
+// Why a request is invalid, whatever the state of the system; the fields of the
+// problem-details response.
 struct RequestFault {
   int status = 400;
   std::string title;
   std::string detail;
 };
 
-// nullopt and `*fault` when a header or the body is not acceptable.
+// Returns nullopt and sets `*fault` when a header or the body is invalid.
 std::optional<CallerRequest> ReadCallerRequest(
     HttpRequest request, const std::string& account, const std::string& service,
     const CallerRequestLimits& limits, RequestFault* fault);
--- a/src/libs/requests/claim_questions.cc
+++ b/src/libs/requests/claim_holder_query.cc
@@ -1,5 +1,5 @@
-// The asking side of the call "claim-outcome".
-#include "requests/claim_questions.h"
+// Client side of the peer call "claim-outcome".
+#include "requests/claim_holder_query.h"
 
 #include <algorithm>
 #include <optional>
@@ -12,20 +12,21 @@
 namespace thornplank {
 namespace {
 
-// What is left of the time to a deadline for the way back of a reply.
+// The holder replies this long before the deadline, or a quarter of the
+// remaining time if that is less, so that its reply arrives in time.
 constexpr Duration kReplyMargin = Milliseconds(20);
 
-Milliseconds WaitWithin(Duration rest) {
-  const Duration wait = rest - std::min(kReplyMargin, rest / 4);
+Milliseconds MaxHolderWait(Duration time_left) {
+  const Duration wait = time_left - std::min(kReplyMargin, time_left / 4);
   return std::max(Milliseconds(0),
                   std::chrono::duration_cast<Milliseconds>(wait));
 }
 
 }  // namespace
 
-void AskHolder(PeerMesh* mesh, const ClaimHolder& holder,
-               const ClaimRequest& request, Time deadline,
-               std::function<void(ClaimVerdict)> done) {
+void QueryHolder(PeerMesh* mesh, const ClaimHolder& holder,
+                 const ClaimRequest& request, Time deadline,
+                 std::function<void(ClaimVerdict)> done) {
   if (mesh == nullptr) {
     done(UnknownVerdict("the holder of the key can't be asked"));
     return;
@@ -33,11 +34,11 @@
   LogEvent(events::kClaimHolderAsked, {{"key", request.key},
                                        {"holder", holder.entry},
                                        {"reason", "claimed by that entry"}});
-  const Duration rest = std::max<Duration>(
+  const Duration time_left = std::max<Duration>(
       Milliseconds(1), deadline - std::chrono::steady_clock::now());
-  const ClaimQuestion question{request, WaitWithin(rest)};
-  mesh->Call(holder.entry, kClaimOutcomeCall, EncodeClaimQuestion(question),
-             rest,
+  const ClaimOutcomeQuery query{request, MaxHolderWait(time_left)};
+  mesh->Call(holder.entry, kClaimOutcomeCall, EncodeClaimOutcomeQuery(query),
+             time_left,
              [done = std::move(done), entry = holder.entry](
                  std::optional<Json> body, const Error& error) {
                if (body) {
--- a/src/libs/requests/claim_flow.cc
+++ b/src/libs/requests/claim_manager.cc
@@ -1,12 +1,12 @@
-// The table of claims under its mutex, and the waits of those who need it.
-#include "requests/claim_flow.h"
+// Claims from their append to their outcome, and the waiters for them.
+#include "requests/claim_manager.h"
 
 #include <boost/asio/io_context.hpp>
 #include <utility>
 
 #include "logging/events/claims_events.h"
 #include "metrics/metrics_registry.h"
-#include "requests/claim_flow_impl.h"
+#include "requests/claim_manager_impl.h"
 #include "requests/claim_messages.h"
 
 namespace thornplank {
@@ -24,19 +24,19 @@
 
 }  // namespace
 
-ClaimFlow::Impl::Impl(boost::asio::io_context& io, LogClient& log,
-                      PeerMesh* mesh, MetricsRegistry& metrics,
-                      const RequestManagerSettings& settings)
+ClaimManager::Impl::Impl(boost::asio::io_context& io, LogClient& log,
+                         PeerMesh* mesh, MetricsRegistry& metrics,
+                         const RequestManagerSettings& settings)
     : io_(io),
       mesh_(mesh),
       metrics_(metrics),
       settings_(settings),
       stream_(io, log, settings),
       table_(ToTableSettings(settings)),
-      answers_({settings.max_held_answer_bytes, settings.max_held_answer_age}) {
-}
+      answer_cache_(
+          {settings.max_cached_answer_bytes, settings.max_cached_answer_age}) {}
 
-void ClaimFlow::Impl::Connect() {
+void ClaimManager::Impl::Connect() {
   const std::weak_ptr<Impl> weak = weak_from_this();
   metrics_.AddGauge("thornplank_claim_keys",
                     "Idempotency keys that are remembered.", {}, [weak] {
@@ -51,35 +51,36 @@
                                PeerMesh::Reply reply) {
                           auto self = weak.lock();
                           if (!self || !reply) return;
-                          self->AnswerPeer(message, std::move(reply));
+                          self->HandlePeerQuery(message, std::move(reply));
                         });
 }
 
-void ClaimFlow::Impl::Start() {
+void ClaimManager::Impl::Start() {
   const std::weak_ptr<Impl> weak = weak_from_this();
   stream_.Start(
       [weak](const ClaimRecord& record, WallTime time) {
-        if (auto self = weak.lock()) self->FoldRecord(record, time);
+        if (auto self = weak.lock()) self->ApplyRecord(record, time);
       },
       [weak] {
-        if (auto self = weak.lock()) self->FoldGap();
+        if (auto self = weak.lock()) self->HandleGap();
       });
 }
 
-void ClaimFlow::Impl::Stop() {
+void ClaimManager::Impl::Stop() {
   stream_.Stop();
   std::lock_guard<std::mutex> lock(mutex_);
   waiters_.CancelTimers();
 }
 
-void ClaimFlow::Impl::SetReachableEntries(
+void ClaimManager::Impl::SetReachableEntries(
     const std::vector<ClaimHolder>& entries) {
   std::lock_guard<std::mutex> lock(mutex_);
   table_.SetReachableEntries(entries);
 }
 
-void ClaimFlow::Impl::Acquire(const CallerRequest& request, Time deadline,
-                              Admit admit, Decided decided) {
+void ClaimManager::Impl::Acquire(const CallerRequest& request, Time deadline,
+                                 AdmissionCheck check_admission,
+                                 VerdictCallback on_verdict) {
   auto waiter = std::make_shared<ClaimWaiter>(io_);
   waiter->request.account = request.account;
   waiter->request.service = request.service;
@@ -87,39 +88,40 @@
   waiter->request.key_time = request.idempotency_key->key_time;
   waiter->request.body_digest = request.idempotency_key->body_digest;
   waiter->deadline = deadline;
-  waiter->admit = std::move(admit);
-  waiter->decided = std::move(decided);
+  waiter->check_admission = std::move(check_admission);
+  waiter->on_verdict = std::move(on_verdict);
   Decide(waiter);
 }
 
-void ClaimFlow::Impl::ArmDeadline(const ClaimWaiterPtr& waiter) {
+void ClaimManager::Impl::ArmDeadline(const ClaimWaiterPtr& waiter) {
   waiter->timer.expires_at(waiter->deadline);
   waiter->timer.async_wait(
       [weak = weak_from_this(), waiter](const boost::system::error_code& code) {
         if (code) return;
-        if (auto self = weak.lock()) self->DeadlinePassed(waiter);
+        if (auto self = weak.lock()) self->HandleDeadline(waiter);
       });
 }
 
-void ClaimFlow::Impl::DeadlinePassed(const ClaimWaiterPtr& waiter) {
-  ClaimWaiters::Place place;
+void ClaimManager::Impl::HandleDeadline(const ClaimWaiterPtr& waiter) {
+  ClaimWaiters::List list;
   ClaimWaiterList joined;
   std::optional<ClaimRecord> release;
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    place = waiters_.Take(waiter);
-    if (place == ClaimWaiters::Place::kPending) {
+    list = waiters_.Remove(waiter);
+    if (list == ClaimWaiters::List::kPending) {
       joined = waiters_.TakeJoined(waiter->request.claim_id);
-      // From here on the claim can't be sent, wherever its record is.
+      // From here on the request can't be sent under this claim, even if the
+      // record is still read from the log.
       release = table_.Release(waiter->request.claim_id);
     }
   }
   if (release) stream_.Append(*release);
-  if (place == ClaimWaiters::Place::kJoined) {
+  if (list == ClaimWaiters::List::kJoined) {
     Resolve(waiter,
             UnknownVerdict("an earlier request of this key is still running"));
   }
-  if (place != ClaimWaiters::Place::kPending) return;
+  if (list != ClaimWaiters::List::kPending) return;
   LogEvent(events::kClaimNotSeen,
            {{"key", waiter->request.key},
             {"claim", waiter->request.claim_id},
@@ -131,27 +133,27 @@
   ResolveAll(joined, verdict);
 }
 
-void ClaimFlow::Impl::Resolve(const ClaimWaiterPtr& waiter,
-                              ClaimVerdict verdict) {
-  Decided decided = std::move(waiter->decided);
-  waiter->decided = nullptr;
-  if (decided) decided(std::move(verdict));
+void ClaimManager::Impl::Resolve(const ClaimWaiterPtr& waiter,
+                                 ClaimVerdict verdict) {
+  VerdictCallback on_verdict = std::move(waiter->on_verdict);
+  waiter->on_verdict = nullptr;
+  if (on_verdict) on_verdict(std::move(verdict));
 }
 
-void ClaimFlow::Impl::ResolveAll(const ClaimWaiterList& list,
-                                 const ClaimVerdict& verdict) {
+void ClaimManager::Impl::ResolveAll(const ClaimWaiterList& list,
+                                    const ClaimVerdict& verdict) {
   for (const ClaimWaiterPtr& waiter : list) Resolve(waiter, verdict);
 }
 
-void ClaimFlow::Impl::AppendClaim(const ClaimRecord& record, Time deadline) {
-  Count("appended");
+void ClaimManager::Impl::AppendClaim(const ClaimRecord& record, Time deadline) {
+  CountClaim("appended");
   stream_.AppendClaim(record, deadline,
                       [weak = weak_from_this(), id = record.claim_id] {
-                        if (auto self = weak.lock()) self->NotAppended(id);
+                        if (auto self = weak.lock()) self->HandleUnappended(id);
                       });
 }
 
-void ClaimFlow::Impl::NotAppended(const std::string& claim_id) {
+void ClaimManager::Impl::HandleUnappended(const std::string& claim_id) {
   ClaimWaiterPtr waiter;
   ClaimWaiterList joined;
   {
@@ -167,16 +169,16 @@
   ResolveAll(joined, verdict);
 }
 
-void ClaimFlow::Impl::FoldRecord(const ClaimRecord& record, WallTime time) {
+void ClaimManager::Impl::ApplyRecord(const ClaimRecord& record, WallTime time) {
   std::optional<ClaimEvent> event;
   {
     std::lock_guard<std::mutex> lock(mutex_);
     event = table_.Fold(record, time);
   }
-  if (event) HandleEvent(*event);
+  if (event) HandleClaimEvent(*event);
 }
 
-void ClaimFlow::Impl::HandleEvent(const ClaimEvent& event) {
+void ClaimManager::Impl::HandleClaimEvent(const ClaimEvent& event) {
   ClaimWaiterPtr waiter;
   ClaimWaiterList joined;
   const bool won = event.kind == ClaimEventKind::kWon;
@@ -187,21 +189,21 @@
   }
   if (event.release) stream_.Append(*event.release);
   if (won) {
-    Count("won");
+    CountClaim("won");
     LogEvent(events::kClaimWon, {{"claim", event.claim_id},
                                  {"reason", "first of its key in the log"}});
     if (waiter) Resolve(waiter, SendVerdict(event.claim_id));
     return;
   }
-  Count("lost");
-  const bool other_first = event.refusal == ClaimRefusal::kNone;
+  CountClaim("lost");
+  const bool another_claim_won = event.refusal == ClaimRefusal::kNone;
   LogEvent(events::kClaimLost,
            {{"claim", event.claim_id},
-            {"reason", other_first ? "another claim of the key came first"
-                                   : Describe(event.refusal)}});
+            {"reason", another_claim_won ? "another claim of the key came first"
+                                         : Describe(event.refusal)}});
   if (waiter) joined.push_back(waiter);
   for (const ClaimWaiterPtr& each : joined) {
-    if (other_first) {
+    if (another_claim_won) {
       Decide(each);
     } else {
       Resolve(each, RefusalVerdict(event.refusal));
@@ -209,26 +211,27 @@
   }
 }
 
-void ClaimFlow::Impl::FoldGap() {
+void ClaimManager::Impl::HandleGap() {
   std::lock_guard<std::mutex> lock(mutex_);
   table_.NoteGap(std::chrono::system_clock::now());
 }
 
-bool ClaimFlow::Impl::MaySend(const std::string& claim_id) const {
+bool ClaimManager::Impl::MaySend(const std::string& claim_id) const {
   std::lock_guard<std::mutex> lock(mutex_);
   return table_.MaySend(claim_id);
 }
 
-void ClaimFlow::Impl::Answered(const std::string& claim_id,
-                               const UpstreamAnswer& answer) {
+void ClaimManager::Impl::RecordAnswer(const std::string& claim_id,
+                                      const UpstreamAnswer& answer) {
   ClaimWaiterList joined;
   std::optional<ClaimRecord> record;
   {
     std::lock_guard<std::mutex> lock(mutex_);
     record = table_.Finish(claim_id, answer.status);
     if (!record) return;
-    answers_.Put(ClaimKeyDigest(record->account, record->service, record->key),
-                 answer, std::chrono::steady_clock::now());
+    answer_cache_.Put(
+        ClaimKeyDigest(record->account, record->service, record->key), answer,
+        std::chrono::steady_clock::now());
     joined = waiters_.TakeJoined(claim_id);
   }
   LogEvent(events::kClaimDone,
@@ -237,7 +240,7 @@
   stream_.Append(*record);
 }
 
-void ClaimFlow::Impl::NotSent(const std::string& claim_id) {
+void ClaimManager::Impl::RecordNotSent(const std::string& claim_id) {
   ClaimWaiterList joined;
   std::optional<ClaimRecord> record;
   {
@@ -246,7 +249,7 @@
     if (!record) return;
     joined = waiters_.TakeJoined(claim_id);
   }
-  Count("released");
+  CountClaim("released");
   LogEvent(events::kClaimReleased,
            {{"claim", claim_id}, {"reason", "proved not sent"}});
   stream_.Append(*record);
@@ -254,69 +257,74 @@
                                    kRetryAfterClaim));
 }
 
-void ClaimFlow::Impl::Unknown(const std::string& claim_id) {
+void ClaimManager::Impl::RecordUnknownOutcome(const std::string& claim_id) {
   ClaimWaiterList joined;
   {
     std::lock_guard<std::mutex> lock(mutex_);
     table_.FinishUnknown(claim_id);
     joined = waiters_.TakeJoined(claim_id);
   }
-  Count("unknown");
+  CountClaim("unknown");
   LogEvent(events::kClaimOutcomeUnknown,
            {{"claim", claim_id}, {"reason", "sent, no whole answer"}});
   ResolveAll(joined, RefusalVerdict(ClaimRefusal::kOutcomeUnknown));
 }
 
-void ClaimFlow::Impl::Count(const char* what) {
+void ClaimManager::Impl::CountClaim(const char* what) {
   metrics_
       .counter("thornplank_claims_total", "Claims by what became of them.",
                {{"what", what}})
       .Add();
 }
 
-ClaimFlow::ClaimFlow(boost::asio::io_context& io, LogClient& log,
-                     PeerMesh* mesh, MetricsRegistry& metrics,
-                     const RequestManagerSettings& settings)
+ClaimManager::ClaimManager(boost::asio::io_context& io, LogClient& log,
+                           PeerMesh* mesh, MetricsRegistry& metrics,
+                           const RequestManagerSettings& settings)
     : impl_(std::make_shared<Impl>(io, log, mesh, metrics, settings)) {
   impl_->Connect();
 }
 
-ClaimFlow::~ClaimFlow() { Stop(); }
+ClaimManager::~ClaimManager() { Stop(); }
 
-void ClaimFlow::Start() { impl_->Start(); }
+void ClaimManager::Start() { impl_->Start(); }
 
-void ClaimFlow::Stop() { impl_->Stop(); }
+void ClaimManager::Stop() { impl_->Stop(); }
 
-void ClaimFlow::SetReachableEntries(const std::vector<ClaimHolder>& entries) {
+void ClaimManager::SetReachableEntries(
+    const std::vector<ClaimHolder>& entries) {
   impl_->SetReachableEntries(entries);
 }
 
-void ClaimFlow::Acquire(const CallerRequest& request, Time deadline,
-                        Admit admit, Decided decided) {
-  impl_->Acquire(request, deadline, std::move(admit), std::move(decided));
+void ClaimManager::Acquire(const CallerRequest& request, Time deadline,
+                           AdmissionCheck check_admission,
+                           VerdictCallback on_verdict) {
+  impl_->Acquire(request, deadline, std::move(check_admission),
+                 std::move(on_verdict));
 }
 
-bool ClaimFlow::MaySend(const std::string& claim_id) const {
+bool ClaimManager::MaySend(const std::string& claim_id) const {
   return impl_->MaySend(claim_id);
 }
 
-void ClaimFlow::Answered(const std::string& claim_id,
-                         const UpstreamAnswer& answer) {
-  impl_->Answered(claim_id, answer);
+void ClaimManager::RecordAnswer(const std::string& claim_id,
+                                const UpstreamAnswer& answer) {
+  impl_->RecordAnswer(claim_id, answer);
 }
 
-void ClaimFlow::NotSent(const std::string& claim_id) {
-  impl_->NotSent(claim_id);
+void ClaimManager::RecordNotSent(const std::string& claim_id) {
+  impl_->RecordNotSent(claim_id);
 }
 
-void ClaimFlow::Unknown(const std::string& claim_id) {
-  impl_->Unknown(claim_id);
+void ClaimManager::RecordUnknownOutcome(const std::string& claim_id) {
+  impl_->RecordUnknownOutcome(claim_id);
 }
 
-bool ClaimFlow::ready() const { return impl_->ready(); }
+bool ClaimManager::caught_up() const { return impl_->caught_up(); }
 
-int64_t ClaimFlow::offset() const { return impl_->offset(); }
+int64_t ClaimManager::next_offset() const { return impl_->next_offset(); }
 
-size_t ClaimFlow::pending_records() const { return impl_->pending_records(); }
+size_t ClaimManager::pending_records() const {
+  return impl_->pending_records();
+}
 
 }  // namespace thornplank
--- a/src/libs/requests/claim_flow_decisions.cc
+++ b/src/libs/requests/claim_manager_decisions.cc
@@ -1,25 +1,25 @@
-// How ClaimFlow decides on a request of a caller, or a question of a peer.
+// How ClaimManager decides on callers' requests and on peers' queries.
 #include <algorithm>
 #include <optional>
 #include <utility>
 
 #include "logging/events/claims_events.h"
-#include "requests/claim_flow_impl.h"
+#include "requests/claim_holder_query.h"
+#include "requests/claim_manager_impl.h"
 #include "requests/claim_messages.h"
-#include "requests/claim_questions.h"
 
 namespace thornplank {
 namespace {
 
-Digest128 KeyOf(const ClaimRequest& request) {
+Digest128 KeyDigestOf(const ClaimRequest& request) {
   return ClaimKeyDigest(request.account, request.service, request.key);
 }
 
 }  // namespace
 
-void ClaimFlow::Impl::Decide(const ClaimWaiterPtr& waiter) {
-  NoteCaughtUp();
-  if (!PassAdmission(waiter)) return;
+void ClaimManager::Impl::Decide(const ClaimWaiterPtr& waiter) {
+  UpdateCaughtUp();
+  if (!AdmitOrResolve(waiter)) return;
   const bool available = stream_.available();
   ClaimDecision decision;
   {
@@ -32,7 +32,8 @@
         AppendClaim(decision.record, waiter->deadline);
         return;
       }
-      // The holder does not know the claim: it was released.
+      // A peer queries this entry about a claim that it does not know any more,
+      // because the claim was released.
       Resolve(waiter, RefusalVerdict(ClaimRefusal::kBeingReleased));
       return;
     case ClaimDecisionKind::kJoin:
@@ -41,16 +42,16 @@
                                       {"reason", "running at this entry"}});
       return;
     case ClaimDecisionKind::kAskHolder:
-      AskHolder(mesh_, decision.holder, waiter->request, waiter->deadline,
-                [self = shared_from_this(), waiter](ClaimVerdict verdict) {
-                  self->Resolve(waiter, std::move(verdict));
-                });
+      QueryHolder(mesh_, decision.holder, waiter->request, waiter->deadline,
+                  [self = shared_from_this(), waiter](ClaimVerdict verdict) {
+                    self->Resolve(waiter, std::move(verdict));
+                  });
       return;
     case ClaimDecisionKind::kAnsweredHere:
-      GiveHeldAnswer(waiter);
+      ResolveWithCachedAnswer(waiter);
       return;
     case ClaimDecisionKind::kRefuse:
-      Count("refused");
+      CountClaim("refused");
       LogEvent(events::kClaimRefused, {{"account", waiter->request.account},
                                        {"key", waiter->request.key},
                                        {"reason", Describe(decision.refusal)}});
@@ -59,14 +60,14 @@
   }
 }
 
-void ClaimFlow::Impl::NoteCaughtUp() {
-  if (!ready()) return;
+void ClaimManager::Impl::UpdateCaughtUp() {
+  if (!caught_up()) return;
   std::lock_guard<std::mutex> lock(mutex_);
   table_.NoteCaughtUp();
 }
 
-bool ClaimFlow::Impl::PassAdmission(const ClaimWaiterPtr& waiter) {
-  if (!waiter->may_claim || !waiter->admit) return true;
+bool ClaimManager::Impl::AdmitOrResolve(const ClaimWaiterPtr& waiter) {
+  if (!waiter->may_claim || !waiter->check_admission) return true;
   const bool available = stream_.available();
   {
     std::lock_guard<std::mutex> lock(mutex_);
@@ -74,7 +75,7 @@
         waiter->request, std::chrono::system_clock::now(), available);
     if (decision.kind != ClaimDecisionKind::kAppend) return true;
   }
-  const std::optional<Refusal> refusal = waiter->admit();
+  const std::optional<Refusal> refusal = waiter->check_admission();
   if (!refusal) return true;
   LogEvent(events::kClaimRefused, {{"account", waiter->request.account},
                                    {"key", waiter->request.key},
@@ -83,8 +84,8 @@
   return false;
 }
 
-ClaimDecision ClaimFlow::Impl::BeginLocked(const ClaimWaiterPtr& waiter,
-                                           bool available) {
+ClaimDecision ClaimManager::Impl::BeginLocked(const ClaimWaiterPtr& waiter,
+                                              bool available) {
   ClaimRequest& request = waiter->request;
   const WallTime now = std::chrono::system_clock::now();
   if (!waiter->may_claim) {
@@ -96,7 +97,7 @@
     return decision;
   }
   request.claim_id = settings_.self.entry + "-" + settings_.self.incarnation +
-                     "-" + std::to_string(next_claim_++);
+                     "-" + std::to_string(next_claim_number_++);
   const ClaimDecision decision = table_.Begin(request, now, available);
   if (decision.kind == ClaimDecisionKind::kAppend) {
     waiters_.AddPending(waiter);
@@ -109,12 +110,12 @@
   return decision;
 }
 
-void ClaimFlow::Impl::GiveHeldAnswer(const ClaimWaiterPtr& waiter) {
+void ClaimManager::Impl::ResolveWithCachedAnswer(const ClaimWaiterPtr& waiter) {
   std::optional<UpstreamAnswer> answer;
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    answer =
-        answers_.Find(KeyOf(waiter->request), std::chrono::steady_clock::now());
+    answer = answer_cache_.Find(KeyDigestOf(waiter->request),
+                                std::chrono::steady_clock::now());
   }
   if (!answer) {
     Resolve(waiter, RefusalVerdict(ClaimRefusal::kAnswerNotHeld));
@@ -125,20 +126,20 @@
   Resolve(waiter, AnsweredVerdict(std::move(*answer)));
 }
 
-void ClaimFlow::Impl::AnswerPeer(const Message& message,
-                                 PeerMesh::Reply reply) {
-  const auto question = DecodeClaimQuestion(message.body);
-  if (!question) {
+void ClaimManager::Impl::HandlePeerQuery(const Message& message,
+                                         PeerMesh::Reply reply) {
+  const auto query = DecodeClaimOutcomeQuery(message.body);
+  if (!query) {
     reply(EncodeClaimVerdict(UnknownVerdict("malformed question")));
     return;
   }
   auto waiter = std::make_shared<ClaimWaiter>(io_);
-  waiter->request = question->request;
+  waiter->request = query->request;
   waiter->may_claim = false;
   const Milliseconds wait =
-      std::clamp(question->wait, Milliseconds(0), settings_.max_deadline);
+      std::clamp(query->max_wait, Milliseconds(0), settings_.max_deadline);
   waiter->deadline = std::chrono::steady_clock::now() + wait;
-  waiter->decided = [reply = std::move(reply)](const ClaimVerdict& verdict) {
+  waiter->on_verdict = [reply = std::move(reply)](const ClaimVerdict& verdict) {
     reply(EncodeClaimVerdict(verdict));
   };
   Decide(waiter);
--- a/src/libs/requests/claim_messages.cc
+++ b/src/libs/requests/claim_messages.cc
@@ -1,4 +1,4 @@
-// Bodies of the call "claim-outcome" and of its reply.
+// Encoding and decoding of the call "claim-outcome" and its reply.
 #include "requests/claim_messages.h"
 
 #include <string>
@@ -10,7 +10,7 @@
 constexpr char kAnswered[] = "answered";
 constexpr char kNotRun[] = "not-run";
 constexpr char kUnknown[] = "unknown";
-// Below the limit of the inner protocol on a frame.
+// Below the frame size limit of the peer protocol.
 constexpr size_t kMaxAnswerBytes = 7 * 1024 * 1024;
 
 Json EncodeAnswer(const UpstreamAnswer& answer) {
@@ -42,36 +42,36 @@
 
 }  // namespace
 
-Json EncodeClaimQuestion(const ClaimQuestion& question) {
-  const ClaimRequest& request = question.request;
+Json EncodeClaimOutcomeQuery(const ClaimOutcomeQuery& query) {
+  const ClaimRequest& request = query.request;
   return {{"account", request.account},
           {"service", request.service},
           {"key", request.key},
           {"key_time_ms", ToUnixMilliseconds(request.key_time)},
           {"body_digest", ToHex(request.body_digest)},
-          {"wait_ms", question.wait.count()}};
+          {"wait_ms", query.max_wait.count()}};
 }
 
-std::optional<ClaimQuestion> DecodeClaimQuestion(const Json& body) {
+std::optional<ClaimOutcomeQuery> DecodeClaimOutcomeQuery(const Json& body) {
   const auto account = StringField(body, "account");
   const auto service = StringField(body, "service");
   const auto key = StringField(body, "key");
   const auto key_time = IntField(body, "key_time_ms");
   const auto digest_text = StringField(body, "body_digest");
-  const auto wait = IntField(body, "wait_ms");
-  if (!account || !service || !key || !key_time || !digest_text || !wait) {
+  const auto max_wait = IntField(body, "wait_ms");
+  if (!account || !service || !key || !key_time || !digest_text || !max_wait) {
     return std::nullopt;
   }
   const auto digest = ParseDigest(*digest_text);
   if (!digest) return std::nullopt;
-  ClaimQuestion question;
-  question.request.account = *account;
-  question.request.service = *service;
-  question.request.key = *key;
-  question.request.key_time = FromUnixMilliseconds(*key_time);
-  question.request.body_digest = *digest;
-  question.wait = Milliseconds(*wait);
-  return question;
+  ClaimOutcomeQuery query;
+  query.request.account = *account;
+  query.request.service = *service;
+  query.request.key = *key;
+  query.request.key_time = FromUnixMilliseconds(*key_time);
+  query.request.body_digest = *digest;
+  query.max_wait = Milliseconds(*max_wait);
+  return query;
 }
 
 Json EncodeClaimVerdict(const ClaimVerdict& verdict) {
--- a/src/libs/requests/claim_messages.h
+++ b/src/libs/requests/claim_messages.h
@@ -1,5 +1,5 @@
-// The call "claim-outcome", by which an entry asks the holder of a claim for
-// the outcome of the request.
+// Messages of the peer call "claim-outcome", by which an entry queries the
+// holder of a claim for the outcome of the claimed request.
 #ifndef THORNPLANK_REQUESTS_CLAIM_MESSAGES_H_
 #define THORNPLANK_REQUESTS_CLAIM_MESSAGES_H_
 
@@ -14,19 +14,20 @@
 
 inline constexpr char kClaimOutcomeCall[] = "claim-outcome";
 
-struct ClaimQuestion {
+struct ClaimOutcomeQuery {
   ClaimRequest request;
-  // How long the holder may wait for the outcome.
-  Milliseconds wait{};
+  // How long the holder may wait for the outcome before it replies.
+  Milliseconds max_wait{};
 };
 
-Json EncodeClaimQuestion(const ClaimQuestion& question);
-// nullopt when malformed.
-std::optional<ClaimQuestion> DecodeClaimQuestion(const Json& body);
+Json EncodeClaimOutcomeQuery(const ClaimOutcomeQuery& query);
+// Returns nullopt when `body` is malformed.
+std::optional<ClaimOutcomeQuery> DecodeClaimOutcomeQuery(const Json& body);
 
-// Of kAnswered, kNotRun and kUnknown; any other kind travels as kUnknown.
+// Verdicts other than kAnswered and kNotRun are encoded as kUnknown, and so is
+// an answer that is too large for a frame of the peer protocol.
 Json EncodeClaimVerdict(const ClaimVerdict& verdict);
-// A malformed body is kUnknown.
+// A malformed body is decoded as kUnknown.
 ClaimVerdict DecodeClaimVerdict(const Json& body);
 
 }  // namespace thornplank
--- a/src/libs/requests/claim_stream.cc
+++ b/src/libs/requests/claim_stream.cc
@@ -10,8 +10,8 @@
 namespace thornplank {
 namespace {
 
-void HandOn(const LogRecord& record,
-            const ClaimStream::RecordHandler& on_record) {
+void ParseAndDeliver(const LogRecord& record,
+                     const ClaimStream::RecordHandler& on_record) {
   Error error;
   const auto claim = ParseClaimRecord(record.data, &error);
   if (!claim) {
@@ -34,7 +34,7 @@
   follower_ = std::make_unique<StreamFollower>(
       io_, log_, kClaimStream, settings_.claim_follower,
       [on_record = std::move(on_record)](const LogRecord& record) {
-        HandOn(record, on_record);
+        ParseAndDeliver(record, on_record);
       },
       [on_gap = std::move(on_gap)](int64_t from, int64_t first_kept) {
         LogEvent(events::kClaimStreamGap,
@@ -55,8 +55,8 @@
   writer_.Append(LogRecordId(record), ToJson(record), deadline,
                  [not_appended = std::move(not_appended)](
                      AppendState state, int64_t, const Error&) {
-                   // Whether a sent record stands in the log is learnt by
-                   // reading it back.
+                   // Whether a record that was sent is in the log is only known
+                   // once it is read back.
                    if (state == AppendState::kNotAppended) not_appended();
                  });
 }
@@ -64,32 +64,36 @@
 void ClaimStream::Append(const ClaimRecord& record) {
   const Time deadline =
       std::chrono::steady_clock::now() + settings_.claim_window;
-  // Nobody waits for "done"; others wait for "released".
-  const Duration linger = record.kind == ClaimRecordKind::kDone
-                              ? settings_.done_linger
-                              : Duration::zero();
+  // No other entry waits for a "done" record, but a retry of the key may wait
+  // for a "released" record, so that one is not delayed.
+  const Duration max_delay = record.kind == ClaimRecordKind::kDone
+                                 ? settings_.max_done_record_delay
+                                 : Duration::zero();
   writer_.Append(
       LogRecordId(record), ToJson(record), deadline,
-      [](AppendState, int64_t, const Error&) {}, linger);
+      [](AppendState, int64_t, const Error&) {}, max_delay);
 }
 
-// A failed append alone would stop all appends for ever, so one claim at a
-// time goes through as the trial whether the log is back.
+// After a failed append the writer is unhealthy until the next append succeeds.
+// One claim at a time is therefore let through as a probe; otherwise a single
+// failure would block all claims for ever.
 bool ClaimStream::available() const {
   if (!follower_) return false;
-  const std::optional<Time> success = follower_->last_success();
-  if (!success) return false;
+  const std::optional<Time> last_success = follower_->last_success();
+  if (!last_success) return false;
   const Time now = std::chrono::steady_clock::now();
-  if (*success + settings_.claim_log_silence < now) return false;
+  if (*last_success + settings_.claim_log_timeout < now) return false;
   return writer_.healthy() || writer_.pending() == 0;
 }
 
-bool ClaimStream::ready() const { return follower_ && follower_->caught_up(); }
+bool ClaimStream::caught_up() const {
+  return follower_ && follower_->caught_up();
+}
 
-int64_t ClaimStream::offset() const {
+int64_t ClaimStream::next_offset() const {
   return follower_ ? follower_->next_offset() : 0;
 }
 
-size_t ClaimStream::pending() const { return writer_.pending(); }
+size_t ClaimStream::pending_records() const { return writer_.pending(); }
 
 }  // namespace thornplank
--- a/src/libs/requests/claim_stream.h
+++ b/src/libs/requests/claim_stream.h
@@ -1,4 +1,4 @@
-// The claim stream of the log: what this entry appends, and what it follows.
+// Appends claim records to the claim stream of the log, and follows the stream.
 #ifndef THORNPLANK_REQUESTS_CLAIM_STREAM_H_
 #define THORNPLANK_REQUESTS_CLAIM_STREAM_H_
 
@@ -25,24 +25,27 @@
   ClaimStream(boost::asio::io_context& io, LogClient& log,
               const RequestManagerSettings& settings);
 
-  // Follows the stream from its beginning. Called once, before any request.
+  // Starts following the stream from its beginning. Must be called once, before
+  // any other function. `on_gap` runs when records were lost to retention.
   void Start(RecordHandler on_record, GapHandler on_gap);
   void Stop();
 
-  // Appends a claim; `not_appended` runs when it certainly never reached the
-  // log before `deadline`, and never otherwise.
+  // Appends a claim. `not_appended` runs if and only if it is certain that the
+  // record never reached the log before `deadline`.
   void AppendClaim(const ClaimRecord& record, Time deadline,
                    std::function<void()> not_appended);
-  // Appends a release or an answer, for as long as it matters.
+  // Appends a record of a release or of an answer, retrying for as long as keys
+  // are remembered.
   void Append(const ClaimRecord& record);
 
-  // Whether a claim appended now has a chance to be read back soon.
+  // Whether a claim appended now is likely to be read back soon.
   bool available() const;
-  // The stream was once read to its end.
-  bool ready() const;
-  int64_t offset() const;
-  // Records that wait to be appended.
-  size_t pending() const;
+  // True once the stream has been read to its end for the first time.
+  bool caught_up() const;
+  // Offset of the next record to read.
+  int64_t next_offset() const;
+  // Number of records that are waiting to be appended.
+  size_t pending_records() const;
 
  private:
   boost::asio::io_context& io_;
--- a/src/libs/requests/claim_verdict.cc
+++ b/src/libs/requests/claim_verdict.cc
@@ -1,4 +1,4 @@
-// Verdicts of each kind.
+// Construction of verdicts.
 #include "requests/claim_verdict.h"
 
 #include <utility>
--- a/src/libs/requests/claim_verdict.h
+++ b/src/libs/requests/claim_verdict.h
@@ -1,4 +1,5 @@
-// What becomes of a non-idempotent request, as its carrier is told.
+// The verdict of ClaimManager on a non-idempotent request: whether to send it,
+// or what to answer instead.
 #ifndef THORNPLANK_REQUESTS_CLAIM_VERDICT_H_
 #define THORNPLANK_REQUESTS_CLAIM_VERDICT_H_
 
@@ -11,30 +12,31 @@
 namespace thornplank {
 
 enum class ClaimVerdictKind {
-  // Won: the request may be sent, under ClaimFlow::MaySend, and must end with
-  // exactly one of Answered, NotSent and Unknown.
+  // The claim was won. The request may be sent while ClaimManager::MaySend
+  // returns true, and its outcome must be reported by exactly one of
+  // RecordAnswer, RecordNotSent and RecordUnknownOutcome.
   kSend,
-  // The answer of an earlier request of the same key.
+  // An earlier request of the same key was answered.
   kAnswered,
-  // Proved that this request was not sent.
+  // This request was provably not sent.
   kNotRun,
-  // The key may have run; this request will not.
+  // An earlier request of the key may have run; this one will not be sent.
   kUnknown,
-  // The caller's mistake; `refusal` says which.
+  // The request is invalid; `refusal` says why.
   kFault,
 };
 
 struct ClaimVerdict {
   ClaimVerdictKind kind = ClaimVerdictKind::kUnknown;
-  // kSend.
+  // Set for kSend.
   std::string claim_id;
-  // kAnswered.
+  // Set for kAnswered.
   UpstreamAnswer answer;
-  // Every kind but kSend and kAnswered.
+  // Set for every kind but kSend and kAnswered.
   std::string reason;
-  // kNotRun.
+  // Set for kNotRun.
   Duration retry_after{};
-  // kFault.
+  // Set for verdicts made by RefusalVerdict.
   ClaimRefusal refusal = ClaimRefusal::kNone;
 };
 
@@ -45,7 +47,7 @@
 ClaimVerdict AnsweredVerdict(UpstreamAnswer answer);
 ClaimVerdict NotRunVerdict(std::string reason, Duration retry_after);
 ClaimVerdict UnknownVerdict(std::string reason);
-// kNotRun, kUnknown or kFault by the class of `refusal`.
+// The kind is kNotRun, kUnknown or kFault, depending on the class of `refusal`.
 ClaimVerdict RefusalVerdict(ClaimRefusal refusal);
 
 }  // namespace thornplank
--- a/src/libs/requests/claim_waiters.cc
+++ b/src/libs/requests/claim_waiters.cc
@@ -1,4 +1,4 @@
-// Lists of waiters by claim id.
+// The waiters, indexed by claim id.
 #include "requests/claim_waiters.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 void ClaimWaiters::Join(const std::string& claim_id,
                         const ClaimWaiterPtr& waiter) {
-  waiter->joined_claim = claim_id;
+  waiter->joined_claim_id = claim_id;
   joined_[claim_id].push_back(waiter);
 }
 
@@ -31,27 +31,27 @@
   ClaimWaiterList list = std::move(found->second);
   joined_.erase(found);
   for (const ClaimWaiterPtr& waiter : list) {
-    waiter->joined_claim.clear();
+    waiter->joined_claim_id.clear();
     waiter->timer.cancel();
   }
   return list;
 }
 
-ClaimWaiters::Place ClaimWaiters::Take(const ClaimWaiterPtr& waiter) {
+ClaimWaiters::List ClaimWaiters::Remove(const ClaimWaiterPtr& waiter) {
   const auto pending = pending_.find(waiter->request.claim_id);
   if (pending != pending_.end() && pending->second == waiter) {
     pending_.erase(pending);
-    return Place::kPending;
+    return List::kPending;
   }
-  const auto joined = joined_.find(waiter->joined_claim);
-  if (joined == joined_.end()) return Place::kNowhere;
+  const auto joined = joined_.find(waiter->joined_claim_id);
+  if (joined == joined_.end()) return List::kNone;
   ClaimWaiterList& list = joined->second;
   const auto found = std::find(list.begin(), list.end(), waiter);
-  if (found == list.end()) return Place::kNowhere;
+  if (found == list.end()) return List::kNone;
   list.erase(found);
   if (list.empty()) joined_.erase(joined);
-  waiter->joined_claim.clear();
-  return Place::kJoined;
+  waiter->joined_claim_id.clear();
+  return List::kJoined;
 }
 
 void ClaimWaiters::CancelTimers() {
--- a/src/libs/requests/claim_waiters.h
+++ b/src/libs/requests/claim_waiters.h
@@ -1,5 +1,6 @@
-// Who waits for a claim: the request that needs it, and those that want the
-// outcome of one that is running. Not thread-safe.
+// The requests and peer queries that wait for a claim: those whose own claim is
+// pending, and those that wait for the outcome of a claim of another request.
+// Not thread-safe.
 #ifndef THORNPLANK_REQUESTS_CLAIM_WAITERS_H_
 #define THORNPLANK_REQUESTS_CLAIM_WAITERS_H_
 
@@ -19,21 +20,22 @@
 
 namespace thornplank {
 
-// A request that wants to be sent, or a peer that wants to know its outcome.
+// A request that is to be sent, or a peer's query for the outcome of one.
 struct ClaimWaiter {
   explicit ClaimWaiter(boost::asio::io_context& io) : timer(io) {}
 
   ClaimRequest request;
   Time deadline;
-  // Whether the request would find room; empty for questions of peers.
-  std::function<std::optional<Refusal>()> admit;
-  // Emptied when called, by the one that took this waiter out.
-  std::function<void(ClaimVerdict)> decided;
-  // May claim the key; false for questions of peers.
+  // Whether the router would admit the request; empty for peer queries.
+  std::function<std::optional<Refusal>()> check_admission;
+  // Called once, by whoever removed this waiter from ClaimWaiters, and reset
+  // by the call.
+  std::function<void(ClaimVerdict)> on_verdict;
+  // Whether the waiter may claim the key; false for peer queries.
   bool may_claim = true;
-  // The claim in whose list of joined waiters this one stands, or "".
-  std::string joined_claim;
-  // Runs while the waiter stands in ClaimWaiters.
+  // The claim whose outcome this waiter waits for; "" if none.
+  std::string joined_claim_id;
+  // Expires at `deadline`; runs while the waiter is in ClaimWaiters.
   boost::asio::steady_timer timer;
 };
 using ClaimWaiterPtr = std::shared_ptr<ClaimWaiter>;
@@ -41,22 +43,25 @@
 
 class ClaimWaiters {
  public:
-  enum class Place { kNowhere, kPending, kJoined };
+  enum class List { kNone, kPending, kJoined };
 
-  // The waiter's own claim, request.claim_id, has to be folded first.
+  // Adds a waiter whose own claim, request.claim_id, has not yet been read back
+  // from the log.
   void AddPending(const ClaimWaiterPtr& waiter);
-  // Waits for the outcome of a claim of this entry.
+  // Adds a waiter for the outcome of the claim `claim_id` of this entry.
   void Join(const std::string& claim_id, const ClaimWaiterPtr& waiter);
 
-  // Take out, with timers cancelled; null or empty when there is none.
+  // Remove and return the waiters of a claim and cancel their timers; null or
+  // empty when there are none.
   ClaimWaiterPtr TakePending(const std::string& claim_id);
   ClaimWaiterList TakeJoined(const std::string& claim_id);
-  // Takes this waiter out from wherever it stands.
-  Place Take(const ClaimWaiterPtr& waiter);
+  // Removes the waiter and returns the list that it was in. Its timer is not
+  // cancelled.
+  List Remove(const ClaimWaiterPtr& waiter);
   void CancelTimers();
 
  private:
-  // Each waiter stands in at most one of the two.
+  // By claim id. Each waiter is in at most one of the two.
   std::unordered_map<std::string, ClaimWaiterPtr> pending_;
   std::unordered_map<std::string, ClaimWaiterList> joined_;
 };
--- a/src/libs/requests/demand_exchange.cc
+++ b/src/libs/requests/demand_exchange.cc
@@ -1,4 +1,5 @@
-// A timer that sends this entry's demand when it changed, or once in a while.
+// A timer broadcasts this entry's demand when it has changed, and periodically
+// otherwise.
 #include "requests/demand_exchange.h"
 
 #include <boost/asio/io_context.hpp>
@@ -50,13 +51,13 @@
 class DemandExchange::Impl : public std::enable_shared_from_this<Impl> {
  public:
   Impl(boost::asio::io_context& io, PeerMesh& mesh, Duration interval,
-       Duration refresh, std::function<PeerDemand()> own,
-       std::function<void(const PeerDemand&)> on_peer)
+       Duration refresh_interval, std::function<PeerDemand()> own_demand,
+       std::function<void(const PeerDemand&)> on_peer_demand)
       : mesh_(mesh),
         interval_(interval),
-        refresh_(refresh),
-        own_(std::move(own)),
-        on_peer_(std::move(on_peer)),
+        refresh_interval_(refresh_interval),
+        own_demand_(std::move(own_demand)),
+        on_peer_demand_(std::move(on_peer_demand)),
         timer_(io) {}
 
   void Connect() {
@@ -86,7 +87,7 @@
       std::lock_guard<std::mutex> lock(mutex_);
       if (!running_) return;
     }
-    on_peer_(DecodeDemand(from.name, message.body));
+    on_peer_demand_(DecodeDemand(from.name, message.body));
   }
 
   // Called with the mutex held.
@@ -100,13 +101,13 @@
   }
 
   void Send() {
-    Json body = EncodeDemand(own_());
+    Json body = EncodeDemand(own_demand_());
     const Time now = std::chrono::steady_clock::now();
     {
       std::lock_guard<std::mutex> lock(mutex_);
       if (!running_) return;
       Arm();
-      if (body == last_sent_ && now < last_sent_at_ + refresh_) return;
+      if (body == last_sent_ && now < last_sent_at_ + refresh_interval_) return;
       last_sent_ = body;
       last_sent_at_ = now;
     }
@@ -115,11 +116,11 @@
 
   PeerMesh& mesh_;
   const Duration interval_;
-  const Duration refresh_;
-  const std::function<PeerDemand()> own_;
-  const std::function<void(const PeerDemand&)> on_peer_;
+  const Duration refresh_interval_;
+  const std::function<PeerDemand()> own_demand_;
+  const std::function<void(const PeerDemand&)> on_peer_demand_;
 
-  // Guards everything below. Neither callback runs while it is held.
+  // Guards the members below. Neither callback runs while it is held.
   std::mutex mutex_;
   boost::asio::steady_timer timer_;
   bool running_ = false;
@@ -127,12 +128,13 @@
   Time last_sent_at_;
 };
 
-DemandExchange::DemandExchange(boost::asio::io_context& io, PeerMesh& mesh,
-                               Duration interval, Duration refresh,
-                               std::function<PeerDemand()> own,
-                               std::function<void(const PeerDemand&)> on_peer)
-    : impl_(std::make_shared<Impl>(io, mesh, interval, refresh, std::move(own),
-                                   std::move(on_peer))) {
+DemandExchange::DemandExchange(
+    boost::asio::io_context& io, PeerMesh& mesh, Duration interval,
+    Duration refresh_interval, std::function<PeerDemand()> own_demand,
+    std::function<void(const PeerDemand&)> on_peer_demand)
+    : impl_(std::make_shared<Impl>(io, mesh, interval, refresh_interval,
+                                   std::move(own_demand),
+                                   std::move(on_peer_demand))) {
   impl_->Connect();
 }
 
--- a/src/libs/requests/request_answer.cc
+++ b/src/libs/requests/request_answer.cc
@@ -1,4 +1,4 @@
-// Answers to callers, with the outcome in a header.
+// Construction of the responses to callers.
 #include "requests/request_answer.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 constexpr int kServiceUnavailable = 503;
 
-int64_t WholeSecondsUp(Duration duration) {
+int64_t CeilSeconds(Duration duration) {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(duration);
   return std::max<int64_t>(1, seconds.count());
 }
@@ -43,8 +43,7 @@
       ProblemResponse(kServiceUnavailable, "Request not run", reason);
   response.headers.Set(kOutcomeHeader, kOutcomeNotRun);
   response.headers.Set(kRequestIdHeader, request_id);
-  response.headers.Set("Retry-After",
-                       std::to_string(WholeSecondsUp(retry_after)));
+  response.headers.Set("Retry-After", std::to_string(CeilSeconds(retry_after)));
   return response;
 }
 
--- a/src/libs/requests/request_answer.h
+++ b/src/libs/requests/request_answer.h
@@ -1,8 +1,8 @@
-// The answers that callers get, for each outcome.
+// The HTTP responses to callers, for each outcome of a request.
 //
-// `answered`: a whole answer of an executor, whatever its status. `not-run`:
-// proved that this request was given to no executor and never will be.
-// `unknown`: it may have run and there is no whole answer to give.
+// `answered`: a complete answer of an executor, whatever its status.
+// `not-run`: the request provably was not and never will be run by an executor.
+// `unknown`: the request may have run, and there is no complete answer.
 #ifndef THORNPLANK_REQUESTS_REQUEST_ANSWER_H_
 #define THORNPLANK_REQUESTS_REQUEST_ANSWER_H_
 
@@ -22,7 +22,8 @@
 inline constexpr char kOutcomeNotRun[] = "not-run";
 inline constexpr char kOutcomeUnknown[] = "unknown";
 
-// The answer of `upstream` without the headers that concern only this hop.
+// Keeps only what callers get of the executor's response; hop-specific headers
+// are dropped.
 UpstreamAnswer ToUpstreamAnswer(const HttpResponse& upstream,
                                 const std::string& executor);
 
@@ -31,10 +32,11 @@
 // 503 with Retry-After, rounded up to whole seconds and at least one.
 HttpResponse NotRunResponse(const std::string& request_id,
                             const std::string& reason, Duration retry_after);
-// 504 for a deadline or a broken connection, 409 for a repeat of a key.
+// `status` is 504 after a timeout or a broken connection, 409 for a repeat of a
+// key.
 HttpResponse UnknownResponse(const std::string& request_id, int status,
                              const std::string& reason);
-// A refusal because of what the request is; it carries no outcome.
+// The response to an invalid request; it has no outcome header.
 HttpResponse FaultResponse(const std::string& request_id,
                            const RequestFault& fault);
 
--- a/src/libs/requests/request_dispatcher.cc
+++ b/src/libs/requests/request_dispatcher.cc
@@ -1,4 +1,4 @@
-// The router under its mutex, and the actions it asks for.
+// Feeds events to the router under a mutex and executes the returned actions.
 #include "requests/request_dispatcher.h"
 
 #include <boost/asio/io_context.hpp>
@@ -15,17 +15,18 @@
 namespace thornplank {
 namespace {
 
-// A request from Submit until it is finished and no attempt is in flight.
-struct Call {
+// A request from Submit until it is settled: finished, and no attempt in
+// flight.
+struct ActiveRequest {
   Dispatch dispatch;
   bool finished = false;
   RequestOutcome outcome = RequestOutcome::kUnknown;
-  // The answer of the attempt that was completed last.
+  // The answer, if any, of the most recently completed attempt.
   std::optional<UpstreamAnswer> answer;
   int attempts_in_flight = 0;
 };
 
-// Work collected under the mutex and done after it.
+// Work that is collected while the mutex is held and run after its release.
 using Deferred = std::vector<std::function<void()>>;
 
 RequestInfo ToInfo(const std::string& id, const CallerRequest& request,
@@ -58,90 +59,94 @@
   void Submit(Dispatch dispatch);
   std::optional<Refusal> CheckAdmission(const RequestInfo& info) const;
   PeerDemand demand() const;
-  size_t unsettled() const;
+  size_t unsettled_count() const;
 
-  // Feeds one event to the router and carries its actions out. `event` runs
-  // with the mutex held.
-  void Feed(const std::function<RoutingActions(RequestRouter&, Time)>& event);
+  // Passes one event to the router and executes the resulting actions. `event`
+  // runs with the mutex held.
+  void ProcessEvent(
+      const std::function<RoutingActions(RequestRouter&, Time)>& event);
 
  private:
-  void Complete(const SendAttempt& action, AttemptReport report);
-  void ProbeDone(const std::string& executor, const AttemptResult& result);
+  void CompleteAttempt(const SendAttempt& action, AttemptReport report);
+  void CompleteProbe(const std::string& executor, const AttemptResult& result);
   void Tick();
 
-  // The following are called with the mutex held.
-  void Prepare(const RoutingActions& actions, Deferred* deferred);
-  void PrepareSend(const SendAttempt& action, Deferred* deferred);
-  void PrepareProbe(const ProbeExecutor& action, Deferred* deferred);
-  void PrepareFinish(const std::string& id, DispatchResult result,
-                     Deferred* deferred);
-  void PrepareSettle(const std::string& id, Deferred* deferred);
+  // The functions below are called with the mutex held. The Defer functions add
+  // the work of an action to `deferred`.
+  void DeferActions(const RoutingActions& actions, Deferred* deferred);
+  void DeferSend(const SendAttempt& action, Deferred* deferred);
+  void DeferProbe(const ProbeExecutor& action, Deferred* deferred);
+  void DeferFinish(const std::string& id, DispatchResult result,
+                   Deferred* deferred);
+  // Removes the request and defers its on_settled, if it is settled.
+  void DeferIfSettled(const std::string& id, Deferred* deferred);
   void ArmWakeTimer();
 
   AttemptSender sender_;
 
-  // Guards everything below. Never held while a send or a callback runs.
+  // Guards the members below. Never held while a request is sent or a callback
+  // runs.
   mutable std::mutex mutex_;
   RequestRouter router_;
-  std::unordered_map<std::string, Call> calls_;
+  std::unordered_map<std::string, ActiveRequest> active_requests_;
   bool running_ = false;
   boost::asio::steady_timer wake_timer_;
-  // When wake_timer_ fires; nullopt when it is not armed.
-  std::optional<Time> wake_at_;
+  // When wake_timer_ expires; nullopt when it is not armed.
+  std::optional<Time> wake_time_;
 };
 
-void RequestDispatcher::Impl::Feed(
+void RequestDispatcher::Impl::ProcessEvent(
     const std::function<RoutingActions(RequestRouter&, Time)>& event) {
   Deferred deferred;
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    Prepare(event(router_, std::chrono::steady_clock::now()), &deferred);
+    DeferActions(event(router_, std::chrono::steady_clock::now()), &deferred);
     ArmWakeTimer();
   }
   for (const auto& work : deferred) work();
 }
 
 void RequestDispatcher::Impl::Submit(Dispatch dispatch) {
-  Feed([&](RequestRouter& router, Time now) {
+  ProcessEvent([&](RequestRouter& router, Time now) {
     const RequestInfo info =
         ToInfo(dispatch.id, dispatch.request, dispatch.deadline);
-    calls_[info.id].dispatch = std::move(dispatch);
+    active_requests_[info.id].dispatch = std::move(dispatch);
     return router.Submit(info, now);
   });
 }
 
-void RequestDispatcher::Impl::Prepare(const RoutingActions& actions,
-                                      Deferred* deferred) {
+void RequestDispatcher::Impl::DeferActions(const RoutingActions& actions,
+                                           Deferred* deferred) {
   for (const RoutingAction& action : actions) {
     LogRoutingAction(action);
     if (const auto* send = std::get_if<SendAttempt>(&action)) {
-      PrepareSend(*send, deferred);
+      DeferSend(*send, deferred);
     } else if (const auto* probe = std::get_if<ProbeExecutor>(&action)) {
-      PrepareProbe(*probe, deferred);
+      DeferProbe(*probe, deferred);
     } else if (const auto* answered = std::get_if<FinishAnswered>(&action)) {
       DispatchResult result;
       result.outcome = RequestOutcome::kAnswered;
-      PrepareFinish(answered->request_id, std::move(result), deferred);
+      DeferFinish(answered->request_id, std::move(result), deferred);
     } else if (const auto* not_run = std::get_if<FinishNotRun>(&action)) {
       DispatchResult result;
       result.outcome = RequestOutcome::kNotRun;
       result.reason = not_run->reason;
       result.retry_after = not_run->retry_after;
-      PrepareFinish(not_run->request_id, std::move(result), deferred);
+      DeferFinish(not_run->request_id, std::move(result), deferred);
     } else if (const auto* unknown = std::get_if<FinishUnknown>(&action)) {
-      PrepareFinish(unknown->request_id, UnknownResult(unknown->reason),
-                    deferred);
+      DeferFinish(unknown->request_id, UnknownResult(unknown->reason),
+                  deferred);
     }
   }
 }
 
-void RequestDispatcher::Impl::PrepareSend(const SendAttempt& action,
-                                          Deferred* deferred) {
-  const auto found = calls_.find(action.request_id);
-  if (found == calls_.end()) return;
-  Call& call = found->second;
-  ++call.attempts_in_flight;
-  const CallerRequest& request = call.dispatch.request;
+void RequestDispatcher::Impl::DeferSend(const SendAttempt& action,
+                                        Deferred* deferred) {
+  const auto found = active_requests_.find(action.request_id);
+  if (found == active_requests_.end()) return;
+  ActiveRequest& active = found->second;
+  ++active.attempts_in_flight;
+  const CallerRequest& request = active.dispatch.request;
   Attempt attempt;
   attempt.id = action.request_id + "-" + std::to_string(action.attempt);
   attempt.service = request.service;
@@ -150,7 +155,7 @@
   attempt.content_type = request.content_type;
   attempt.body = request.body;
   attempt.deadline = action.attempt_deadline;
-  attempt.may_send = call.dispatch.may_send;
+  attempt.may_send = active.dispatch.may_send;
   if (request.idempotency_key) {
     attempt.idempotency_key = request.idempotency_key->key;
   }
@@ -158,93 +163,96 @@
                        attempt = std::move(attempt)]() mutable {
     self->sender_.Send(std::move(attempt),
                        [self, action](AttemptReport report) {
-                         self->Complete(action, std::move(report));
+                         self->CompleteAttempt(action, std::move(report));
                        });
   });
 }
 
-void RequestDispatcher::Impl::PrepareProbe(const ProbeExecutor& action,
-                                           Deferred* deferred) {
+void RequestDispatcher::Impl::DeferProbe(const ProbeExecutor& action,
+                                         Deferred* deferred) {
   deferred->push_back([self = shared_from_this(), action] {
     const Duration timeout =
         action.probe_deadline - std::chrono::steady_clock::now();
     self->sender_.Probe(
         action.address, timeout,
         [self, executor = action.executor](const AttemptResult& result) {
-          self->ProbeDone(executor, result);
+          self->CompleteProbe(executor, result);
         });
   });
 }
 
-void RequestDispatcher::Impl::PrepareFinish(const std::string& id,
-                                            DispatchResult result,
-                                            Deferred* deferred) {
-  const auto found = calls_.find(id);
-  if (found == calls_.end() || found->second.finished) return;
-  Call& call = found->second;
-  const bool has_answer = call.answer.has_value();
+void RequestDispatcher::Impl::DeferFinish(const std::string& id,
+                                          DispatchResult result,
+                                          Deferred* deferred) {
+  const auto found = active_requests_.find(id);
+  if (found == active_requests_.end() || found->second.finished) return;
+  ActiveRequest& active = found->second;
+  const bool has_answer = active.answer.has_value();
   if (result.outcome == RequestOutcome::kAnswered && !has_answer) {
     result = UnknownResult("the answer was lost inside the entry");
   }
-  // Nothing is called "not run" while an attempt might still send.
+  // An attempt in flight may still send the request, so "not run" would be
+  // wrong.
   if (result.outcome == RequestOutcome::kNotRun &&
-      call.attempts_in_flight > 0) {
+      active.attempts_in_flight > 0) {
     result = UnknownResult(result.reason);
   }
   if (result.outcome == RequestOutcome::kAnswered) {
-    result.answer = std::move(*call.answer);
-    call.answer.reset();
+    result.answer = std::move(*active.answer);
+    active.answer.reset();
   }
-  call.finished = true;
-  call.outcome = result.outcome;
-  deferred->push_back(
-      [finished = std::move(call.dispatch.finished),
-       result = std::move(result)]() mutable { finished(std::move(result)); });
-  PrepareSettle(id, deferred);
+  active.finished = true;
+  active.outcome = result.outcome;
+  deferred->push_back([on_finished = std::move(active.dispatch.on_finished),
+                       result = std::move(result)]() mutable {
+    on_finished(std::move(result));
+  });
+  DeferIfSettled(id, deferred);
 }
 
-void RequestDispatcher::Impl::PrepareSettle(const std::string& id,
-                                            Deferred* deferred) {
-  const auto found = calls_.find(id);
-  if (found == calls_.end()) return;
-  Call& call = found->second;
-  if (!call.finished || call.attempts_in_flight > 0) return;
+void RequestDispatcher::Impl::DeferIfSettled(const std::string& id,
+                                             Deferred* deferred) {
+  const auto found = active_requests_.find(id);
+  if (found == active_requests_.end()) return;
+  ActiveRequest& active = found->second;
+  if (!active.finished || active.attempts_in_flight > 0) return;
   std::optional<UpstreamAnswer> late_answer;
-  if (call.outcome == RequestOutcome::kUnknown) {
-    late_answer = std::move(call.answer);
+  if (active.outcome == RequestOutcome::kUnknown) {
+    late_answer = std::move(active.answer);
   }
-  if (call.dispatch.settled) {
-    deferred->push_back([settled = std::move(call.dispatch.settled),
+  if (active.dispatch.on_settled) {
+    deferred->push_back([on_settled = std::move(active.dispatch.on_settled),
                          late_answer = std::move(late_answer)]() mutable {
-      settled(std::move(late_answer));
+      on_settled(std::move(late_answer));
     });
   }
-  calls_.erase(found);
+  active_requests_.erase(found);
 }
 
-void RequestDispatcher::Impl::Complete(const SendAttempt& action,
-                                       AttemptReport report) {
-  LogAttemptEnd(action, report);
+void RequestDispatcher::Impl::CompleteAttempt(const SendAttempt& action,
+                                              AttemptReport report) {
+  LogFailedAttempt(action, report);
   Deferred deferred;
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    const auto found = calls_.find(action.request_id);
-    if (found != calls_.end()) {
+    const auto found = active_requests_.find(action.request_id);
+    if (found != active_requests_.end()) {
       --found->second.attempts_in_flight;
       found->second.answer = std::move(report.answer);
     }
-    Prepare(router_.Complete(action.request_id, action.executor, report.result,
-                             std::chrono::steady_clock::now()),
-            &deferred);
-    PrepareSettle(action.request_id, &deferred);
+    DeferActions(
+        router_.Complete(action.request_id, action.executor, report.result,
+                         std::chrono::steady_clock::now()),
+        &deferred);
+    DeferIfSettled(action.request_id, &deferred);
     ArmWakeTimer();
   }
   for (const auto& work : deferred) work();
 }
 
-void RequestDispatcher::Impl::ProbeDone(const std::string& executor,
-                                        const AttemptResult& result) {
-  Feed([&](RequestRouter& router, Time now) {
+void RequestDispatcher::Impl::CompleteProbe(const std::string& executor,
+                                            const AttemptResult& result) {
+  ProcessEvent([&](RequestRouter& router, Time now) {
     return router.ProbeResult(executor, result, now);
   });
 }
@@ -252,8 +260,8 @@
 void RequestDispatcher::Impl::ArmWakeTimer() {
   if (!running_) return;
   const std::optional<Time> next = router_.NextWake();
-  if (!next || (wake_at_ && *wake_at_ <= *next)) return;
-  wake_at_ = next;
+  if (!next || (wake_time_ && *wake_time_ <= *next)) return;
+  wake_time_ = next;
   wake_timer_.expires_at(*next);
   wake_timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& code) {
@@ -263,8 +271,8 @@
 }
 
 void RequestDispatcher::Impl::Tick() {
-  Feed([this](RequestRouter& router, Time now) {
-    wake_at_.reset();
+  ProcessEvent([this](RequestRouter& router, Time now) {
+    wake_time_.reset();
     return router.Tick(now);
   });
 }
@@ -278,7 +286,7 @@
 void RequestDispatcher::Impl::Stop() {
   std::lock_guard<std::mutex> lock(mutex_);
   running_ = false;
-  wake_at_.reset();
+  wake_time_.reset();
   wake_timer_.cancel();
 }
 
@@ -293,9 +301,9 @@
   return router_.demand();
 }
 
-size_t RequestDispatcher::Impl::unsettled() const {
+size_t RequestDispatcher::Impl::unsettled_count() const {
   std::lock_guard<std::mutex> lock(mutex_);
-  return calls_.size();
+  return active_requests_.size();
 }
 
 RequestDispatcher::RequestDispatcher(boost::asio::io_context& io,
@@ -310,27 +318,27 @@
 
 void RequestDispatcher::SetAccounts(
     const std::vector<AccountLimits>& accounts) {
-  impl_->Feed([&](RequestRouter& router, Time now) {
+  impl_->ProcessEvent([&](RequestRouter& router, Time now) {
     return router.SetAccounts(accounts, now);
   });
 }
 
 void RequestDispatcher::SetExecutors(
     const std::vector<ExecutorInfo>& executors) {
-  impl_->Feed([&](RequestRouter& router, Time now) {
+  impl_->ProcessEvent([&](RequestRouter& router, Time now) {
     return router.SetExecutors(executors, now);
   });
 }
 
 void RequestDispatcher::SetPeers(const std::string& own_name,
                                  const std::vector<std::string>& live_entries) {
-  impl_->Feed([&](RequestRouter& router, Time now) {
+  impl_->ProcessEvent([&](RequestRouter& router, Time now) {
     return router.SetPeers(own_name, live_entries, now);
   });
 }
 
 void RequestDispatcher::SetPeerDemand(const PeerDemand& demand) {
-  impl_->Feed([&](RequestRouter& router, Time now) {
+  impl_->ProcessEvent([&](RequestRouter& router, Time now) {
     return router.SetPeerDemand(demand, now);
   });
 }
@@ -346,6 +354,8 @@
   impl_->Submit(std::move(dispatch));
 }
 
-size_t RequestDispatcher::unsettled() const { return impl_->unsettled(); }
+size_t RequestDispatcher::unsettled_count() const {
+  return impl_->unsettled_count();
+}
 
 }  // namespace thornplank
--- a/src/libs/requests/request_dispatcher.h
+++ b/src/libs/requests/request_dispatcher.h
@@ -1,5 +1,5 @@
-// Carries the request router: requests that may be sent go in, attempts go to
-// executors, and each request comes out with one outcome.
+// Runs the request router and executes its actions: each submitted request is
+// sent to executors in one or more attempts and ends with exactly one outcome.
 #ifndef THORNPLANK_REQUESTS_REQUEST_DISPATCHER_H_
 #define THORNPLANK_REQUESTS_REQUEST_DISPATCHER_H_
 
@@ -24,31 +24,33 @@
 
 class HttpClient;
 
+// The outcomes are described in request_answer.h.
 enum class RequestOutcome { kAnswered, kNotRun, kUnknown };
 
 struct DispatchResult {
   RequestOutcome outcome = RequestOutcome::kUnknown;
-  // kAnswered.
+  // Set for kAnswered.
   UpstreamAnswer answer;
-  // kNotRun, kUnknown.
+  // Set for kNotRun and kUnknown.
   std::string reason;
-  // kNotRun.
+  // Set for kNotRun.
   Duration retry_after{};
 };
 
-// One request on its way to executors.
+// A request to be sent to executors.
 struct Dispatch {
   std::string id;
   CallerRequest request;
   Time deadline;
-  // Last check before the first byte of each attempt; may be empty.
+  // Called right before the first byte of each attempt is sent; the attempt is
+  // abandoned when it returns false. May be empty.
   std::function<bool()> may_send;
   // Runs once, on any thread.
-  std::function<void(DispatchResult)> finished;
-  // Runs once, after `finished` and when no attempt is in flight any more,
-  // with the whole answer when one came after the outcome kUnknown. May be
-  // empty.
-  std::function<void(std::optional<UpstreamAnswer> late_answer)> settled;
+  std::function<void(DispatchResult)> on_finished;
+  // Runs once, after `on_finished`, when no attempt is in flight any more.
+  // `late_answer` is set when a complete answer arrived after the outcome
+  // kUnknown. May be empty.
+  std::function<void(std::optional<UpstreamAnswer> late_answer)> on_settled;
 };
 
 class RequestDispatcher {
@@ -67,15 +69,17 @@
   void SetPeerDemand(const PeerDemand& demand);
   PeerDemand demand() const;
 
-  // Whether Submit would refuse the request now.
+  // The refusal with which Submit would end the request now; nullopt when it
+  // would be admitted.
   std::optional<Refusal> CheckAdmission(const std::string& id,
                                         const CallerRequest& request,
                                         Time deadline) const;
-  // `finished` may run before Submit returns.
+  // `on_finished` may run before Submit returns.
   void Submit(Dispatch dispatch);
 
-  // Requests that are not finished, or have an attempt in flight.
-  size_t unsettled() const;
+  // Number of requests that are not finished or still have an attempt in
+  // flight.
+  size_t unsettled_count() const;
 
  private:
   class Impl;
--- a/src/libs/requests/request_manager.cc
+++ b/src/libs/requests/request_manager.cc
@@ -1,4 +1,4 @@
-// The interface of the carrier of requests; its inside is RequestManager::Impl.
+// Forwards the calls of RequestManager to RequestManager::Impl.
 #include "requests/request_manager.h"
 
 #include <utility>
--- a/src/libs/requests/request_manager_impl.cc
+++ b/src/libs/requests/request_manager_impl.cc
@@ -1,4 +1,4 @@
-// From a caller's HTTP request to its answer.
+// Handling of a caller's request, and draining at shutdown.
 #include "requests/request_manager_impl.h"
 
 #include <boost/asio/io_context.hpp>
@@ -17,11 +17,12 @@
 constexpr int kConflict = 409;
 constexpr int kUnprocessable = 422;
 constexpr int kGatewayTimeout = 504;
-// An entry that starts learns the settings and the executors within seconds.
-constexpr Duration kRetryWithoutState = std::chrono::seconds(1);
+// A starting entry receives the settings and the executors within seconds.
+constexpr Duration kRetryAfterNotReady = std::chrono::seconds(1);
 constexpr Duration kDrainCheckInterval = Milliseconds(20);
-// With the log down, its last records may never be appended.
-constexpr Duration kMaxDrainForRecords = std::chrono::seconds(3);
+// While the log is down, the last claim records may never be appended; draining
+// then stops waiting for them.
+constexpr Duration kMaxDrainForClaimRecords = std::chrono::seconds(3);
 
 CallerRequestLimits ToLimits(const RequestManagerSettings& settings) {
   return {settings.default_deadline, settings.max_deadline,
@@ -46,7 +47,7 @@
                     });
   if (mesh_ == nullptr) return;
   demand_ = std::make_unique<DemandExchange>(
-      io_, *mesh_, settings_.demand_interval, settings_.demand_refresh,
+      io_, *mesh_, settings_.demand_interval, settings_.demand_refresh_interval,
       [weak] {
         auto self = weak.lock();
         return self ? self->dispatcher_.demand() : PeerDemand{};
@@ -61,51 +62,52 @@
                                   const PathParameters& parameters,
                                   HttpServer::Responder respond) {
   auto exchange = std::make_shared<Exchange>();
-  exchange->id = NextRequestId();
+  exchange->id = BeginRequest();
   exchange->arrival = std::chrono::steady_clock::now();
   exchange->respond = std::move(respond);
   const auto service = parameters.find("service");
-  const std::string missing = MissingState();
+  const std::string missing = DescribeMissingState();
   RequestFault fault;
-  auto read =
-      Read(request, caller, service == parameters.end() ? "" : service->second,
-           /*names_known=*/missing.empty(), &fault);
-  if (!read) {
+  auto parsed = ReadRequest(request, caller,
+                            service == parameters.end() ? "" : service->second,
+                            /*names_known=*/missing.empty(), &fault);
+  if (!parsed) {
     Refuse(exchange, fault);
     return;
   }
-  exchange->request = std::move(*read);
+  exchange->request = std::move(*parsed);
   if (!missing.empty()) {
-    RefuseForNow(exchange, missing);
+    RefuseUntilReady(exchange, missing);
     return;
   }
   exchange->deadline = exchange->arrival + exchange->request.time_allowed;
   if (exchange->request.idempotent()) {
     Submit(exchange);
   } else {
-    Acquire(exchange);
+    AcquireClaim(exchange);
   }
 }
 
-std::optional<CallerRequest> RequestManager::Impl::Read(
+std::optional<CallerRequest> RequestManager::Impl::ReadRequest(
     const HttpRequest& request, const Caller& caller,
     const std::string& service, bool names_known, RequestFault* fault) const {
   if (caller.role == Role::kViewer) {
     *fault = {kForbidden, "Not allowed", "a viewer may not send requests"};
     return std::nullopt;
   }
-  std::optional<RequestFault> unknown;
-  if (names_known) unknown = CheckNames(caller.account, service);
-  if (unknown) {
-    *fault = std::move(*unknown);
+  std::optional<RequestFault> name_fault;
+  if (names_known) name_fault = CheckNames(caller.account, service);
+  if (name_fault) {
+    *fault = std::move(*name_fault);
     return std::nullopt;
   }
   return ReadCallerRequest(request, caller.account, service,
                            ToLimits(settings_), fault);
 }
 
-// Until then a name that is missing proves nothing about the request.
-std::string RequestManager::Impl::MissingState() const {
+// While state is missing, an unknown account or service name does not mean that
+// the request is invalid.
+std::string RequestManager::Impl::DescribeMissingState() const {
   std::lock_guard<std::mutex> lock(mutex_);
   if (!accounts_known_) return "the settings are not known here yet";
   if (services_.empty()) return "no executor is known here yet";
@@ -126,20 +128,20 @@
   return std::nullopt;
 }
 
-// Counts the request as in flight, too.
-std::string RequestManager::Impl::NextRequestId() {
+std::string RequestManager::Impl::BeginRequest() {
   std::lock_guard<std::mutex> lock(mutex_);
-  ++unanswered_;
+  ++unanswered_requests_;
   return settings_.self.entry + "-" + settings_.self.incarnation + "-" +
-         std::to_string(next_request_++);
+         std::to_string(next_request_number_++);
 }
 
-void RequestManager::Impl::Acquire(const ExchangePtr& exchange) {
-  auto admit = [self = shared_from_this(), exchange] {
+void RequestManager::Impl::AcquireClaim(const ExchangePtr& exchange) {
+  auto check_admission = [self = shared_from_this(), exchange] {
     return self->dispatcher_.CheckAdmission(exchange->id, exchange->request,
                                             exchange->deadline);
   };
-  claims_.Acquire(exchange->request, exchange->deadline, std::move(admit),
+  claims_.Acquire(exchange->request, exchange->deadline,
+                  std::move(check_admission),
                   [self = shared_from_this(), exchange](ClaimVerdict verdict) {
                     self->HandleVerdict(exchange, std::move(verdict));
                   });
@@ -153,15 +155,16 @@
       Submit(exchange);
       return;
     case ClaimVerdictKind::kAnswered:
-      Answer(exchange, AnsweredResponse(exchange->id, verdict.answer),
-             kOutcomeAnswered);
+      Respond(exchange, AnsweredResponse(exchange->id, verdict.answer),
+              kOutcomeAnswered);
       return;
     case ClaimVerdictKind::kNotRun:
       RefuseUnclaimed(exchange, verdict);
       return;
     case ClaimVerdictKind::kUnknown:
-      Answer(exchange, UnknownResponse(exchange->id, kConflict, verdict.reason),
-             kOutcomeUnknown);
+      Respond(exchange,
+              UnknownResponse(exchange->id, kConflict, verdict.reason),
+              kOutcomeUnknown);
       return;
     case ClaimVerdictKind::kFault:
       Refuse(exchange, ToFault(verdict));
@@ -169,35 +172,35 @@
   }
 }
 
-void RequestManager::Impl::RefuseForNow(const ExchangePtr& exchange,
-                                        const std::string& reason) {
+void RequestManager::Impl::RefuseUntilReady(const ExchangePtr& exchange,
+                                            const std::string& reason) {
   if (exchange->request.idempotent()) {
-    Answer(exchange, NotRunResponse(exchange->id, reason, kRetryWithoutState),
-           kOutcomeNotRun);
+    Respond(exchange, NotRunResponse(exchange->id, reason, kRetryAfterNotReady),
+            kOutcomeNotRun);
     return;
   }
   ClaimVerdict verdict;
   verdict.kind = ClaimVerdictKind::kNotRun;
   verdict.reason = reason;
-  verdict.retry_after = kRetryWithoutState;
+  verdict.retry_after = kRetryAfterNotReady;
   RefuseUnclaimed(exchange, verdict);
 }
 
-// This request was not sent. But without a claim of its own in the log it is
-// not known whether an earlier request of the key was.
+// The request itself was not sent. But if it repeats an earlier one, that one
+// may have been sent: without a claim in the log this entry does not know.
 void RequestManager::Impl::RefuseUnclaimed(const ExchangePtr& exchange,
                                            const ClaimVerdict& verdict) {
   HttpResponse not_run =
       NotRunResponse(exchange->id, verdict.reason, verdict.retry_after);
   if (!exchange->request.idempotency_key->repeat) {
-    Answer(exchange, std::move(not_run), kOutcomeNotRun);
+    Respond(exchange, std::move(not_run), kOutcomeNotRun);
     return;
   }
   HttpResponse unknown = UnknownResponse(
       exchange->id, not_run.status,
       verdict.reason + "; an earlier request of the key may have run");
   unknown.headers.Set("Retry-After", not_run.headers.Value("Retry-After"));
-  Answer(exchange, std::move(unknown), kOutcomeUnknown);
+  Respond(exchange, std::move(unknown), kOutcomeUnknown);
 }
 
 void RequestManager::Impl::Submit(const ExchangePtr& exchange) {
@@ -213,52 +216,52 @@
              self->claims_.MaySend(claim_id);
     };
   }
-  dispatch.finished = [self = shared_from_this(),
-                       exchange](DispatchResult result) {
-    self->Finish(exchange, std::move(result));
+  dispatch.on_finished = [self = shared_from_this(),
+                          exchange](DispatchResult result) {
+    self->HandleResult(exchange, std::move(result));
   };
-  dispatch.settled = [self = shared_from_this(), exchange](
-                         const std::optional<UpstreamAnswer>& late_answer) {
-    self->Settle(exchange, late_answer);
+  dispatch.on_settled = [self = shared_from_this(), exchange](
+                            const std::optional<UpstreamAnswer>& late_answer) {
+    self->HandleSettled(exchange, late_answer);
   };
   dispatcher_.Submit(std::move(dispatch));
 }
 
-// The claim comes to its end before the caller is told, so that no "not run"
-// is out while the claim could still be sent.
-void RequestManager::Impl::Finish(const ExchangePtr& exchange,
-                                  DispatchResult result) {
+// The outcome of the claim is recorded before the caller is answered, so that
+// no caller gets "not run" while the request could still be sent.
+void RequestManager::Impl::HandleResult(const ExchangePtr& exchange,
+                                        DispatchResult result) {
   const bool claimed = !exchange->claim_id.empty();
   exchange->outcome = result.outcome;
   switch (result.outcome) {
     case RequestOutcome::kAnswered:
-      if (claimed) claims_.Answered(exchange->claim_id, result.answer);
-      Answer(exchange, AnsweredResponse(exchange->id, result.answer),
-             kOutcomeAnswered);
+      if (claimed) claims_.RecordAnswer(exchange->claim_id, result.answer);
+      Respond(exchange, AnsweredResponse(exchange->id, result.answer),
+              kOutcomeAnswered);
       return;
     case RequestOutcome::kNotRun:
-      if (claimed) claims_.NotSent(exchange->claim_id);
-      Answer(exchange,
-             NotRunResponse(exchange->id, result.reason, result.retry_after),
-             kOutcomeNotRun);
+      if (claimed) claims_.RecordNotSent(exchange->claim_id);
+      Respond(exchange,
+              NotRunResponse(exchange->id, result.reason, result.retry_after),
+              kOutcomeNotRun);
       return;
     case RequestOutcome::kUnknown:
-      Answer(exchange,
-             UnknownResponse(exchange->id, kGatewayTimeout, result.reason),
-             kOutcomeUnknown);
+      Respond(exchange,
+              UnknownResponse(exchange->id, kGatewayTimeout, result.reason),
+              kOutcomeUnknown);
       return;
   }
 }
 
-void RequestManager::Impl::Settle(
+void RequestManager::Impl::HandleSettled(
     const ExchangePtr& exchange,
     const std::optional<UpstreamAnswer>& late_answer) {
   if (exchange->claim_id.empty()) return;
   if (exchange->outcome != RequestOutcome::kUnknown) return;
   if (late_answer) {
-    claims_.Answered(exchange->claim_id, *late_answer);
+    claims_.RecordAnswer(exchange->claim_id, *late_answer);
   } else {
-    claims_.Unknown(exchange->claim_id);
+    claims_.RecordUnknownOutcome(exchange->claim_id);
   }
 }
 
@@ -267,11 +270,11 @@
   LogEvent(events::kRequestFault, {{"request", exchange->id},
                                    {"status", fault.status},
                                    {"reason", fault.detail}});
-  Answer(exchange, FaultResponse(exchange->id, fault), "refused");
+  Respond(exchange, FaultResponse(exchange->id, fault), "refused");
 }
 
-void RequestManager::Impl::Answer(const ExchangePtr& exchange,
-                                  HttpResponse response, const char* outcome) {
+void RequestManager::Impl::Respond(const ExchangePtr& exchange,
+                                   HttpResponse response, const char* outcome) {
   metrics_
       .counter("thornplank_requests_total", "Requests by their outcome.",
                {{"outcome", outcome}})
@@ -284,7 +287,7 @@
   HttpServer::Responder respond = std::move(exchange->respond);
   respond(std::move(response));
   std::lock_guard<std::mutex> lock(mutex_);
-  --unanswered_;
+  --unanswered_requests_;
 }
 
 void RequestManager::Impl::Start() {
@@ -335,32 +338,33 @@
   CheckDrained(std::chrono::steady_clock::now(), std::move(done));
 }
 
-void RequestManager::Impl::CheckDrained(Time begun,
+void RequestManager::Impl::CheckDrained(Time idle_since,
                                         std::function<void()> done) {
   const Time now = std::chrono::steady_clock::now();
-  const bool idle = in_flight() == 0 && dispatcher_.unsettled() == 0;
-  const bool recorded =
-      claims_.pending_records() == 0 || now >= begun + kMaxDrainForRecords;
+  const bool idle = in_flight() == 0 && dispatcher_.unsettled_count() == 0;
+  const bool recorded = claims_.pending_records() == 0 ||
+                        now >= idle_since + kMaxDrainForClaimRecords;
   if (idle && recorded) {
     boost::asio::post(io_, std::move(done));
     return;
   }
-  // The time for the last records counts from the last answer.
-  const Time next_begun = idle ? begun : now;
+  // The time limit for the remaining claim records starts when the last request
+  // has been settled.
+  const Time next_idle_since = idle ? idle_since : now;
   std::lock_guard<std::mutex> lock(mutex_);
   drain_timer_.expires_after(kDrainCheckInterval);
   drain_timer_.async_wait(
-      [weak = weak_from_this(), next_begun,
+      [weak = weak_from_this(), next_idle_since,
        done = std::move(done)](const boost::system::error_code& code) mutable {
         if (code) return;
         auto self = weak.lock();
-        if (self) self->CheckDrained(next_begun, std::move(done));
+        if (self) self->CheckDrained(next_idle_since, std::move(done));
       });
 }
 
 size_t RequestManager::Impl::in_flight() const {
   std::lock_guard<std::mutex> lock(mutex_);
-  return unanswered_;
+  return unanswered_requests_;
 }
 
 }  // namespace thornplank
--- a/src/libs/requests/request_manager_impl.h
+++ b/src/libs/requests/request_manager_impl.h
@@ -1,4 +1,5 @@
-// The inside of RequestManager: from a caller's HTTP request to its answer.
+// The implementation of RequestManager: validates a caller's HTTP request,
+// claims its idempotency key if it has one, dispatches it and responds.
 #ifndef THORNPLANK_REQUESTS_REQUEST_MANAGER_IMPL_H_
 #define THORNPLANK_REQUESTS_REQUEST_MANAGER_IMPL_H_
 
@@ -16,7 +17,7 @@
 #include "api/api_router.h"
 #include "metrics/metrics_registry.h"
 #include "requests/caller_request.h"
-#include "requests/claim_flow.h"
+#include "requests/claim_manager.h"
 #include "requests/demand_exchange.h"
 #include "requests/request_answer.h"
 #include "requests/request_dispatcher.h"
@@ -48,11 +49,12 @@
   void SetReachableEntries(const std::vector<ClaimHolder>& entries);
   void Drain(std::function<void()> done);
   size_t in_flight() const;
-  bool claims_ready() const { return claims_.ready(); }
-  int64_t next_claims_offset() const { return claims_.offset(); }
+  bool claims_ready() const { return claims_.caught_up(); }
+  int64_t next_claims_offset() const { return claims_.next_offset(); }
 
  private:
-  // One request of a caller.
+  // A caller's request until it is answered and, if it has a claim, until the
+  // claim's outcome is recorded.
   struct Exchange {
     std::string id;
     CallerRequest request;
@@ -65,49 +67,59 @@
   };
   using ExchangePtr = std::shared_ptr<Exchange>;
 
-  std::optional<CallerRequest> Read(const HttpRequest& request,
-                                    const Caller& caller,
-                                    const std::string& service,
-                                    bool names_known,
-                                    RequestFault* fault) const;
-  std::string MissingState() const;
+  // Validates the request. The account and the service are only checked when
+  // `names_known`, i.e. when this entry knows the accounts and services.
+  std::optional<CallerRequest> ReadRequest(const HttpRequest& request,
+                                           const Caller& caller,
+                                           const std::string& service,
+                                           bool names_known,
+                                           RequestFault* fault) const;
+  // Why this entry cannot judge or route requests yet; "" when it can.
+  std::string DescribeMissingState() const;
   std::optional<RequestFault> CheckNames(const std::string& account,
                                          const std::string& service) const;
-  std::string NextRequestId();
-  void Acquire(const ExchangePtr& exchange);
+  // Counts a new request as unanswered and returns its id.
+  std::string BeginRequest();
+  void AcquireClaim(const ExchangePtr& exchange);
   void HandleVerdict(const ExchangePtr& exchange, ClaimVerdict verdict);
-  void RefuseForNow(const ExchangePtr& exchange, const std::string& reason);
+  // Refuses the request as not run because this entry lacks state; `reason`
+  // says which.
+  void RefuseUntilReady(const ExchangePtr& exchange, const std::string& reason);
+  // Refuses a non-idempotent request for which no claim was won.
   void RefuseUnclaimed(const ExchangePtr& exchange,
                        const ClaimVerdict& verdict);
   void Submit(const ExchangePtr& exchange);
-  void Finish(const ExchangePtr& exchange, DispatchResult result);
-  void Settle(const ExchangePtr& exchange,
-              const std::optional<UpstreamAnswer>& late_answer);
+  void HandleResult(const ExchangePtr& exchange, DispatchResult result);
+  // Records the outcome of the claim of a request that ended with kUnknown,
+  // once no attempt is in flight any more.
+  void HandleSettled(const ExchangePtr& exchange,
+                     const std::optional<UpstreamAnswer>& late_answer);
   void Refuse(const ExchangePtr& exchange, const RequestFault& fault);
-  void Answer(const ExchangePtr& exchange, HttpResponse response,
-              const char* outcome);
-  void CheckDrained(Time begun, std::function<void()> done);
+  void Respond(const ExchangePtr& exchange, HttpResponse response,
+               const char* outcome);
+  // Posts `done` if everything is drained, else checks again later. Since
+  // `idle_since`, at the latest, all requests have been settled.
+  void CheckDrained(Time idle_since, std::function<void()> done);
 
   boost::asio::io_context& io_;
   const RequestManagerSettings settings_;
   MetricsRegistry& metrics_;
   PeerMesh* const mesh_;
   RequestDispatcher dispatcher_;
-  ClaimFlow claims_;
-  // Null without a mesh.
+  ClaimManager claims_;
+  // Null when mesh_ is null.
   std::unique_ptr<DemandExchange> demand_;
 
-  // Guards everything below; no other lock is taken while it is held.
+  // Guards the members below; no other lock is taken while it is held.
   mutable std::mutex mutex_;
   std::set<std::string> accounts_;
-  // Accounts have been set once.
+  // Whether SetAccounts has been called.
   bool accounts_known_ = false;
-  // Every service that an executor ever had: one whose executors are all gone
-  // is not unknown.
+  // Every service that has ever had an executor. A service whose executors are
+  // all gone stays known.
   std::set<std::string> services_;
-  uint64_t next_request_ = 1;
-  // Exchanges without an answer.
-  size_t unanswered_ = 0;
+  uint64_t next_request_number_ = 1;
+  size_t unanswered_requests_ = 0;
   boost::asio::steady_timer drain_timer_;
 };
 
--- a/src/libs/requests/routing_log.cc
+++ b/src/libs/requests/routing_log.cc
@@ -1,4 +1,4 @@
-// Log lines of routing decisions.
+// Log events for routing decisions.
 #include "requests/routing_log.h"
 
 #include <variant>
@@ -13,7 +13,8 @@
   return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
-// One overload for each action; FinishAnswered is no decision of its own.
+// One overload for each action. FinishAnswered is not logged: it follows from
+// the executor's answer and is not a decision of the router.
 struct ActionLogger {
   void operator()(const SendAttempt& action) const {
     LogEvent(
@@ -64,7 +65,7 @@
   std::visit(ActionLogger(), action);
 }
 
-void LogAttemptEnd(const SendAttempt& action, const AttemptReport& report) {
+void LogFailedAttempt(const SendAttempt& action, const AttemptReport& report) {
   if (report.result.outcome != AttemptOutcome::kNotSent &&
       report.result.outcome != AttemptOutcome::kUnknown) {
     return;
--- a/src/libs/requests/routing_log.h
+++ b/src/libs/requests/routing_log.h
@@ -1,4 +1,4 @@
-// One log line for each decision of the request router.
+// Log events for the decisions of the request router and for failed attempts.
 #ifndef THORNPLANK_REQUESTS_ROUTING_LOG_H_
 #define THORNPLANK_REQUESTS_ROUTING_LOG_H_
 
@@ -9,8 +9,9 @@
 
 void LogRoutingAction(const RoutingAction& action);
 
-// Only for attempts without an answer, with the step and peer of the failure.
-void LogAttemptEnd(const SendAttempt& action, const AttemptReport& report);
+// Logs an attempt that got no response, with the step and peer of the failure;
+// does nothing for other attempts.
+void LogFailedAttempt(const SendAttempt& action, const AttemptReport& report);
 
 }  // namespace thornplank
 
--- a/tests/auto/requests/request_fixture.h
+++ b/tests/auto/requests/request_fixture.h
@@ -64,7 +64,7 @@
     settings.claim_writer.min_interval = Milliseconds(1);
     settings.claim_follower.retry_delay = Milliseconds(2);
     settings.claim_follower.max_retry_delay = Milliseconds(20);
-    settings.claim_log_silence = Milliseconds(300);
+    settings.claim_log_timeout = Milliseconds(300);
     manager = std::make_unique<RequestManager>(io, http, mesh.get(), log,
                                                metrics, settings);
     manager->RegisterRoutes(router);
--- a/tests/auto/requests/tst_claim_stream.cc
+++ b/tests/auto/requests/tst_claim_stream.cc
@@ -40,7 +40,7 @@
     record.claim_id = "claim-1";
     const Time deadline = std::chrono::steady_clock::now() + Milliseconds(300);
     stream.AppendClaim(record, deadline, [&] { not_appended = true; });
-    REQUIRE(WaitUntil([&] { return stream.pending() == 0; }));
+    REQUIRE(WaitUntil([&] { return stream.pending_records() == 0; }));
     // The callback runs right after the record has stopped to count.
     if (c.not_appended) {
       CHECK(WaitUntil([&] { return not_appended.load(); }));
