--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -15,7 +15,7 @@
 #include "coordination/caller_service.h"
 #include "coordination/cluster_coordinator.h"
 #include "coordination/cluster_gauges.h"
-#include "coordination/entry_roll.h"
+#include "coordination/entry_registration.h"
 #include "coordination/job_board.h"
 #include "coordination/metered_record_store.h"
 #include "coordination/metered_worker_calls.h"
@@ -224,8 +224,8 @@
     return settings;
   }
 
-  EntryRollSettings RollSettings() const {
-    EntryRollSettings settings;
+  EntryRegistrationSettings RollSettings() const {
+    EntryRegistrationSettings settings;
     settings.board = {kJobStream, kBoardPartition};
     settings.instance = settings_.name;
     settings.address = settings_.listen_entries;
@@ -440,7 +440,7 @@
   std::optional<ServingConfiguration> configuration_;
   ClosedDomains closed_domains_;
   EntryClient entry_client_;
-  EntryRoll roll_;
+  EntryRegistration roll_;
   OutlookSurvey survey_;
   StreamContact board_contact_{"board"};
   StreamContact configuration_contact_{"configuration"};
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "coordination/cluster_coordinator.h"
-#include "coordination/entry_roll.h"
+#include "coordination/entry_registration.h"
 #include "logging/events/coordination_events.h"
 
 namespace thornplank {
@@ -409,7 +409,7 @@
     }
   }
   for (const auto& [instance, entry] : surroundings_.board->entries()) {
-    if (wall_now - entry.written < kEntryRecordLasts) continue;
+    if (wall_now - entry.written < kEntryRecordTtl) continue;
     records.push_back(JobBoard::Entry(instance, std::nullopt));
   }
   if (!records.empty()) board_writer_->Write(std::move(records), nullptr);
--- a/src/libs/coordination/entry_roll.cc
+++ b/src/libs/coordination/entry_registration.cc
@@ -1,5 +1,5 @@
 // One append when the record is missing, another address, or old.
-#include "coordination/entry_roll.h"
+#include "coordination/entry_registration.h"
 
 #include <boost/asio/io_context.hpp>
 #include <random>
@@ -7,14 +7,15 @@
 
 namespace thornplank {
 
-EntryRoll::EntryRoll(boost::asio::io_context& io, RecordStore& store,
-                     const JobBoard& board, EntryRollSettings settings)
+EntryRegistration::EntryRegistration(boost::asio::io_context& io,
+                                     RecordStore& store, const JobBoard& board,
+                                     EntryRegistrationSettings settings)
     : store_(store),
       board_(board),
       settings_(std::move(settings)),
       timer_(io) {}
 
-void EntryRoll::OnCurrent() {
+void EntryRegistration::OnCurrent() {
   if (started_ || settings_.address.empty()) return;
   started_ = true;
   std::mt19937 random(settings_.seed);
@@ -22,14 +23,14 @@
   LookAfter(Milliseconds(delay(random)));
 }
 
-void EntryRoll::LookAfter(Milliseconds delay) {
+void EntryRegistration::LookAfter(Milliseconds delay) {
   timer_.expires_after(delay);
   timer_.async_wait([this](const boost::system::error_code& code) {
     if (!code) Look();
   });
 }
 
-bool EntryRoll::IsRecorded() const {
+bool EntryRegistration::IsRecorded() const {
   const auto record = board_.entries().find(settings_.instance);
   if (record == board_.entries().end()) return false;
   if (record->second.address != settings_.address) return false;
@@ -37,7 +38,7 @@
   return age < settings_.refresh && age > -settings_.refresh;
 }
 
-void EntryRoll::Look() {
+void EntryRegistration::Look() {
   LookAfter(settings_.interval);
   if (IsRecorded()) return;
   AppendRequest request;
@@ -49,7 +50,7 @@
   store_.Append(request, settings_.timeout, [](const AppendResult&) {});
 }
 
-std::vector<std::string> EntryRoll::OtherAddresses() const {
+std::vector<std::string> EntryRegistration::OtherAddresses() const {
   std::vector<std::string> addresses;
   for (const auto& [instance, record] : board_.entries()) {
     if (instance == settings_.instance) continue;
--- a/src/libs/coordination/entry_roll.h
+++ b/src/libs/coordination/entry_registration.h
@@ -2,8 +2,8 @@
 //
 // It is written anew from time to time, and when it is gone: the leader drops
 // records that nobody has written for long, since instances come and go.
-#ifndef THORNPLANK_COORDINATION_ENTRY_ROLL_H_
-#define THORNPLANK_COORDINATION_ENTRY_ROLL_H_
+#ifndef THORNPLANK_COORDINATION_ENTRY_REGISTRATION_H_
+#define THORNPLANK_COORDINATION_ENTRY_REGISTRATION_H_
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace thornplank {
 
-struct EntryRollSettings {
+struct EntryRegistrationSettings {
   Partition board;
   // This instance, and where it answers the other entries; empty: it does not.
   std::string instance;
@@ -38,13 +38,13 @@
 };
 
 // A record that is older is its instance's last.
-inline constexpr std::chrono::minutes kEntryRecordLasts{15};
+inline constexpr std::chrono::minutes kEntryRecordTtl{15};
 
-class EntryRoll {
+class EntryRegistration {
  public:
   // `store` and `board` outlive this object.
-  EntryRoll(boost::asio::io_context& io, RecordStore& store,
-            const JobBoard& board, EntryRollSettings settings);
+  EntryRegistration(boost::asio::io_context& io, RecordStore& store,
+                    const JobBoard& board, EntryRegistrationSettings settings);
 
   // The board was read up to its end.
   void OnCurrent();
@@ -59,11 +59,11 @@
 
   RecordStore& store_;
   const JobBoard& board_;
-  const EntryRollSettings settings_;
+  const EntryRegistrationSettings settings_;
   boost::asio::steady_timer timer_;
   bool started_ = false;
 };
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_COORDINATION_ENTRY_ROLL_H_
+#endif  // THORNPLANK_COORDINATION_ENTRY_REGISTRATION_H_
