--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -267,7 +267,7 @@
       coordinator_.OnBoardContact(board_tail_.latency());
       if (board_contact_.OnContact(board_tail_.next())) WakeStreams();
       survey_.OnReached();
-      roll_.OnCurrent();
+      roll_.OnBoardCaughtUp();
     };
     handlers.on_failure = [this](const Error& error) {
       board_contact_.OnFailure(error);
--- a/src/libs/coordination/entry_registration.cc
+++ b/src/libs/coordination/entry_registration.cc
@@ -15,7 +15,7 @@
       settings_(std::move(settings)),
       timer_(io) {}
 
-void EntryRegistration::OnCurrent() {
+void EntryRegistration::OnBoardCaughtUp() {
   if (started_ || settings_.address.empty()) return;
   started_ = true;
   std::mt19937 random(settings_.seed);
--- a/src/libs/coordination/entry_registration.h
+++ b/src/libs/coordination/entry_registration.h
@@ -47,7 +47,7 @@
                     const JobBoard& board, EntryRegistrationSettings settings);
 
   // The board was read up to its end.
-  void OnCurrent();
+  void OnBoardCaughtUp();
 
   // Where the other entries answer.
   std::vector<std::string> OtherAddresses() const;
