--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -128,7 +128,7 @@
         entry_client_(client_),
         roll_(io, store_, board_, RollSettings()),
         survey_(io, entry_client_, SurveySettings(),
-                [this] { return roll_.OtherAddresses(); }),
+                [this] { return roll_.PeerAddresses(); }),
         board_tail_(io, store_, BoardTail(), BoardHandlers()),
         configuration_tail_(io, store_, ConfigurationTail(),
                             ConfigurationHandlers()),
--- a/src/libs/coordination/entry_registration.cc
+++ b/src/libs/coordination/entry_registration.cc
@@ -50,7 +50,7 @@
   store_.Append(request, settings_.timeout, [](const AppendResult&) {});
 }
 
-std::vector<std::string> EntryRegistration::OtherAddresses() const {
+std::vector<std::string> EntryRegistration::PeerAddresses() const {
   std::vector<std::string> addresses;
   for (const auto& [instance, record] : board_.entries()) {
     if (instance == settings_.instance) continue;
--- a/src/libs/coordination/entry_registration.h
+++ b/src/libs/coordination/entry_registration.h
@@ -50,7 +50,7 @@
   void OnBoardCaughtUp();
 
   // Where the other entries answer.
-  std::vector<std::string> OtherAddresses() const;
+  std::vector<std::string> PeerAddresses() const;
 
  private:
   void LookAfter(Milliseconds delay);
