--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -362,8 +362,8 @@
     return settings;
   }
 
-  CallerService::Surroundings CallerSurroundings() {
-    CallerService::Surroundings surroundings;
+  CallerService::Dependencies CallerSurroundings() {
+    CallerService::Dependencies surroundings;
     surroundings.configuration = [this]() -> const ServingConfiguration* {
       return configuration_ ? &*configuration_ : nullptr;
     };
@@ -388,8 +388,8 @@
     return settings;
   }
 
-  ClusterCoordinator::Surroundings CoordinatorSurroundings() {
-    ClusterCoordinator::Surroundings surroundings;
+  ClusterCoordinator::Dependencies CoordinatorSurroundings() {
+    ClusterCoordinator::Dependencies surroundings;
     surroundings.board = &board_;
     surroundings.configuration = [this]() -> const ServingConfiguration& {
       static const ServingConfiguration kNone;
--- a/src/libs/coordination/caller_service.cc
+++ b/src/libs/coordination/caller_service.cc
@@ -66,13 +66,13 @@
 CallerService::CallerService(boost::asio::io_context& io, RecordStore& store,
                              const Formats& formats,
                              CallerServiceSettings settings,
-                             Surroundings surroundings,
+                             Dependencies dependencies,
                              MetricsRegistry& metrics)
     : io_(io),
       store_(store),
       formats_(formats),
       settings_(std::move(settings)),
-      surroundings_(std::move(surroundings)),
+      dependencies_(std::move(dependencies)),
       metrics_(metrics),
       accepted_(metrics.counter("thornplank_jobs_accepted_total",
                                 "Submissions that were stored.")),
@@ -85,18 +85,18 @@
 CallerService::~CallerService() { *alive_ = false; }
 
 bool CallerService::IsStoreFresh() const {
-  return surroundings_.board_tail->started() &&
-         BootClock::now() - surroundings_.board_tail->as_of() <
+  return dependencies_.board_tail->started() &&
+         BootClock::now() - dependencies_.board_tail->as_of() <
              settings_.store_age;
 }
 
 bool CallerService::ready() const {
-  return surroundings_.configuration() != nullptr && IsStoreFresh() &&
-         !surroundings_.served_elsewhere();
+  return dependencies_.configuration() != nullptr && IsStoreFresh() &&
+         !dependencies_.served_elsewhere();
 }
 
 bool CallerService::RefuseForAnother(const std::shared_ptr<Call>& call) {
-  if (!surroundings_.served_elsewhere()) return false;
+  if (!dependencies_.served_elsewhere()) return false;
   Refuse(call, kStoreAway);
   return true;
 }
@@ -106,7 +106,7 @@
   call->begun = std::chrono::steady_clock::now();
   call->request = std::move(request);
   call->respond = std::move(respond);
-  const ServingConfiguration* configuration = surroundings_.configuration();
+  const ServingConfiguration* configuration = dependencies_.configuration();
   if (configuration == nullptr) {
     return Refuse(call, kNotConfigured);
   }
@@ -122,7 +122,7 @@
   call->queue = *queue;
   call->job = path.substr(queue->prefix.size());
   if (!queue->is_public) {
-    const auto age = BootClock::now() - surroundings_.configuration_as_of();
+    const auto age = BootClock::now() - dependencies_.configuration_as_of();
     if (age > settings_.configuration_age) {
       return Refuse(call, kKeysUnconfirmed);
     }
@@ -149,7 +149,7 @@
 }
 
 void CallerService::Submit(const std::shared_ptr<Call>& call) {
-  if (surroundings_.board->Find(call->job) != nullptr) {
+  if (dependencies_.board->Find(call->job) != nullptr) {
     return Respond(call, HttpResponse());
   }
   Error error;
@@ -189,7 +189,7 @@
 
 void CallerService::ShowState(const std::shared_ptr<Call>& call,
                               bool caught_up) {
-  const BoardJob* job = surroundings_.board->Find(call->job);
+  const BoardJob* job = dependencies_.board->Find(call->job);
   if (job == nullptr && !caught_up) {
     return CatchUp(call, &CallerService::ShowState);
   }
@@ -205,7 +205,7 @@
 }
 
 void CallerService::Cancel(const std::shared_ptr<Call>& call, bool caught_up) {
-  const BoardJob* job = surroundings_.board->Find(call->job);
+  const BoardJob* job = dependencies_.board->Find(call->job);
   if (job == nullptr && !caught_up) {
     return CatchUp(call, &CallerService::Cancel);
   }
@@ -227,7 +227,7 @@
     const std::shared_ptr<Call>& call,
     void (CallerService::*then)(const std::shared_ptr<Call>&, bool)) {
   if (RefuseForAnother(call)) return;
-  surroundings_.board_tail->CatchUp(
+  dependencies_.board_tail->CatchUp(
       settings_.catch_up_timeout,
       [this, alive = alive_, call, then](bool caught_up) {
         if (!*alive) return;
@@ -237,7 +237,7 @@
 }
 
 bool CallerService::IsViewOld() const {
-  return BootClock::now() - surroundings_.board_tail->as_of() >
+  return BootClock::now() - dependencies_.board_tail->as_of() >
          settings_.state_age;
 }
 
@@ -245,11 +245,11 @@
 // entry may have shown the job's end already.
 void CallerService::LookAgain(const std::shared_ptr<Call>& call) {
   if (RefuseForAnother(call)) return;
-  const Duration latency = surroundings_.board_tail->latency();
+  const Duration latency = dependencies_.board_tail->latency();
   const auto timeout =
       settings_.look_timeout +
       std::chrono::duration_cast<Milliseconds>(latency) * kLookLatencies;
-  surroundings_.board_tail->CatchUp(
+  dependencies_.board_tail->CatchUp(
       timeout, [this, alive = alive_, call](bool caught_up) {
         if (!*alive) return;
         if (!caught_up) return Refuse(call, kStoreAway);
@@ -259,7 +259,7 @@
 
 void CallerService::ShowQueue(const std::shared_ptr<Call>& call) {
   if (!IsStoreFresh()) return Refuse(call, kStoreAway);
-  Respond(call, formats_.QueueLengthResponse(surroundings_.board->WaitingJobs(
+  Respond(call, formats_.QueueLengthResponse(dependencies_.board->WaitingJobs(
                     call->queue.policy.queue)));
 }
 
@@ -326,9 +326,9 @@
                    {"reason", reason},
                    {"configuration", call->configuration_version},
                    {"configuration_age_ms",
-                    AgeInMilliseconds(surroundings_.configuration_as_of())},
+                    AgeInMilliseconds(dependencies_.configuration_as_of())},
                    {"board_age_ms",
-                    AgeInMilliseconds(surroundings_.board_tail->as_of())}});
+                    AgeInMilliseconds(dependencies_.board_tail->as_of())}});
   metrics_
       .counter("thornplank_refusals_total",
                "Calls that were not served, by cause.",
@@ -337,7 +337,7 @@
   HttpResponse response =
       ProblemResponse(refusal.status, {"answer", call->request.remote, reason});
   if (refusal.status == kUnavailable) {
-    const auto wait = surroundings_.served_elsewhere() ? std::chrono::seconds(0)
+    const auto wait = dependencies_.served_elsewhere() ? std::chrono::seconds(0)
                                                        : settings_.retry_after;
     response.headers.Set("Retry-After", std::to_string(wait.count()));
   }
--- a/src/libs/coordination/caller_service.h
+++ b/src/libs/coordination/caller_service.h
@@ -50,7 +50,7 @@
 
 class CallerService {
  public:
-  struct Surroundings {
+  struct Dependencies {
     // Null before the first configuration.
     std::function<const ServingConfiguration*()> configuration;
     std::function<BootTime()> configuration_as_of;
@@ -69,7 +69,7 @@
 
   CallerService(boost::asio::io_context& io, RecordStore& store,
                 const Formats& formats, CallerServiceSettings settings,
-                Surroundings surroundings, MetricsRegistry& metrics);
+                Dependencies dependencies, MetricsRegistry& metrics);
   ~CallerService();
 
   void Handle(HttpRequest request, HttpServer::Responder respond);
@@ -110,7 +110,7 @@
   RecordStore& store_;
   const Formats& formats_;
   CallerServiceSettings settings_;
-  const Surroundings surroundings_;
+  const Dependencies dependencies_;
   MetricsRegistry& metrics_;
   Counter& accepted_;
   Counter& cancelled_;
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -43,14 +43,14 @@
                                        RecordStore& store, WorkerCalls& calls,
                                        const Formats& formats,
                                        ClusterCoordinatorSettings settings,
-                                       Surroundings surroundings,
+                                       Dependencies dependencies,
                                        MetricsRegistry& metrics)
     : io_(io),
       store_(store),
       calls_(calls),
       formats_(formats),
       settings_(std::move(settings)),
-      surroundings_(std::move(surroundings)),
+      dependencies_(std::move(dependencies)),
       first_sequence_(FirstSequence(settings_.holder)),
       election_(LeaderElectionSettings(), settings_.holder, settings_.rank),
       planner_(PlanningFor(settings_)),
@@ -67,7 +67,7 @@
 void ClusterCoordinator::OnTick() {
   const Time now = Now();
   if (phase_ == Phase::kFollowing && !released_ && now >= next_claim_ &&
-      election_.ShouldClaim(surroundings_.board->leader(), now)) {
+      election_.ShouldClaim(dependencies_.board->leader(), now)) {
     Claim();
   }
   if (phase_ == Phase::kLeading) {
@@ -94,7 +94,7 @@
 
 void ClusterCoordinator::OnDomainsChanged() {
   if (!fleet_) return;
-  fleet_->CloseDomains(surroundings_.closed_domains());
+  fleet_->CloseDomains(dependencies_.closed_domains());
   SchedulePlanning();
 }
 
@@ -105,7 +105,7 @@
 void ClusterCoordinator::OnBoardChange(const BoardChange& change) {
   switch (change.kind) {
     case BoardChange::Kind::kLeader: {
-      const LeaderRecord& leader = surroundings_.board->leader();
+      const LeaderRecord& leader = dependencies_.board->leader();
       election_.OnLeaderRecord(leader, Now());
       TellLeader(leader);
       const bool mine = leader.holder == settings_.holder;
@@ -141,7 +141,7 @@
   LogEvent(events::kLeaderSeen, {{"holder", leader.holder},
                                  {"epoch", leader.epoch},
                                  {"released", leader.released},
-                                 {"board_next", surroundings_.board_next()}});
+                                 {"board_next", dependencies_.board_next()}});
 }
 
 // A claim is stored only if the board still ends where this entry has read to,
@@ -149,12 +149,12 @@
 // read a busy board too seldom for that: the board is read just before.
 void ClusterCoordinator::Claim() {
   phase_ = Phase::kClaiming;
-  surroundings_.refresh_board([this, generation = generation_,
+  dependencies_.refresh_board([this, generation = generation_,
                                current = *generation_](bool current_view) {
     if (*generation != current || phase_ != Phase::kClaiming) return;
     const bool vacant =
         current_view && !released_ &&
-        election_.ShouldClaim(surroundings_.board->leader(), Now());
+        election_.ShouldClaim(dependencies_.board->leader(), Now());
     if (vacant) return SendClaim();
     phase_ = Phase::kFollowing;
     if (!current_view) next_claim_ = Now() + kClaimRetry;
@@ -162,12 +162,12 @@
 }
 
 void ClusterCoordinator::SendClaim() {
-  const int64_t epoch = surroundings_.board->leader().epoch + 1;
+  const int64_t epoch = dependencies_.board->leader().epoch + 1;
   claimed_epoch_ = epoch;
   AppendRequest request;
   request.partition = settings_.board;
   request.records = {JobBoard::Leader({settings_.holder, epoch, false})};
-  request.expected_end = surroundings_.board_next();
+  request.expected_end = dependencies_.board_next();
   request.producer = ProducerPosition{kProducer, epoch, first_sequence_};
   LogEvent(events::kLeadClaimed,
            {{"epoch", epoch}, {"expected_end", *request.expected_end}});
@@ -188,7 +188,7 @@
   // An unknown claim that was stored shows in the board, and so does the one
   // that was faster.
   next_claim_ = Now() + kClaimRetry;
-  surroundings_.refresh_board([](bool) {});
+  dependencies_.refresh_board([](bool) {});
 }
 
 void ClusterCoordinator::BeginLead(int64_t epoch) {
@@ -286,7 +286,7 @@
   handlers.profile_of = [this](const TaskRef& task) { return ProfileOf(task); };
   handlers.is_known = [this](const std::string& service) {
     // Before the first configuration nothing can be told a stray.
-    const ServingConfiguration& configuration = surroundings_.configuration();
+    const ServingConfiguration& configuration = dependencies_.configuration();
     return configuration.queues.empty() || configuration.KnowsService(service);
   };
   handlers.on_ticket_refused = [this](const StepRef& step,
@@ -298,8 +298,8 @@
     ScheduleStepDown("a worker obeys a higher epoch");
   };
   fleet_ = std::make_unique<WorkerFleet>(calls_, formats_, fleet, handlers);
-  fleet_->CloseDomains(surroundings_.closed_domains());
-  advice_ = std::make_unique<AdviceDesk>(surroundings_.advisor,
+  fleet_->CloseDomains(dependencies_.closed_domains());
+  advice_ = std::make_unique<AdviceDesk>(dependencies_.advisor,
                                          [this] { SchedulePlanning(); });
 
   phase_ = Phase::kLeading;
@@ -309,7 +309,7 @@
   begun_jobs_.clear();
   published_ends_.clear();
   finished_.clear();
-  for (const auto& [id, job] : surroundings_.board->jobs()) {
+  for (const auto& [id, job] : dependencies_.board->jobs()) {
     AdoptJob(id);
   }
   const Time now = Now();
@@ -319,7 +319,7 @@
       stored_blocks_.insert({ref, number});
     }
     // An ended job whose runs are not settled is still needed for them.
-    const BoardJob* job = surroundings_.board->Find(ref.job);
+    const BoardJob* job = dependencies_.board->Find(ref.job);
     if (job == nullptr) continue;
     if (ledger_.Find(ref.job) == nullptr) ledger_.Add(*job->spec, now);
     if (!ledger_.Restore(ref, blocks)) {
@@ -331,7 +331,7 @@
     ++inherited;
   }
   for (const auto& [ref, blocks] : loaded_) {
-    const BoardJob* job = surroundings_.board->Find(ref.job);
+    const BoardJob* job = dependencies_.board->Find(ref.job);
     if (job == nullptr) continue;
     ledger_.AdoptState(ref.job, job->published);
     if (job->cancelled) ledger_.Cancel(ref.job);
@@ -339,7 +339,7 @@
   }
   loaded_.clear();
   LogEvent(events::kLeadTaken, {{"epoch", epoch_},
-                                {"board_next", surroundings_.board_next()},
+                                {"board_next", dependencies_.board_next()},
                                 {"jobs", ledger_.jobs().size()},
                                 {"steps", inherited}});
   WriteHeartbeat(/*released=*/false, nullptr);
@@ -370,7 +370,7 @@
 
 // Takes over from the board what it says of a job.
 void ClusterCoordinator::AdoptJob(const std::string& id) {
-  const BoardJob* job = surroundings_.board->Find(id);
+  const BoardJob* job = dependencies_.board->Find(id);
   if (job == nullptr) return;
   if (ledger_.Find(id) == nullptr) {
     if (IsTerminal(job->published) || finished_.count(id) > 0) return;
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -65,7 +65,7 @@
 class ClusterCoordinator {
  public:
   // What it needs of the entry that it runs in.
-  struct Surroundings {
+  struct Dependencies {
     const JobBoard* board = nullptr;
     std::function<const ServingConfiguration&()> configuration;
     // Failure domains that take no new work.
@@ -83,7 +83,7 @@
   ClusterCoordinator(boost::asio::io_context& io, RecordStore& store,
                      WorkerCalls& calls, const Formats& formats,
                      ClusterCoordinatorSettings settings,
-                     Surroundings surroundings, MetricsRegistry& metrics);
+                     Dependencies dependencies, MetricsRegistry& metrics);
   ~ClusterCoordinator();
 
   void Start();
@@ -156,7 +156,7 @@
   WorkerCalls& calls_;
   const Formats& formats_;
   const ClusterCoordinatorSettings settings_;
-  const Surroundings surroundings_;
+  const Dependencies dependencies_;
   // Of a claim; the writers go on behind it.
   const int64_t first_sequence_;
   LeaderElection election_;
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -40,12 +40,12 @@
   PublishEnds();
   // One record at a time: what is not stored cannot be started.
   if (!progress_writer_->idle()) return;
-  const auto age = BootClock::now() - surroundings_.board_as_of();
+  const auto age = BootClock::now() - dependencies_.board_as_of();
   const bool informed = age <= settings_.bounds.board_age() && !released_ &&
                         directory_->started();
   if (informed) {
     const Time now = Now();
-    const Guarantees guarantees = surroundings_.configuration().guarantees();
+    const Guarantees guarantees = dependencies_.configuration().guarantees();
     PlanInputs inputs;
     inputs.ledger = &ledger_;
     inputs.workers = &fleet_->trackers();
@@ -114,8 +114,8 @@
             {"accelerators", spec->need.accelerators},
             {"estimate_ms", spec->estimate.count()},
             {"epoch", epoch_},
-            {"board_next", surroundings_.board_next()},
-            {"configuration", surroundings_.configuration().version}});
+            {"board_next", dependencies_.board_next()},
+            {"configuration", dependencies_.configuration().version}});
 }
 
 void ClusterCoordinator::TellWaits(const std::vector<WaitDecision>& waits) {
@@ -132,7 +132,7 @@
                                   {"tasks", progress->waiting},
                                   {"priority", job->spec.policy.priority},
                                   {"epoch", epoch_},
-                                  {"board_next", surroundings_.board_next()}});
+                                  {"board_next", dependencies_.board_next()}});
   }
   told_waits_ = std::move(told);
 }
@@ -401,14 +401,14 @@
   last_cleanup_ = now;
   const WallTime wall_now = std::chrono::system_clock::now();
   std::vector<KeyedRecord> records;
-  for (const auto& [id, job] : surroundings_.board->jobs()) {
+  for (const auto& [id, job] : dependencies_.board->jobs()) {
     if (!IsTerminal(job.published)) continue;
     if (wall_now - job.ended < settings_.state_kept) continue;
     for (KeyedRecord& record : JobBoard::Drop(id, job)) {
       records.push_back(std::move(record));
     }
   }
-  for (const auto& [instance, entry] : surroundings_.board->entries()) {
+  for (const auto& [instance, entry] : dependencies_.board->entries()) {
     if (wall_now - entry.written < kEntryRecordTtl) continue;
     records.push_back(JobBoard::Entry(instance, std::nullopt));
   }
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -77,7 +77,7 @@
         FakeWorkerCalls& calls, const std::string& name, Milliseconds pace)
       : tail_(io, store, TailSettings(pace), Handlers()),
         coordinator_(io, store, calls, formats_, CoordinatorSettings(name),
-                     Surroundings(), metrics_) {
+                     Dependencies(), metrics_) {
     tail_.Start();
     coordinator_.Start();
   }
@@ -115,22 +115,22 @@
     handlers.on_failure = [](const Error&) {};
     return handlers;
   }
-  ClusterCoordinator::Surroundings Surroundings() {
-    ClusterCoordinator::Surroundings surroundings;
-    surroundings.board = &board_;
-    surroundings.configuration = [this]() -> const ServingConfiguration& {
+  ClusterCoordinator::Dependencies Dependencies() {
+    ClusterCoordinator::Dependencies dependencies;
+    dependencies.board = &board_;
+    dependencies.configuration = [this]() -> const ServingConfiguration& {
       return configuration_;
     };
-    surroundings.closed_domains = []() -> const std::set<std::string>& {
+    dependencies.closed_domains = []() -> const std::set<std::string>& {
       static const std::set<std::string> kNone;
       return kNone;
     };
-    surroundings.board_next = [this] { return tail_.next(); };
-    surroundings.board_as_of = [this] { return tail_.as_of(); };
-    surroundings.refresh_board = [this](std::function<void(bool)> done) {
+    dependencies.board_next = [this] { return tail_.next(); };
+    dependencies.board_as_of = [this] { return tail_.as_of(); };
+    dependencies.refresh_board = [this](std::function<void(bool)> done) {
       tail_.CatchUp(Milliseconds(500), std::move(done));
     };
-    return surroundings;
+    return dependencies;
   }
 
   FakeFormats formats_;
