--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -260,7 +260,7 @@
       coordinator_.OnBoardChange(change);
     };
     handlers.on_snapshot = [](const std::set<std::string>&) {};
-    handlers.on_current = [this] {
+    handlers.on_caught_up = [this] {
       board_tail_.set_pace(coordinator_.leading() ? Milliseconds(0)
                                                   : kFollowerPace);
       SpreadRetries();
@@ -284,7 +284,7 @@
     handlers.on_snapshot = [this](const std::set<std::string>& keys) {
       TakeOperatorSnapshot(keys);
     };
-    handlers.on_current = [this] {
+    handlers.on_caught_up = [this] {
       if (configuration_contact_.OnContact(configuration_tail_.next())) {
         WakeStreams();
       }
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -355,7 +355,7 @@
     fleet_->OnDirectorySnapshot(ids, Now());
   };
   directory_contact_ = StreamContact("directory");
-  directory.on_current = [this] {
+  directory.on_caught_up = [this] {
     directory_contact_.OnContact(directory_->next());
     fleet_->OnDirectoryContact(Now());
   };
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -87,7 +87,7 @@
     started_ = true;
     lost_ = false;
     handlers_.on_snapshot(snapshot_keys_);
-    handlers_.on_current();
+    handlers_.on_caught_up();
     Poll();
   }
 
@@ -144,7 +144,7 @@
     lost_ = false;
     if (next_ < result.end) return;
     as_of_ = std::max(as_of_, begun);
-    handlers_.on_current();
+    handlers_.on_caught_up();
   }
 
   // A read has failed: how long to wait before the next.
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -39,7 +39,7 @@
     // The tail began anew; keys outside the set are gone.
     std::function<void(const std::set<std::string>&)> on_snapshot;
     // Everything that was stored when the read began has been handed over.
-    std::function<void()> on_current;
+    std::function<void()> on_caught_up;
     std::function<void(const Error&)> on_failure;
   };
 
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -109,7 +109,7 @@
       coordinator_.OnBoardChange(board_.Apply(record));
     };
     handlers.on_snapshot = [](const std::set<std::string>&) {};
-    handlers.on_current = [this] {
+    handlers.on_caught_up = [this] {
       coordinator_.OnBoardContact(tail_.latency());
     };
     handlers.on_failure = [](const Error&) {};
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -53,7 +53,7 @@
         if (keys.count(entry->first) == 0) values.erase(entry);
       }
     };
-    handlers.on_current = [] {};
+    handlers.on_caught_up = [] {};
     handlers.on_failure = [this](const Error&) { ++failures; };
     return handlers;
   }
