--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -298,8 +298,8 @@
   void SpreadRetries() {
     const auto longest = std::chrono::duration_cast<Milliseconds>(
         kRetryPerEntry * board_.entries().size());
-    board_tail_.set_longest_retry(longest);
-    configuration_tail_.set_longest_retry(longest);
+    board_tail_.set_max_retry_delay(longest);
+    configuration_tail_.set_max_retry_delay(longest);
   }
 
   // The store answers again: each stream that is lost yet is read at once,
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -48,8 +48,8 @@
   BootTime as_of() const { return as_of_; }
   Duration latency() const { return latency_; }
   void set_pace(Milliseconds pace) { settings_.pace = pace; }
-  void set_longest_retry(Milliseconds longest) {
-    settings_.longest_retry = longest;
+  void set_max_retry_delay(Milliseconds longest) {
+    settings_.max_retry_delay = longest;
   }
 
  private:
@@ -153,7 +153,7 @@
     if (!lost_) backoff_ = settings_.retry;
     lost_ = true;
     const Milliseconds longest =
-        std::max(settings_.retry, settings_.longest_retry);
+        std::max(settings_.retry, settings_.max_retry_delay);
     const Milliseconds delay = std::min(backoff_, longest);
     backoff_ = std::min(backoff_ * 2, longest);
     std::uniform_real_distribution<double> factor(1 - kJitter, 1 + kJitter);
@@ -204,8 +204,8 @@
 BootTime RecordTail::as_of() const { return impl_->as_of(); }
 Duration RecordTail::latency() const { return impl_->latency(); }
 void RecordTail::set_pace(Milliseconds pace) { impl_->set_pace(pace); }
-void RecordTail::set_longest_retry(Milliseconds longest) {
-  impl_->set_longest_retry(longest);
+void RecordTail::set_max_retry_delay(Milliseconds longest) {
+  impl_->set_max_retry_delay(longest);
 }
 
 }  // namespace thornplank
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -25,10 +25,10 @@
   // Between the starts of two reads; it bounds what a busy stream costs.
   Milliseconds pace{0};
   // After a failed read. Each further failure doubles it, up to
-  // `longest_retry`; a quarter more or less, drawn with `seed`, so that many
+  // `max_retry_delay`; a quarter more or less, drawn with `seed`, so that many
   // entries which lost the store at one moment don't come back to it together.
   Milliseconds retry{150};
-  Milliseconds longest_retry{1200};
+  Milliseconds max_retry_delay{1200};
   uint32_t seed = 0;
 };
 
@@ -65,7 +65,7 @@
   // How long the store takes to answer, beyond what a read waits for a record.
   Duration latency() const;
   void set_pace(Milliseconds pace);
-  void set_longest_retry(Milliseconds longest);
+  void set_max_retry_delay(Milliseconds longest);
 
  private:
   class Impl;
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -70,12 +70,12 @@
 }
 
 // Reads that fail at once in 300 ms, with the time that passes between two.
-int FailedReads(Milliseconds longest_retry) {
+int FailedReads(Milliseconds max_retry_delay) {
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Follower follower(io, store);
   REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
-  follower.tail().set_longest_retry(longest_retry);
+  follower.tail().set_max_retry_delay(max_retry_delay);
   store.up = false;
   store.refuses = true;
   const auto end = std::chrono::steady_clock::now() + Milliseconds(300);
