--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -219,7 +219,7 @@
     RecordTailSettings settings;
     settings.partition = {kJobStream, kBoardPartition};
     settings.wait = kBoardWait;
-    settings.pace = kFollowerPace;
+    settings.min_read_interval = kFollowerPace;
     settings.seed = SeedOf(settings_);
     return settings;
   }
@@ -261,8 +261,8 @@
     };
     handlers.on_snapshot = [](const std::set<std::string>&) {};
     handlers.on_caught_up = [this] {
-      board_tail_.set_pace(coordinator_.leading() ? Milliseconds(0)
-                                                  : kFollowerPace);
+      board_tail_.set_min_read_interval(coordinator_.leading() ? Milliseconds(0)
+                                                               : kFollowerPace);
       SpreadRetries();
       coordinator_.OnBoardContact(board_tail_.latency());
       if (board_contact_.OnContact(board_tail_.next())) WakeStreams();
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -346,7 +346,7 @@
 
   RecordTailSettings tail;
   tail.partition = formats_.streams().workers;
-  tail.pace = settings_.directory_pace;
+  tail.min_read_interval = settings_.directory_pace;
   RecordTail::Handlers directory;
   directory.on_record = [this](const KeyedRecord& record) {
     fleet_->OnDirectoryRecord(record, Now());
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -47,7 +47,9 @@
   int64_t next() const { return next_; }
   BootTime as_of() const { return as_of_; }
   Duration latency() const { return latency_; }
-  void set_pace(Milliseconds pace) { settings_.pace = pace; }
+  void set_min_read_interval(Milliseconds interval) {
+    settings_.min_read_interval = interval;
+  }
   void set_max_retry_delay(Milliseconds longest) {
     settings_.max_retry_delay = longest;
   }
@@ -120,8 +122,8 @@
         std::chrono::steady_clock::now() - begin.steady);
     NoteLatency(used, result.records.empty(), begin.wait);
     Take(result, begin.boot);
-    if (used >= settings_.pace) return Poll();
-    After(settings_.pace - used, [this] { Poll(); });
+    if (used >= settings_.min_read_interval) return Poll();
+    After(settings_.min_read_interval - used, [this] { Poll(); });
   }
 
   // A read that brought a record may have waited for it, so it tells only that
@@ -203,7 +205,9 @@
 int64_t RecordTail::next() const { return impl_->next(); }
 BootTime RecordTail::as_of() const { return impl_->as_of(); }
 Duration RecordTail::latency() const { return impl_->latency(); }
-void RecordTail::set_pace(Milliseconds pace) { impl_->set_pace(pace); }
+void RecordTail::set_min_read_interval(Milliseconds interval) {
+  impl_->set_min_read_interval(interval);
+}
 void RecordTail::set_max_retry_delay(Milliseconds longest) {
   impl_->set_max_retry_delay(longest);
 }
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -23,7 +23,7 @@
   // Beyond the wait, until an answer counts as lost.
   Milliseconds patience{900};
   // Between the starts of two reads; it bounds what a busy stream costs.
-  Milliseconds pace{0};
+  Milliseconds min_read_interval{0};
   // After a failed read. Each further failure doubles it, up to
   // `max_retry_delay`; a quarter more or less, drawn with `seed`, so that many
   // entries which lost the store at one moment don't come back to it together.
@@ -64,7 +64,7 @@
   BootTime as_of() const;
   // How long the store takes to answer, beyond what a read waits for a record.
   Duration latency() const;
-  void set_pace(Milliseconds pace);
+  void set_min_read_interval(Milliseconds interval);
   void set_max_retry_delay(Milliseconds longest);
 
  private:
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -93,7 +93,7 @@
     RecordTailSettings settings;
     settings.partition = kBoard;
     settings.wait = Milliseconds(100);
-    settings.pace = pace;
+    settings.min_read_interval = pace;
     return settings;
   }
   static ClusterCoordinatorSettings CoordinatorSettings(
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -180,7 +180,7 @@
   FakeRecordStore store(io);
   Follower follower(io, store);
   REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
-  follower.tail().set_pace(std::chrono::seconds(60));
+  follower.tail().set_min_read_interval(std::chrono::seconds(60));
   Put(&store, "a", "1");
   bool caught_up = false;
   follower.tail().CatchUp(Milliseconds(500),
