--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -218,7 +218,7 @@
   RecordTailSettings BoardTail() const {
     RecordTailSettings settings;
     settings.partition = {kJobStream, kBoardPartition};
-    settings.wait = kBoardWait;
+    settings.long_poll_wait = kBoardWait;
     settings.min_read_interval = kFollowerPace;
     settings.seed = SeedOf(settings_);
     return settings;
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -64,7 +64,7 @@
 
   void NextPage(const std::string& after_key) {
     store_.Newest(settings_.partition, after_key,
-                  settings_.wait + settings_.patience,
+                  settings_.long_poll_wait + settings_.patience,
                   [self = shared_from_this()](const NewestPage& page) {
                     if (!self->stopped_) self->OnPage(page);
                   });
@@ -103,7 +103,7 @@
   // After a failure a read does not wait: what is asked is whether the store is
   // back, and an idle stream would tell only a whole wait later.
   void Poll() {
-    const PollBegin begin{lost_ ? Milliseconds(0) : settings_.wait,
+    const PollBegin begin{lost_ ? Milliseconds(0) : settings_.long_poll_wait,
                           BootClock::now(), std::chrono::steady_clock::now()};
     store_.Read(settings_.partition, next_, begin.wait,
                 begin.wait + settings_.patience,
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -19,7 +19,7 @@
   Partition partition;
   // How long one read waits for a record. Also the age that what is known has
   // at most while the store answers.
-  Milliseconds wait{1000};
+  Milliseconds long_poll_wait{1000};
   // Beyond the wait, until an answer counts as lost.
   Milliseconds patience{900};
   // Between the starts of two reads; it bounds what a busy stream costs.
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -92,7 +92,7 @@
   static RecordTailSettings TailSettings(Milliseconds pace) {
     RecordTailSettings settings;
     settings.partition = kBoard;
-    settings.wait = Milliseconds(100);
+    settings.long_poll_wait = Milliseconds(100);
     settings.min_read_interval = pace;
     return settings;
   }
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -32,7 +32,7 @@
   static RecordTailSettings Settings(Milliseconds wait, Milliseconds retry) {
     RecordTailSettings settings;
     settings.partition = kPartition;
-    settings.wait = wait;
+    settings.long_poll_wait = wait;
     settings.retry = retry;
     return settings;
   }
