--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -64,7 +64,7 @@
 
   void NextPage(const std::string& after_key) {
     store_.Newest(settings_.partition, after_key,
-                  settings_.long_poll_wait + settings_.patience,
+                  settings_.long_poll_wait + settings_.response_timeout,
                   [self = shared_from_this()](const NewestPage& page) {
                     if (!self->stopped_) self->OnPage(page);
                   });
@@ -106,7 +106,7 @@
     const PollBegin begin{lost_ ? Milliseconds(0) : settings_.long_poll_wait,
                           BootClock::now(), std::chrono::steady_clock::now()};
     store_.Read(settings_.partition, next_, begin.wait,
-                begin.wait + settings_.patience,
+                begin.wait + settings_.response_timeout,
                 [self = shared_from_this(), begin](const ReadResult& result) {
                   if (!self->stopped_) self->OnPolled(result, begin);
                 });
@@ -152,10 +152,10 @@
   // A read has failed: how long to wait before the next.
   Milliseconds NextRetry() {
     constexpr double kJitter = 0.25;
-    if (!lost_) backoff_ = settings_.retry;
+    if (!lost_) backoff_ = settings_.initial_retry_delay;
     lost_ = true;
     const Milliseconds longest =
-        std::max(settings_.retry, settings_.max_retry_delay);
+        std::max(settings_.initial_retry_delay, settings_.max_retry_delay);
     const Milliseconds delay = std::min(backoff_, longest);
     backoff_ = std::min(backoff_ * 2, longest);
     std::uniform_real_distribution<double> factor(1 - kJitter, 1 + kJitter);
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -21,13 +21,13 @@
   // at most while the store answers.
   Milliseconds long_poll_wait{1000};
   // Beyond the wait, until an answer counts as lost.
-  Milliseconds patience{900};
+  Milliseconds response_timeout{900};
   // Between the starts of two reads; it bounds what a busy stream costs.
   Milliseconds min_read_interval{0};
   // After a failed read. Each further failure doubles it, up to
   // `max_retry_delay`; a quarter more or less, drawn with `seed`, so that many
   // entries which lost the store at one moment don't come back to it together.
-  Milliseconds retry{150};
+  Milliseconds initial_retry_delay{150};
   Milliseconds max_retry_delay{1200};
   uint32_t seed = 0;
 };
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -33,7 +33,7 @@
     RecordTailSettings settings;
     settings.partition = kPartition;
     settings.long_poll_wait = wait;
-    settings.retry = retry;
+    settings.initial_retry_delay = retry;
     return settings;
   }
 
