--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -265,7 +265,7 @@
                                                                : kFollowerPace);
       SpreadRetries();
       coordinator_.OnBoardContact(board_tail_.latency());
-      if (board_contact_.OnContact(board_tail_.next())) WakeStreams();
+      if (board_contact_.OnContact(board_tail_.next_offset())) WakeStreams();
       survey_.OnReached();
       roll_.OnBoardCaughtUp();
     };
@@ -285,7 +285,7 @@
       TakeOperatorSnapshot(keys);
     };
     handlers.on_caught_up = [this] {
-      if (configuration_contact_.OnContact(configuration_tail_.next())) {
+      if (configuration_contact_.OnContact(configuration_tail_.next_offset())) {
         WakeStreams();
       }
     };
@@ -327,7 +327,7 @@
       const std::string domain = formats_.ClosedDomainOf(key);
       if (!domain.empty()) closed.insert(domain);
     }
-    const int64_t next = configuration_tail_.next();
+    const int64_t next = configuration_tail_.next_offset();
     for (const std::string& domain : closed_domains_.OnSnapshot(closed, next)) {
       LogEvent(events::kDomainOpened,
                {{"failure_domain", domain}, {"offset", next}});
@@ -398,7 +398,7 @@
     surroundings.closed_domains = [this]() -> const std::set<std::string>& {
       return closed_domains_.closed();
     };
-    surroundings.board_next = [this] { return board_tail_.next(); };
+    surroundings.board_next = [this] { return board_tail_.next_offset(); };
     surroundings.board_as_of = [this] { return board_tail_.as_of(); };
     surroundings.refresh_board = [this](std::function<void(bool)> done) {
       board_tail_.CatchUp(kRefreshTimeout, std::move(done));
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -356,7 +356,7 @@
   };
   directory_contact_ = StreamContact("directory");
   directory.on_caught_up = [this] {
-    directory_contact_.OnContact(directory_->next());
+    directory_contact_.OnContact(directory_->next_offset());
     fleet_->OnDirectoryContact(Now());
   };
   directory.on_failure = [this](const Error& error) {
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -29,13 +29,13 @@
   void CatchUp(Milliseconds timeout, std::function<void(bool)> done) {
     if (!started_ || stopped_) return done(false);
     const BootTime begun = BootClock::now();
-    store_.Read(settings_.partition, next_, Milliseconds(0), timeout,
+    store_.Read(settings_.partition, next_offset_, Milliseconds(0), timeout,
                 [self = shared_from_this(), begun,
                  done = std::move(done)](const ReadResult& result) {
                   if (self->stopped_) return done(false);
                   const bool read = result.outcome == ReadOutcome::kRead;
                   if (read) self->Take(result, begun);
-                  done(read && self->next_ >= result.end);
+                  done(read && self->next_offset_ >= result.end);
                 });
   }
 
@@ -44,7 +44,7 @@
   }
 
   bool started() const { return started_; }
-  int64_t next() const { return next_; }
+  int64_t next_offset() const { return next_offset_; }
   BootTime as_of() const { return as_of_; }
   Duration latency() const { return latency_; }
   void set_min_read_interval(Milliseconds interval) {
@@ -84,7 +84,7 @@
     if (page.has_more && !page.records.empty()) {
       return NextPage(page.records.back().key);
     }
-    next_ = *snapshot_end_;
+    next_offset_ = *snapshot_end_;
     as_of_ = std::max(as_of_, snapshot_begun_);
     started_ = true;
     lost_ = false;
@@ -105,7 +105,7 @@
   void Poll() {
     const PollBegin begin{lost_ ? Milliseconds(0) : settings_.long_poll_wait,
                           BootClock::now(), std::chrono::steady_clock::now()};
-    store_.Read(settings_.partition, next_, begin.wait,
+    store_.Read(settings_.partition, next_offset_, begin.wait,
                 begin.wait + settings_.response_timeout,
                 [self = shared_from_this(), begin](const ReadResult& result) {
                   if (!self->stopped_) self->OnPolled(result, begin);
@@ -136,15 +136,15 @@
     }
   }
 
-  // Reads may overlap: records behind `next_` only.
+  // Reads may overlap: records behind `next_offset_` only.
   void Take(const ReadResult& result, BootTime begun) {
     for (const KeyedRecord& record : result.records) {
-      if (record.offset < next_) continue;
-      next_ = record.offset + 1;
+      if (record.offset < next_offset_) continue;
+      next_offset_ = record.offset + 1;
       handlers_.on_record(record);
     }
     lost_ = false;
-    if (next_ < result.end) return;
+    if (next_offset_ < result.end) return;
     as_of_ = std::max(as_of_, begun);
     handlers_.on_caught_up();
   }
@@ -182,7 +182,7 @@
   bool lost_ = false;
   // After the next failure in a row.
   Milliseconds backoff_{0};
-  int64_t next_ = 0;
+  int64_t next_offset_ = 0;
   BootTime as_of_{};
   Duration latency_{};
   std::set<std::string> snapshot_keys_;
@@ -202,7 +202,7 @@
 }
 void RecordTail::Wake(Milliseconds timeout) { impl_->Wake(timeout); }
 bool RecordTail::started() const { return impl_->started(); }
-int64_t RecordTail::next() const { return impl_->next(); }
+int64_t RecordTail::next_offset() const { return impl_->next_offset(); }
 BootTime RecordTail::as_of() const { return impl_->as_of(); }
 Duration RecordTail::latency() const { return impl_->latency(); }
 void RecordTail::set_min_read_interval(Milliseconds interval) {
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -59,7 +59,7 @@
   // Whether the newest records were read once.
   bool started() const;
   // The offset of the next record.
-  int64_t next() const;
+  int64_t next_offset() const;
   // When the last read began that reached the end.
   BootTime as_of() const;
   // How long the store takes to answer, beyond what a read waits for a record.
