--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -241,7 +241,7 @@
 
   // Since the last whole read of the board began; nullopt before the first.
   std::optional<Milliseconds> StoreAge() const {
-    if (!board_tail_.started()) return std::nullopt;
+    if (!board_tail_.has_snapshot()) return std::nullopt;
     return std::chrono::duration_cast<Milliseconds>(BootClock::now() -
                                                     board_tail_.as_of());
   }
--- a/src/libs/coordination/caller_service.cc
+++ b/src/libs/coordination/caller_service.cc
@@ -85,7 +85,7 @@
 CallerService::~CallerService() { *alive_ = false; }
 
 bool CallerService::IsStoreFresh() const {
-  return dependencies_.board_tail->started() &&
+  return dependencies_.board_tail->has_snapshot() &&
          BootClock::now() - dependencies_.board_tail->as_of() <
              settings_.store_age;
 }
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -42,7 +42,7 @@
   if (!progress_writer_->idle()) return;
   const auto age = BootClock::now() - dependencies_.board_as_of();
   const bool informed = age <= settings_.bounds.board_age() && !released_ &&
-                        directory_->started();
+                        directory_->has_snapshot();
   if (informed) {
     const Time now = Now();
     const Guarantees guarantees = dependencies_.configuration().guarantees();
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -27,7 +27,7 @@
   }
 
   void CatchUp(Milliseconds timeout, std::function<void(bool)> done) {
-    if (!started_ || stopped_) return done(false);
+    if (!has_snapshot_ || stopped_) return done(false);
     const BootTime begun = BootClock::now();
     store_.Read(settings_.partition, next_offset_, Milliseconds(0), timeout,
                 [self = shared_from_this(), begun,
@@ -43,7 +43,7 @@
     if (lost_) CatchUp(timeout, [](bool) {});
   }
 
-  bool started() const { return started_; }
+  bool has_snapshot() const { return has_snapshot_; }
   int64_t next_offset() const { return next_offset_; }
   BootTime as_of() const { return as_of_; }
   Duration latency() const { return latency_; }
@@ -86,7 +86,7 @@
     }
     next_offset_ = *snapshot_end_;
     as_of_ = std::max(as_of_, snapshot_begun_);
-    started_ = true;
+    has_snapshot_ = true;
     lost_ = false;
     handlers_.on_snapshot(snapshot_keys_);
     handlers_.on_caught_up();
@@ -176,7 +176,7 @@
   const Handlers handlers_;
   boost::asio::steady_timer timer_;
   bool stopped_ = false;
-  bool started_ = false;
+  bool has_snapshot_ = false;
   std::mt19937 random_;
   // The last read failed.
   bool lost_ = false;
@@ -201,7 +201,7 @@
   impl_->CatchUp(timeout, std::move(done));
 }
 void RecordTail::Wake(Milliseconds timeout) { impl_->Wake(timeout); }
-bool RecordTail::started() const { return impl_->started(); }
+bool RecordTail::has_snapshot() const { return impl_->has_snapshot(); }
 int64_t RecordTail::next_offset() const { return impl_->next_offset(); }
 BootTime RecordTail::as_of() const { return impl_->as_of(); }
 Duration RecordTail::latency() const { return impl_->latency(); }
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -57,7 +57,7 @@
   void Wake(Milliseconds timeout);
 
   // Whether the newest records were read once.
-  bool started() const;
+  bool has_snapshot() const;
   // The offset of the next record.
   int64_t next_offset() const;
   // When the last read began that reached the end.
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -74,7 +74,7 @@
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Follower follower(io, store);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   follower.tail().set_max_retry_delay(max_retry_delay);
   store.up = false;
   store.refuses = true;
@@ -132,7 +132,7 @@
   FakeRecordStore store(io);
   Put(&store, "a", "1");
   Follower follower(io, store);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   store.up = false;
   REQUIRE(RunUntil(io, [&] { return follower.failures > 1; }));
   const BootTime as_of = follower.tail().as_of();
@@ -150,7 +150,7 @@
   FakeRecordStore store(io);
   store.refuses = true;
   Follower follower(io, store, kLongWait);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   store.up = false;
   REQUIRE(RunUntil(io, [&] { return follower.failures > 1; }));
   const BootTime as_of = follower.tail().as_of();
@@ -163,7 +163,7 @@
   FakeRecordStore store(io);
   store.refuses = true;
   Follower follower(io, store, Milliseconds(50), /*retry=*/kLongWait);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   const int before = store.reads;
   follower.tail().Wake(Milliseconds(500));
   CHECK(store.reads == before);
@@ -179,7 +179,7 @@
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Follower follower(io, store);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   follower.tail().set_min_read_interval(std::chrono::seconds(60));
   Put(&store, "a", "1");
   bool caught_up = false;
