--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -305,8 +305,8 @@
   // The store answers again: each stream that is lost yet is read at once,
   // since callers are refused until both are back.
   void WakeStreams() {
-    board_tail_.Wake(kRefreshTimeout);
-    configuration_tail_.Wake(kRefreshTimeout);
+    board_tail_.RetryIfLost(kRefreshTimeout);
+    configuration_tail_.RetryIfLost(kRefreshTimeout);
     coordinator_.OnStoreBack();
   }
 
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -99,7 +99,7 @@
 }
 
 void ClusterCoordinator::OnStoreBack() {
-  if (directory_) directory_->Wake(settings_.store_timeout);
+  if (directory_) directory_->RetryIfLost(settings_.store_timeout);
 }
 
 void ClusterCoordinator::OnBoardChange(const BoardChange& change) {
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -39,7 +39,7 @@
                 });
   }
 
-  void Wake(Milliseconds timeout) {
+  void RetryIfLost(Milliseconds timeout) {
     if (lost_) CatchUp(timeout, [](bool) {});
   }
 
@@ -200,7 +200,9 @@
 void RecordTail::CatchUp(Milliseconds timeout, std::function<void(bool)> done) {
   impl_->CatchUp(timeout, std::move(done));
 }
-void RecordTail::Wake(Milliseconds timeout) { impl_->Wake(timeout); }
+void RecordTail::RetryIfLost(Milliseconds timeout) {
+  impl_->RetryIfLost(timeout);
+}
 bool RecordTail::has_snapshot() const { return impl_->has_snapshot(); }
 int64_t RecordTail::next_offset() const { return impl_->next_offset(); }
 BootTime RecordTail::as_of() const { return impl_->as_of(); }
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -54,7 +54,7 @@
 
   // Another stream of the store has come back: where this one is lost, it is
   // read at once, beside a read that may hang yet.
-  void Wake(Milliseconds timeout);
+  void RetryIfLost(Milliseconds timeout);
 
   // Whether the newest records were read once.
   bool has_snapshot() const;
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -165,13 +165,13 @@
   Follower follower(io, store, Milliseconds(50), /*retry=*/kLongWait);
   REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   const int before = store.reads;
-  follower.tail().Wake(Milliseconds(500));
+  follower.tail().RetryIfLost(Milliseconds(500));
   CHECK(store.reads == before);
   store.up = false;
   REQUIRE(RunUntil(io, [&] { return follower.failures > 0; }));
   const BootTime as_of = follower.tail().as_of();
   store.up = true;
-  follower.tail().Wake(Milliseconds(500));
+  follower.tail().RetryIfLost(Milliseconds(500));
   CHECK(RunUntil(io, [&] { return follower.tail().as_of() > as_of; }));
 }
 
