--- a/src/libs/coordination/worker_calls.h
+++ b/src/libs/coordination/worker_calls.h
@@ -69,7 +69,7 @@
   kOtherLife,
   kRefused,
   // Its host says that nothing listens at the worker's address.
-  kNobodyThere,
+  kConnectionRefused,
   kNoAnswer,
 };
 
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -310,7 +310,7 @@
       return handlers_.on_fenced();
     case CallOutcome::kOtherLife:
       return Bury(id, LifeEnd::kCrashed);
-    case CallOutcome::kNobodyThere:
+    case CallOutcome::kConnectionRefused:
       link.departure.OnNobodyThere(now);
       [[fallthrough]];
     case CallOutcome::kRefused:
--- a/tests/auto/coordination/tst_worker_fleet_lives.cc
+++ b/tests/auto/coordination/tst_worker_fleet_lives.cc
@@ -180,7 +180,7 @@
     fixture.fleet.OnDirectoryContact(now);
     fixture.fleet.OnDirectoryRecord({"w1", announced ? kLeaving : "listed", 1},
                                     now);
-    fixture.calls.status = CallOutcome::kNobodyThere;
+    fixture.calls.status = CallOutcome::kConnectionRefused;
     fixture.calls.answers_waiting = true;
     for (int i = 0; i < 24; ++i) {
       now += Milliseconds(100);
