--- a/src/libs/coordination/fleet_orders.cc
+++ b/src/libs/coordination/fleet_orders.cc
@@ -135,7 +135,7 @@
                   if (outcome == CallOutcome::kFenced) {
                     return handlers_.on_fenced();
                   }
-                  if (outcome == CallOutcome::kOtherLife) {
+                  if (outcome == CallOutcome::kOtherIncarnation) {
                     return Bury(id, LifeEnd::kCrashed);
                   }
                   if (outcome != CallOutcome::kOk) {
--- a/src/libs/coordination/metered_worker_calls.cc
+++ b/src/libs/coordination/metered_worker_calls.cc
@@ -32,7 +32,7 @@
       return "accepted";
     case CallOutcome::kFenced:
       return "fenced";
-    case CallOutcome::kOtherLife:
+    case CallOutcome::kOtherIncarnation:
       return "other_life";
     case CallOutcome::kRefused:
       return "refused";
--- a/src/libs/coordination/worker_calls.h
+++ b/src/libs/coordination/worker_calls.h
@@ -66,7 +66,7 @@
 enum class CallOutcome {
   kOk,
   kFenced,
-  kOtherLife,
+  kOtherIncarnation,
   kRefused,
   // Its host says that nothing listens at the worker's address.
   kConnectionRefused,
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -308,7 +308,7 @@
       break;
     case CallOutcome::kFenced:
       return handlers_.on_fenced();
-    case CallOutcome::kOtherLife:
+    case CallOutcome::kOtherIncarnation:
       return Bury(id, LifeEnd::kCrashed);
     case CallOutcome::kConnectionRefused:
       link.departure.OnNobodyThere(now);
