--- a/src/libs/coordination/metered_worker_calls.cc
+++ b/src/libs/coordination/metered_worker_calls.cc
@@ -73,15 +73,15 @@
               });
 }
 
-void MeteredWorkerCalls::Pace(
+void MeteredWorkerCalls::SetPace(
     const WorkerAddress& worker, const PaceOrder& order, Milliseconds timeout,
     std::function<void(CallOutcome, const Error&)> done) {
-  calls_.Pace(worker, order, timeout,
-              [this, begun = Now(), done = std::move(done)](
-                  CallOutcome outcome, const Error& error) {
-                meter_.Note("pace", ToLabel(outcome), begun);
-                done(outcome, error);
-              });
+  calls_.SetPace(worker, order, timeout,
+                 [this, begun = Now(), done = std::move(done)](
+                     CallOutcome outcome, const Error& error) {
+                   meter_.Note("pace", ToLabel(outcome), begun);
+                   done(outcome, error);
+                 });
 }
 
 void MeteredWorkerCalls::Status(const WorkerAddress& worker,
--- a/src/libs/coordination/pace_keeper.cc
+++ b/src/libs/coordination/pace_keeper.cc
@@ -58,29 +58,30 @@
   run->pace_sending = true;
   const std::string& worker = tracker->id();
   const PaceOrder order{run->task, run->run, percent, epoch_};
-  calls_.Pace({worker, tracker->registration().address}, order, call_timeout_,
-              [this, alive = alive_, worker, order](CallOutcome outcome,
-                                                    const Error& error) {
-                if (!*alive) return;
-                if (outcome == CallOutcome::kFenced) {
-                  return handlers_.on_fenced();
-                }
-                if (outcome != CallOutcome::kOk) {
-                  LogEvent(events::kPaceMissed, error,
-                           {{"task", order.task.ToString()},
-                            {"run", order.run},
-                            {"worker", worker},
-                            {"percent", order.percent}});
-                }
-                WorkerTracker* tracker = handlers_.find(worker);
-                TrackedRun* run =
-                    tracker == nullptr ? nullptr : tracker->Find(order.task);
-                if (run == nullptr || run->run != order.run) return;
-                run->pace_sending = false;
-                // Without an answer it may have either; it is told again.
-                run->pace = std::nullopt;
-                if (outcome == CallOutcome::kOk) run->pace = order.percent;
-              });
+  calls_.SetPace({worker, tracker->registration().address}, order,
+                 call_timeout_,
+                 [this, alive = alive_, worker, order](CallOutcome outcome,
+                                                       const Error& error) {
+                   if (!*alive) return;
+                   if (outcome == CallOutcome::kFenced) {
+                     return handlers_.on_fenced();
+                   }
+                   if (outcome != CallOutcome::kOk) {
+                     LogEvent(events::kPaceMissed, error,
+                              {{"task", order.task.ToString()},
+                               {"run", order.run},
+                               {"worker", worker},
+                               {"percent", order.percent}});
+                   }
+                   WorkerTracker* tracker = handlers_.find(worker);
+                   TrackedRun* run =
+                       tracker == nullptr ? nullptr : tracker->Find(order.task);
+                   if (run == nullptr || run->run != order.run) return;
+                   run->pace_sending = false;
+                   // Without an answer it may have either; it is told again.
+                   run->pace = std::nullopt;
+                   if (outcome == CallOutcome::kOk) run->pace = order.percent;
+                 });
 }
 
 }  // namespace thornplank
--- a/src/libs/coordination/worker_calls.h
+++ b/src/libs/coordination/worker_calls.h
@@ -90,9 +90,9 @@
   virtual void Stop(const WorkerAddress& worker, const StopOrder& order,
                     Milliseconds timeout,
                     std::function<void(CallOutcome, const Error&)> done) = 0;
-  virtual void Pace(const WorkerAddress& worker, const PaceOrder& order,
-                    Milliseconds timeout,
-                    std::function<void(CallOutcome, const Error&)> done) = 0;
+  virtual void SetPace(const WorkerAddress& worker, const PaceOrder& order,
+                       Milliseconds timeout,
+                       std::function<void(CallOutcome, const Error&)> done) = 0;
   virtual void Status(const WorkerAddress& worker, const StatusQuery& query,
                       Milliseconds timeout,
                       std::function<void(const StatusAnswer&)> done) = 0;
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -44,8 +44,9 @@
     boost::asio::post(
         io_, [done = std::move(done), outcome] { done(outcome, Error()); });
   }
-  void Pace(const WorkerAddress& worker, const PaceOrder& order, Milliseconds,
-            std::function<void(CallOutcome, const Error&)> done) override {
+  void SetPace(const WorkerAddress& worker, const PaceOrder& order,
+               Milliseconds,
+               std::function<void(CallOutcome, const Error&)> done) override {
     const CallOutcome outcome = models.at(worker.id).Pace(order, ClockMs());
     boost::asio::post(
         io_, [done = std::move(done), outcome] { done(outcome, Error()); });
--- a/tests/auto/coordination/worker_fleet_fixture.h
+++ b/tests/auto/coordination/worker_fleet_fixture.h
@@ -37,8 +37,8 @@
     ++stops;
     done(stop, Error());
   }
-  void Pace(const WorkerAddress&, const PaceOrder& order, Milliseconds,
-            std::function<void(CallOutcome, const Error&)> done) override {
+  void SetPace(const WorkerAddress&, const PaceOrder& order, Milliseconds,
+               std::function<void(CallOutcome, const Error&)> done) override {
     paces.push_back(order.percent);
     done(pace, Error());
   }
