--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -230,7 +230,7 @@
 }
 
 void ClusterCoordinator::LoadProgress(const std::string& after_key) {
-  store_.Newest(
+  store_.ReadNewest(
       settings_.board, after_key, settings_.store_timeout,
       [this, after_key, generation = generation_,
        current = *generation_](const NewestPage& page) {
--- a/src/libs/coordination/metered_record_store.cc
+++ b/src/libs/coordination/metered_record_store.cc
@@ -71,11 +71,10 @@
               });
 }
 
-void MeteredRecordStore::Newest(const Partition& partition,
-                                const std::string& after_key,
-                                Milliseconds timeout,
-                                std::function<void(const NewestPage&)> done) {
-  store_.Newest(
+void MeteredRecordStore::ReadNewest(
+    const Partition& partition, const std::string& after_key,
+    Milliseconds timeout, std::function<void(const NewestPage&)> done) {
+  store_.ReadNewest(
       partition, after_key, timeout,
       [this, begun = Now(), done = std::move(done)](const NewestPage& page) {
         meter_.Note("newest", page.ok ? "read" : "failed", begun);
--- a/src/libs/coordination/metered_record_store.h
+++ b/src/libs/coordination/metered_record_store.h
@@ -20,9 +20,9 @@
   void Read(const Partition& partition, int64_t from, Milliseconds wait,
             Milliseconds timeout,
             std::function<void(const ReadResult&)> done) override;
-  void Newest(const Partition& partition, const std::string& after_key,
-              Milliseconds timeout,
-              std::function<void(const NewestPage&)> done) override;
+  void ReadNewest(const Partition& partition, const std::string& after_key,
+                  Milliseconds timeout,
+                  std::function<void(const NewestPage&)> done) override;
 
  private:
   RecordStore& store_;
--- a/src/libs/coordination/record_store.h
+++ b/src/libs/coordination/record_store.h
@@ -104,9 +104,9 @@
                     Milliseconds timeout,
                     std::function<void(const ReadResult&)> done) = 0;
   // The newest record of each key behind `after_key`, a page of them.
-  virtual void Newest(const Partition& partition, const std::string& after_key,
-                      Milliseconds timeout,
-                      std::function<void(const NewestPage&)> done) = 0;
+  virtual void ReadNewest(const Partition& partition,
+                          const std::string& after_key, Milliseconds timeout,
+                          std::function<void(const NewestPage&)> done) = 0;
 };
 
 }  // namespace thornplank
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -63,11 +63,11 @@
   }
 
   void NextPage(const std::string& after_key) {
-    store_.Newest(settings_.partition, after_key,
-                  settings_.long_poll_wait + settings_.response_timeout,
-                  [self = shared_from_this()](const NewestPage& page) {
-                    if (!self->stopped_) self->OnPage(page);
-                  });
+    store_.ReadNewest(settings_.partition, after_key,
+                      settings_.long_poll_wait + settings_.response_timeout,
+                      [self = shared_from_this()](const NewestPage& page) {
+                        if (!self->stopped_) self->OnPage(page);
+                      });
   }
 
   void OnPage(const NewestPage& page) {
--- a/tests/auto/coordination/store_fixture.h
+++ b/tests/auto/coordination/store_fixture.h
@@ -70,9 +70,9 @@
     });
   }
 
-  void Newest(const Partition& partition, const std::string& after_key,
-              Milliseconds,
-              std::function<void(const NewestPage&)> done) override {
+  void ReadNewest(const Partition& partition, const std::string& after_key,
+                  Milliseconds,
+                  std::function<void(const NewestPage&)> done) override {
     const NewestPage page = up && !IsAway(partition)
                                 ? model.Newest(partition, after_key, page_size)
                                 : NewestPage();
