--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -383,7 +383,7 @@
     settings.holder = Holder(settings_);
     settings.rank = Rank(settings_);
     settings.board = {kJobStream, kBoardPartition};
-    settings.state_kept = settings_.state_kept + std::chrono::seconds(30);
+    settings.job_retention = settings_.state_kept + std::chrono::seconds(30);
     settings.bounds = BoundsOf(settings_);
     return settings;
   }
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -53,7 +53,7 @@
   // worker that leaves must get nothing new after 2 s.
   Milliseconds directory_pace{200};
   // How long an ended job is remembered.
-  Milliseconds state_kept{150000};
+  Milliseconds job_retention{150000};
   Milliseconds tick{100};
   // Between two records of ends alone.
   Milliseconds ends_gap{100};
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -403,7 +403,7 @@
   std::vector<KeyedRecord> records;
   for (const auto& [id, job] : dependencies_.board->jobs()) {
     if (!IsTerminal(job.published)) continue;
-    if (wall_now - job.ended < settings_.state_kept) continue;
+    if (wall_now - job.ended < settings_.job_retention) continue;
     for (KeyedRecord& record : JobBoard::Drop(id, job)) {
       records.push_back(std::move(record));
     }
