--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -264,7 +264,7 @@
       board_tail_.set_min_read_interval(coordinator_.leading() ? Milliseconds(0)
                                                                : kFollowerPace);
       SpreadRetries();
-      coordinator_.OnBoardContact(board_tail_.latency());
+      coordinator_.OnBoardCaughtUp(board_tail_.latency());
       if (board_contact_.OnContact(board_tail_.next_offset())) WakeStreams();
       survey_.OnReached();
       roll_.OnBoardCaughtUp();
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -88,7 +88,7 @@
   });
 }
 
-void ClusterCoordinator::OnBoardContact(Duration latency) {
+void ClusterCoordinator::OnBoardCaughtUp(Duration latency) {
   election_.OnContact(latency, Now());
 }
 
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -90,7 +90,7 @@
   // After the board has folded a record.
   void OnBoardChange(const BoardChange& change);
   // The board was read up to its end by a store that takes `latency`.
-  void OnBoardContact(Duration latency);
+  void OnBoardCaughtUp(Duration latency);
   // Another set of failure domains takes no new work.
   void OnDomainsChanged();
   // A stream of the store could be read again after a loss.
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -111,7 +111,7 @@
     };
     handlers.on_snapshot = [](const std::set<std::string>&) {};
     handlers.on_caught_up = [this] {
-      coordinator_.OnBoardContact(tail_.latency());
+      coordinator_.OnBoardCaughtUp(tail_.latency());
     };
     handlers.on_failure = [](const Error&) {};
     return handlers;
