--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -317,7 +317,7 @@
     if (!closed_domains_.Apply(domain, closed, record.offset)) return;
     LogEvent(closed ? events::kDomainClosed : events::kDomainOpened,
              {{"failure_domain", domain}, {"offset", record.offset}});
-    coordinator_.OnDomainsChanged();
+    coordinator_.OnClosedDomainsChanged();
   }
 
   // The operators' stream was read anew; keys outside the set are gone.
@@ -332,7 +332,7 @@
       LogEvent(events::kDomainOpened,
                {{"failure_domain", domain}, {"offset", next}});
     }
-    coordinator_.OnDomainsChanged();
+    coordinator_.OnClosedDomainsChanged();
   }
 
   // A version that was seen once is never left for an older one.
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -92,7 +92,7 @@
   election_.OnContact(latency, Now());
 }
 
-void ClusterCoordinator::OnDomainsChanged() {
+void ClusterCoordinator::OnClosedDomainsChanged() {
   if (!fleet_) return;
   fleet_->CloseDomains(dependencies_.closed_domains());
   SchedulePlanning();
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -92,7 +92,7 @@
   // The board was read up to its end by a store that takes `latency`.
   void OnBoardCaughtUp(Duration latency);
   // Another set of failure domains takes no new work.
-  void OnDomainsChanged();
+  void OnClosedDomainsChanged();
   // A stream of the store could be read again after a loss.
   void OnStoreBack();
   // Gives the lead back, if it is held; `done` runs when that is stored or
