--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -307,7 +307,7 @@
   void WakeStreams() {
     board_tail_.RetryIfLost(kRefreshTimeout);
     configuration_tail_.RetryIfLost(kRefreshTimeout);
-    coordinator_.OnStoreBack();
+    coordinator_.OnStoreRecovered();
   }
 
   void TakeOperatorRecord(const KeyedRecord& record) {
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -98,7 +98,7 @@
   SchedulePlanning();
 }
 
-void ClusterCoordinator::OnStoreBack() {
+void ClusterCoordinator::OnStoreRecovered() {
   if (directory_) directory_->RetryIfLost(settings_.store_timeout);
 }
 
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -94,7 +94,7 @@
   // Another set of failure domains takes no new work.
   void OnClosedDomainsChanged();
   // A stream of the store could be read again after a loss.
-  void OnStoreBack();
+  void OnStoreRecovered();
   // Gives the lead back, if it is held; `done` runs when that is stored or
   // `timeout` has passed. It takes no lead afterwards.
   void Release(Milliseconds timeout, std::function<void()> done);
