--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -398,7 +398,9 @@
     surroundings.closed_domains = [this]() -> const std::set<std::string>& {
       return closed_domains_.closed();
     };
-    surroundings.board_next = [this] { return board_tail_.next_offset(); };
+    surroundings.board_next_offset = [this] {
+      return board_tail_.next_offset();
+    };
     surroundings.board_as_of = [this] { return board_tail_.as_of(); };
     surroundings.refresh_board = [this](std::function<void(bool)> done) {
       board_tail_.CatchUp(kRefreshTimeout, std::move(done));
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -138,10 +138,11 @@
                      leader.released == told_leader_.released;
   told_leader_ = leader;
   if (known) return;
-  LogEvent(events::kLeaderSeen, {{"holder", leader.holder},
-                                 {"epoch", leader.epoch},
-                                 {"released", leader.released},
-                                 {"board_next", dependencies_.board_next()}});
+  LogEvent(events::kLeaderSeen,
+           {{"holder", leader.holder},
+            {"epoch", leader.epoch},
+            {"released", leader.released},
+            {"board_next", dependencies_.board_next_offset()}});
 }
 
 // A claim is stored only if the board still ends where this entry has read to,
@@ -167,7 +168,7 @@
   AppendRequest request;
   request.partition = settings_.board;
   request.records = {JobBoard::Leader({settings_.holder, epoch, false})};
-  request.expected_end = dependencies_.board_next();
+  request.expected_end = dependencies_.board_next_offset();
   request.producer = ProducerPosition{kProducer, epoch, first_sequence_};
   LogEvent(events::kLeadClaimed,
            {{"epoch", epoch}, {"expected_end", *request.expected_end}});
@@ -338,10 +339,11 @@
     if (IsTerminal(job->published)) published_ends_.insert(ref.job);
   }
   loaded_.clear();
-  LogEvent(events::kLeadTaken, {{"epoch", epoch_},
-                                {"board_next", dependencies_.board_next()},
-                                {"jobs", ledger_.jobs().size()},
-                                {"steps", inherited}});
+  LogEvent(events::kLeadTaken,
+           {{"epoch", epoch_},
+            {"board_next", dependencies_.board_next_offset()},
+            {"jobs", ledger_.jobs().size()},
+            {"steps", inherited}});
   WriteHeartbeat(/*released=*/false, nullptr);
 
   RecordTailSettings tail;
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -71,7 +71,7 @@
     // Failure domains that take no new work.
     std::function<const std::set<std::string>&()> closed_domains;
     // Offset behind the last record of the board that was folded.
-    std::function<int64_t()> board_next;
+    std::function<int64_t()> board_next_offset;
     std::function<BootTime()> board_as_of;
     // Reads the board at once, outside its pace; told whether its end was
     // reached.
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -114,7 +114,7 @@
             {"accelerators", spec->need.accelerators},
             {"estimate_ms", spec->estimate.count()},
             {"epoch", epoch_},
-            {"board_next", dependencies_.board_next()},
+            {"board_next", dependencies_.board_next_offset()},
             {"configuration", dependencies_.configuration().version}});
 }
 
@@ -126,13 +126,14 @@
     if (before != told_waits_.end() && before->second == wait.reason) continue;
     const Job* job = ledger_.Find(wait.step.job);
     const StepProgress* progress = ledger_.FindStep(wait.step);
-    LogEvent(events::kStepWaits, {{"job", wait.step.job},
-                                  {"step", wait.step.ToString()},
-                                  {"reason", std::string(ToText(wait.reason))},
-                                  {"tasks", progress->waiting},
-                                  {"priority", job->spec.policy.priority},
-                                  {"epoch", epoch_},
-                                  {"board_next", dependencies_.board_next()}});
+    LogEvent(events::kStepWaits,
+             {{"job", wait.step.job},
+              {"step", wait.step.ToString()},
+              {"reason", std::string(ToText(wait.reason))},
+              {"tasks", progress->waiting},
+              {"priority", job->spec.policy.priority},
+              {"epoch", epoch_},
+              {"board_next", dependencies_.board_next_offset()}});
   }
   told_waits_ = std::move(told);
 }
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -126,7 +126,7 @@
       static const std::set<std::string> kNone;
       return kNone;
     };
-    dependencies.board_next = [this] { return tail_.next_offset(); };
+    dependencies.board_next_offset = [this] { return tail_.next_offset(); };
     dependencies.board_as_of = [this] { return tail_.as_of(); };
     dependencies.refresh_board = [this](std::function<void(bool)> done) {
       tail_.CatchUp(Milliseconds(500), std::move(done));
