--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -207,7 +207,7 @@
              {{"at_once", change.at_once}, {"at_restart", change.at_restart}});
     SetLogSeverity(settings.log_level);
     store_client_.set_address(settings.store_address);
-    callers_.set_configuration_age(ConfigurationAge(settings));
+    callers_.set_max_configuration_age(ConfigurationAge(settings));
     settings_.log_level = settings.log_level;
     settings_.store_address = settings.store_address;
     settings_.revocation_bound = settings.revocation_bound;
@@ -358,7 +358,7 @@
   CallerServiceSettings CallerSettings() const {
     CallerServiceSettings settings;
     settings.board = {kJobStream, kBoardPartition};
-    settings.configuration_age = ConfigurationAge(settings_);
+    settings.max_configuration_age = ConfigurationAge(settings_);
     return settings;
   }
 
--- a/src/libs/coordination/caller_service.cc
+++ b/src/libs/coordination/caller_service.cc
@@ -123,7 +123,7 @@
   call->job = path.substr(queue->prefix.size());
   if (!queue->is_public) {
     const auto age = BootClock::now() - dependencies_.configuration_as_of();
-    if (age > settings_.configuration_age) {
+    if (age > settings_.max_configuration_age) {
       return Refuse(call, kKeysUnconfirmed);
     }
     const AccountConfiguration* account =
--- a/src/libs/coordination/caller_service.h
+++ b/src/libs/coordination/caller_service.h
@@ -26,7 +26,7 @@
   Partition board;
   // A configuration that was confirmed longer ago may have lost keys since, so
   // calls with a key are refused. Below the bound on revocation (5 s).
-  Milliseconds configuration_age{4200};
+  Milliseconds max_configuration_age{4200};
   // Without the store for this long a call is refused at once. The board is
   // read twice a second, and an answer of a slowed store takes 0.3 s.
   Milliseconds store_age{1500};
@@ -74,8 +74,8 @@
 
   void Handle(HttpRequest request, HttpServer::Responder respond);
   // Of CallerServiceSettings, for calls from now on.
-  void set_configuration_age(Milliseconds age) {
-    settings_.configuration_age = age;
+  void set_max_configuration_age(Milliseconds age) {
+    settings_.max_configuration_age = age;
   }
   // Whether callers should be sent here.
   bool ready() const;
