--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -21,7 +21,7 @@
 #include "coordination/metered_worker_calls.h"
 #include "coordination/record_tail.h"
 #include "coordination/serving_configuration.h"
-#include "coordination/stream_contact.h"
+#include "coordination/stream_reachability.h"
 #include "logging/events/coordination_events.h"
 #include "logging/events/process_events.h"
 #include "metrics/log_metrics.h"
@@ -444,8 +444,8 @@
   EntryClient entry_client_;
   EntryRegistration roll_;
   OutlookSurvey survey_;
-  StreamContact board_contact_{"board"};
-  StreamContact configuration_contact_{"configuration"};
+  StreamReachability board_contact_{"board"};
+  StreamReachability configuration_contact_{"configuration"};
   RecordTail board_tail_;
   RecordTail configuration_tail_;
   CallerService callers_;
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -356,7 +356,7 @@
   directory.on_snapshot = [this](const std::set<std::string>& ids) {
     fleet_->OnDirectorySnapshot(ids, Now());
   };
-  directory_contact_ = StreamContact("directory");
+  directory_contact_ = StreamReachability("directory");
   directory.on_caught_up = [this] {
     directory_contact_.OnContact(directory_->next_offset());
     fleet_->OnDirectoryContact(Now());
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -29,7 +29,7 @@
 #include "coordination/record_pace.h"
 #include "coordination/record_tail.h"
 #include "coordination/scheduling_metrics.h"
-#include "coordination/stream_contact.h"
+#include "coordination/stream_reachability.h"
 #include "coordination/worker_fleet.h"
 #include "metrics/metrics_registry.h"
 #include "workload/job_ledger.h"
@@ -186,7 +186,7 @@
   std::unique_ptr<FencedWriter> progress_writer_;
   std::unique_ptr<WorkerFleet> fleet_;
   std::unique_ptr<RecordTail> directory_;
-  StreamContact directory_contact_{"directory"};
+  StreamReachability directory_contact_{"directory"};
   std::unique_ptr<AdviceDesk> advice_;
   // Progress that has a record on the board.
   std::set<ProgressBlockRef> stored_blocks_;
--- a/src/libs/coordination/stream_contact.cc
+++ b/src/libs/coordination/stream_reachability.cc
@@ -1,18 +1,18 @@
 // One line when contact is lost, one when it is back.
-#include "coordination/stream_contact.h"
+#include "coordination/stream_reachability.h"
 
 #include "logging/events/coordination_events.h"
 
 namespace thornplank {
 
-bool StreamContact::OnContact(int64_t next) {
+bool StreamReachability::OnContact(int64_t next) {
   if (!lost_) return false;
   lost_ = false;
   LogEvent(events::kStoreBack, {{"stream", stream_}, {"next", next}});
   return true;
 }
 
-void StreamContact::OnFailure(const Error& error) {
+void StreamReachability::OnFailure(const Error& error) {
   if (lost_) return;
   lost_ = true;
   LogEvent(events::kStoreLost, error, {{"stream", stream_}});
--- a/src/libs/coordination/stream_contact.h
+++ b/src/libs/coordination/stream_reachability.h
@@ -1,6 +1,6 @@
 // Whether one stream of the store can be read, told at each change.
-#ifndef THORNPLANK_COORDINATION_STREAM_CONTACT_H_
-#define THORNPLANK_COORDINATION_STREAM_CONTACT_H_
+#ifndef THORNPLANK_COORDINATION_STREAM_REACHABILITY_H_
+#define THORNPLANK_COORDINATION_STREAM_REACHABILITY_H_
 
 #include <cstdint>
 #include <string>
@@ -10,10 +10,11 @@
 
 namespace thornplank {
 
-class StreamContact {
+class StreamReachability {
  public:
   // `stream` is what the log calls it.
-  explicit StreamContact(std::string stream) : stream_(std::move(stream)) {}
+  explicit StreamReachability(std::string stream)
+      : stream_(std::move(stream)) {}
 
   // It was read up to `next`. True when it had been lost.
   bool OnContact(int64_t next);
@@ -26,4 +27,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_COORDINATION_STREAM_CONTACT_H_
+#endif  // THORNPLANK_COORDINATION_STREAM_REACHABILITY_H_
--- a/tests/auto/coordination/tst_stream_contact.cc
+++ b/tests/auto/coordination/tst_stream_reachability.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/stream_contact.h"
+#include "coordination/stream_reachability.h"
 #include "logging/event_log.h"
 #include "logging/events/coordination_events.h"
 
@@ -19,7 +19,7 @@
   Error error;
   REQUIRE(
       OpenEventLog("e1", Severity::kInfo, LogWriter::kCaller, kPath, &error));
-  StreamContact contact("directory");
+  StreamReachability contact("directory");
   contact.OnContact(1);
   for (int i = 0; i < 3; ++i) {
     contact.OnFailure({"read", "127.0.0.1:1", "timed out"});
