--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -265,12 +265,13 @@
                                                                : kFollowerPace);
       SpreadRetries();
       coordinator_.OnBoardCaughtUp(board_tail_.latency());
-      if (board_contact_.OnContact(board_tail_.next_offset())) WakeStreams();
+      if (board_contact_.OnReadSucceeded(board_tail_.next_offset()))
+        WakeStreams();
       survey_.OnReached();
       roll_.OnBoardCaughtUp();
     };
     handlers.on_failure = [this](const Error& error) {
-      board_contact_.OnFailure(error);
+      board_contact_.OnReadFailed(error);
       survey_.OnLost();
     };
     return handlers;
@@ -285,12 +286,13 @@
       TakeOperatorSnapshot(keys);
     };
     handlers.on_caught_up = [this] {
-      if (configuration_contact_.OnContact(configuration_tail_.next_offset())) {
+      if (configuration_contact_.OnReadSucceeded(
+              configuration_tail_.next_offset())) {
         WakeStreams();
       }
     };
     handlers.on_failure = [this](const Error& error) {
-      configuration_contact_.OnFailure(error);
+      configuration_contact_.OnReadFailed(error);
     };
     return handlers;
   }
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -356,13 +356,13 @@
   directory.on_snapshot = [this](const std::set<std::string>& ids) {
     fleet_->OnDirectorySnapshot(ids, Now());
   };
-  directory_contact_ = StreamReachability("directory");
+  directory_reachability_ = StreamReachability("directory");
   directory.on_caught_up = [this] {
-    directory_contact_.OnContact(directory_->next_offset());
+    directory_reachability_.OnReadSucceeded(directory_->next_offset());
     fleet_->OnDirectoryContact(Now());
   };
   directory.on_failure = [this](const Error& error) {
-    directory_contact_.OnFailure(error);
+    directory_reachability_.OnReadFailed(error);
   };
   directory_ = std::make_unique<RecordTail>(io_, store_, tail, directory);
   directory_->Start();
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -186,7 +186,7 @@
   std::unique_ptr<FencedWriter> progress_writer_;
   std::unique_ptr<WorkerFleet> fleet_;
   std::unique_ptr<RecordTail> directory_;
-  StreamReachability directory_contact_{"directory"};
+  StreamReachability directory_reachability_{"directory"};
   std::unique_ptr<AdviceDesk> advice_;
   // Progress that has a record on the board.
   std::set<ProgressBlockRef> stored_blocks_;
--- a/src/libs/coordination/stream_reachability.cc
+++ b/src/libs/coordination/stream_reachability.cc
@@ -5,14 +5,14 @@
 
 namespace thornplank {
 
-bool StreamReachability::OnContact(int64_t next) {
+bool StreamReachability::OnReadSucceeded(int64_t next) {
   if (!lost_) return false;
   lost_ = false;
   LogEvent(events::kStoreBack, {{"stream", stream_}, {"next", next}});
   return true;
 }
 
-void StreamReachability::OnFailure(const Error& error) {
+void StreamReachability::OnReadFailed(const Error& error) {
   if (lost_) return;
   lost_ = true;
   LogEvent(events::kStoreLost, error, {{"stream", stream_}});
--- a/src/libs/coordination/stream_reachability.h
+++ b/src/libs/coordination/stream_reachability.h
@@ -17,8 +17,8 @@
       : stream_(std::move(stream)) {}
 
   // It was read up to `next`. True when it had been lost.
-  bool OnContact(int64_t next);
-  void OnFailure(const Error& error);
+  bool OnReadSucceeded(int64_t next);
+  void OnReadFailed(const Error& error);
 
  private:
   std::string stream_;
--- a/tests/auto/coordination/tst_stream_reachability.cc
+++ b/tests/auto/coordination/tst_stream_reachability.cc
@@ -20,13 +20,13 @@
   REQUIRE(
       OpenEventLog("e1", Severity::kInfo, LogWriter::kCaller, kPath, &error));
   StreamReachability contact("directory");
-  contact.OnContact(1);
+  contact.OnReadSucceeded(1);
   for (int i = 0; i < 3; ++i) {
-    contact.OnFailure({"read", "127.0.0.1:1", "timed out"});
+    contact.OnReadFailed({"read", "127.0.0.1:1", "timed out"});
   }
-  contact.OnContact(7);
-  contact.OnContact(8);
-  contact.OnFailure({"read", "127.0.0.1:1", "status 503"});
+  contact.OnReadSucceeded(7);
+  contact.OnReadSucceeded(8);
+  contact.OnReadFailed({"read", "127.0.0.1:1", "status 503"});
   CloseEventLog();
   std::vector<Json> lines;
   std::ifstream file(kPath);
