--- a/src/libs/coordination/advice_desk.cc
+++ b/src/libs/coordination/advice_desk.cc
@@ -36,7 +36,7 @@
   const Milliseconds timeout = DurationOf(terms, question.size()) *
                                    static_cast<int64_t>(book_.questions_out()) +
                                kAnswerSlack;
-  advisor_->Ask(
+  advisor_->RequestAdvice(
       step, question, timeout,
       [this, alive = alive_, step, question, now](const Advice& advice) {
         if (*alive) OnAnswer(step, question, now, advice);
--- a/src/libs/coordination/advisor.h
+++ b/src/libs/coordination/advisor.h
@@ -27,9 +27,10 @@
   virtual ~Advisor() = default;
 
   // The callback runs once, on the loop that the scheduler runs on.
-  virtual void Ask(const StepRef& step, const std::vector<std::string>& workers,
-                   Milliseconds timeout,
-                   std::function<void(const Advice&)> done) = 0;
+  virtual void RequestAdvice(const StepRef& step,
+                             const std::vector<std::string>& workers,
+                             Milliseconds timeout,
+                             std::function<void(const Advice&)> done) = 0;
 };
 
 }  // namespace thornplank
