--- a/src/libs/coordination/caller_service.h
+++ b/src/libs/coordination/caller_service.h
@@ -26,7 +26,7 @@
   Partition board;
   // A configuration that was confirmed longer ago may have lost keys since, so
   // calls with a key are refused. Below the bound on revocation (5 s).
-  Milliseconds configuration_age{4200};
+  Milliseconds max_configuration_age{4200};
   // Without the store for this long a call is refused at once. The board is
   // read twice a second, and an answer of a slowed store takes 0.3 s.
   Milliseconds store_age{1500};
@@ -50,7 +50,7 @@
 
 class CallerService {
  public:
-  struct Surroundings {
+  struct Dependencies {
     // Null before the first configuration.
     std::function<const ServingConfiguration*()> configuration;
     std::function<BootTime()> configuration_as_of;
@@ -69,13 +69,13 @@
 
   CallerService(boost::asio::io_context& io, RecordStore& store,
                 const Formats& formats, CallerServiceSettings settings,
-                Surroundings surroundings, MetricsRegistry& metrics);
+                Dependencies dependencies, MetricsRegistry& metrics);
   ~CallerService();
 
   void Handle(HttpRequest request, HttpServer::Responder respond);
   // Of CallerServiceSettings, for calls from now on.
-  void set_configuration_age(Milliseconds age) {
-    settings_.configuration_age = age;
+  void set_max_configuration_age(Milliseconds age) {
+    settings_.max_configuration_age = age;
   }
   // Whether callers should be sent here.
   bool ready() const;
@@ -110,7 +110,7 @@
   RecordStore& store_;
   const Formats& formats_;
   CallerServiceSettings settings_;
-  const Surroundings surroundings_;
+  const Dependencies dependencies_;
   MetricsRegistry& metrics_;
   Counter& accepted_;
   Counter& cancelled_;
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -29,7 +29,7 @@
 #include "coordination/record_pace.h"
 #include "coordination/record_tail.h"
 #include "coordination/scheduling_metrics.h"
-#include "coordination/stream_contact.h"
+#include "coordination/stream_reachability.h"
 #include "coordination/worker_fleet.h"
 #include "metrics/metrics_registry.h"
 #include "workload/job_ledger.h"
@@ -53,7 +53,7 @@
   // worker that leaves must get nothing new after 2 s.
   Milliseconds directory_pace{200};
   // How long an ended job is remembered.
-  Milliseconds state_kept{150000};
+  Milliseconds job_retention{150000};
   Milliseconds tick{100};
   // Between two records of ends alone.
   Milliseconds ends_gap{100};
@@ -65,13 +65,13 @@
 class ClusterCoordinator {
  public:
   // What it needs of the entry that it runs in.
-  struct Surroundings {
+  struct Dependencies {
     const JobBoard* board = nullptr;
     std::function<const ServingConfiguration&()> configuration;
     // Failure domains that take no new work.
     std::function<const std::set<std::string>&()> closed_domains;
     // Offset behind the last record of the board that was folded.
-    std::function<int64_t()> board_next;
+    std::function<int64_t()> board_next_offset;
     std::function<BootTime()> board_as_of;
     // Reads the board at once, outside its pace; told whether its end was
     // reached.
@@ -83,18 +83,18 @@
   ClusterCoordinator(boost::asio::io_context& io, RecordStore& store,
                      WorkerCalls& calls, const Formats& formats,
                      ClusterCoordinatorSettings settings,
-                     Surroundings surroundings, MetricsRegistry& metrics);
+                     Dependencies dependencies, MetricsRegistry& metrics);
   ~ClusterCoordinator();
 
   void Start();
   // After the board has folded a record.
   void OnBoardChange(const BoardChange& change);
   // The board was read up to its end by a store that takes `latency`.
-  void OnBoardContact(Duration latency);
+  void OnBoardCaughtUp(Duration latency);
   // Another set of failure domains takes no new work.
-  void OnDomainsChanged();
+  void OnClosedDomainsChanged();
   // A stream of the store could be read again after a loss.
-  void OnStoreBack();
+  void OnStoreRecovered();
   // Gives the lead back, if it is held; `done` runs when that is stored or
   // `timeout` has passed. It takes no lead afterwards.
   void Release(Milliseconds timeout, std::function<void()> done);
@@ -156,7 +156,7 @@
   WorkerCalls& calls_;
   const Formats& formats_;
   const ClusterCoordinatorSettings settings_;
-  const Surroundings surroundings_;
+  const Dependencies dependencies_;
   // Of a claim; the writers go on behind it.
   const int64_t first_sequence_;
   LeaderElection election_;
@@ -186,7 +186,7 @@
   std::unique_ptr<FencedWriter> progress_writer_;
   std::unique_ptr<WorkerFleet> fleet_;
   std::unique_ptr<RecordTail> directory_;
-  StreamContact directory_contact_{"directory"};
+  StreamReachability directory_reachability_{"directory"};
   std::unique_ptr<AdviceDesk> advice_;
   // Progress that has a record on the board.
   std::set<ProgressBlockRef> stored_blocks_;
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "coordination/cluster_coordinator.h"
-#include "coordination/entry_roll.h"
+#include "coordination/entry_registration.h"
 #include "logging/events/coordination_events.h"
 
 namespace thornplank {
@@ -40,12 +40,12 @@
   PublishEnds();
   // One record at a time: what is not stored cannot be started.
   if (!progress_writer_->idle()) return;
-  const auto age = BootClock::now() - surroundings_.board_as_of();
+  const auto age = BootClock::now() - dependencies_.board_as_of();
   const bool informed = age <= settings_.bounds.board_age() && !released_ &&
-                        directory_->started();
+                        directory_->has_snapshot();
   if (informed) {
     const Time now = Now();
-    const Guarantees guarantees = surroundings_.configuration().guarantees();
+    const Guarantees guarantees = dependencies_.configuration().guarantees();
     PlanInputs inputs;
     inputs.ledger = &ledger_;
     inputs.workers = &fleet_->trackers();
@@ -114,8 +114,8 @@
             {"accelerators", spec->need.accelerators},
             {"estimate_ms", spec->estimate.count()},
             {"epoch", epoch_},
-            {"board_next", surroundings_.board_next()},
-            {"configuration", surroundings_.configuration().version}});
+            {"board_next", dependencies_.board_next_offset()},
+            {"configuration", dependencies_.configuration().version}});
 }
 
 void ClusterCoordinator::TellWaits(const std::vector<WaitDecision>& waits) {
@@ -126,13 +126,14 @@
     if (before != told_waits_.end() && before->second == wait.reason) continue;
     const Job* job = ledger_.Find(wait.step.job);
     const StepProgress* progress = ledger_.FindStep(wait.step);
-    LogEvent(events::kStepWaits, {{"job", wait.step.job},
-                                  {"step", wait.step.ToString()},
-                                  {"reason", std::string(ToText(wait.reason))},
-                                  {"tasks", progress->waiting},
-                                  {"priority", job->spec.policy.priority},
-                                  {"epoch", epoch_},
-                                  {"board_next", surroundings_.board_next()}});
+    LogEvent(events::kStepWaits,
+             {{"job", wait.step.job},
+              {"step", wait.step.ToString()},
+              {"reason", std::string(ToText(wait.reason))},
+              {"tasks", progress->waiting},
+              {"priority", job->spec.policy.priority},
+              {"epoch", epoch_},
+              {"board_next", dependencies_.board_next_offset()}});
   }
   told_waits_ = std::move(told);
 }
@@ -401,15 +402,15 @@
   last_cleanup_ = now;
   const WallTime wall_now = std::chrono::system_clock::now();
   std::vector<KeyedRecord> records;
-  for (const auto& [id, job] : surroundings_.board->jobs()) {
+  for (const auto& [id, job] : dependencies_.board->jobs()) {
     if (!IsTerminal(job.published)) continue;
-    if (wall_now - job.ended < settings_.state_kept) continue;
+    if (wall_now - job.ended < settings_.job_retention) continue;
     for (KeyedRecord& record : JobBoard::Drop(id, job)) {
       records.push_back(std::move(record));
     }
   }
-  for (const auto& [instance, entry] : surroundings_.board->entries()) {
-    if (wall_now - entry.written < kEntryRecordLasts) continue;
+  for (const auto& [instance, entry] : dependencies_.board->entries()) {
+    if (wall_now - entry.written < kEntryRecordTtl) continue;
     records.push_back(JobBoard::Entry(instance, std::nullopt));
   }
   if (!records.empty()) board_writer_->Write(std::move(records), nullptr);
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -19,16 +19,16 @@
   Partition partition;
   // How long one read waits for a record. Also the age that what is known has
   // at most while the store answers.
-  Milliseconds wait{1000};
+  Milliseconds long_poll_wait{1000};
   // Beyond the wait, until an answer counts as lost.
-  Milliseconds patience{900};
+  Milliseconds response_timeout{900};
   // Between the starts of two reads; it bounds what a busy stream costs.
-  Milliseconds pace{0};
+  Milliseconds min_read_interval{0};
   // After a failed read. Each further failure doubles it, up to
-  // `longest_retry`; a quarter more or less, drawn with `seed`, so that many
+  // `max_retry_delay`; a quarter more or less, drawn with `seed`, so that many
   // entries which lost the store at one moment don't come back to it together.
-  Milliseconds retry{150};
-  Milliseconds longest_retry{1200};
+  Milliseconds initial_retry_delay{150};
+  Milliseconds max_retry_delay{1200};
   uint32_t seed = 0;
 };
 
@@ -39,7 +39,7 @@
     // The tail began anew; keys outside the set are gone.
     std::function<void(const std::set<std::string>&)> on_snapshot;
     // Everything that was stored when the read began has been handed over.
-    std::function<void()> on_current;
+    std::function<void()> on_caught_up;
     std::function<void(const Error&)> on_failure;
   };
 
@@ -54,18 +54,18 @@
 
   // Another stream of the store has come back: where this one is lost, it is
   // read at once, beside a read that may hang yet.
-  void Wake(Milliseconds timeout);
+  void RetryIfLost(Milliseconds timeout);
 
   // Whether the newest records were read once.
-  bool started() const;
+  bool has_snapshot() const;
   // The offset of the next record.
-  int64_t next() const;
+  int64_t next_offset() const;
   // When the last read began that reached the end.
   BootTime as_of() const;
   // How long the store takes to answer, beyond what a read waits for a record.
   Duration latency() const;
-  void set_pace(Milliseconds pace);
-  void set_longest_retry(Milliseconds longest);
+  void set_min_read_interval(Milliseconds interval);
+  void set_max_retry_delay(Milliseconds longest);
 
  private:
   class Impl;
