--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -15,13 +15,13 @@
 #include "coordination/caller_service.h"
 #include "coordination/cluster_coordinator.h"
 #include "coordination/cluster_gauges.h"
-#include "coordination/entry_roll.h"
+#include "coordination/entry_registration.h"
 #include "coordination/job_board.h"
 #include "coordination/metered_record_store.h"
 #include "coordination/metered_worker_calls.h"
 #include "coordination/record_tail.h"
 #include "coordination/serving_configuration.h"
-#include "coordination/stream_contact.h"
+#include "coordination/stream_reachability.h"
 #include "logging/events/coordination_events.h"
 #include "logging/events/process_events.h"
 #include "metrics/log_metrics.h"
@@ -128,7 +128,7 @@
         entry_client_(client_),
         roll_(io, store_, board_, RollSettings()),
         survey_(io, entry_client_, SurveySettings(),
-                [this] { return roll_.OtherAddresses(); }),
+                [this] { return roll_.PeerAddresses(); }),
         board_tail_(io, store_, BoardTail(), BoardHandlers()),
         configuration_tail_(io, store_, ConfigurationTail(),
                             ConfigurationHandlers()),
@@ -207,7 +207,7 @@
              {{"at_once", change.at_once}, {"at_restart", change.at_restart}});
     SetLogSeverity(settings.log_level);
     store_client_.set_address(settings.store_address);
-    callers_.set_configuration_age(ConfigurationAge(settings));
+    callers_.set_max_configuration_age(ConfigurationAge(settings));
     settings_.log_level = settings.log_level;
     settings_.store_address = settings.store_address;
     settings_.revocation_bound = settings.revocation_bound;
@@ -218,14 +218,14 @@
   RecordTailSettings BoardTail() const {
     RecordTailSettings settings;
     settings.partition = {kJobStream, kBoardPartition};
-    settings.wait = kBoardWait;
-    settings.pace = kFollowerPace;
+    settings.long_poll_wait = kBoardWait;
+    settings.min_read_interval = kFollowerPace;
     settings.seed = SeedOf(settings_);
     return settings;
   }
 
-  EntryRollSettings RollSettings() const {
-    EntryRollSettings settings;
+  EntryRegistrationSettings RollSettings() const {
+    EntryRegistrationSettings settings;
     settings.board = {kJobStream, kBoardPartition};
     settings.instance = settings_.name;
     settings.address = settings_.listen_entries;
@@ -241,7 +241,7 @@
 
   // Since the last whole read of the board began; nullopt before the first.
   std::optional<Milliseconds> StoreAge() const {
-    if (!board_tail_.started()) return std::nullopt;
+    if (!board_tail_.has_snapshot()) return std::nullopt;
     return std::chrono::duration_cast<Milliseconds>(BootClock::now() -
                                                     board_tail_.as_of());
   }
@@ -260,17 +260,18 @@
       coordinator_.OnBoardChange(change);
     };
     handlers.on_snapshot = [](const std::set<std::string>&) {};
-    handlers.on_current = [this] {
-      board_tail_.set_pace(coordinator_.leading() ? Milliseconds(0)
-                                                  : kFollowerPace);
+    handlers.on_caught_up = [this] {
+      board_tail_.set_min_read_interval(coordinator_.leading() ? Milliseconds(0)
+                                                               : kFollowerPace);
       SpreadRetries();
-      coordinator_.OnBoardContact(board_tail_.latency());
-      if (board_contact_.OnContact(board_tail_.next())) WakeStreams();
+      coordinator_.OnBoardCaughtUp(board_tail_.latency());
+      if (board_contact_.OnReadSucceeded(board_tail_.next_offset()))
+        WakeStreams();
       survey_.OnReadSucceeded();
-      roll_.OnCurrent();
+      roll_.OnBoardCaughtUp();
     };
     handlers.on_failure = [this](const Error& error) {
-      board_contact_.OnFailure(error);
+      board_contact_.OnReadFailed(error);
       survey_.OnReadFailed();
     };
     return handlers;
@@ -284,13 +285,14 @@
     handlers.on_snapshot = [this](const std::set<std::string>& keys) {
       TakeOperatorSnapshot(keys);
     };
-    handlers.on_current = [this] {
-      if (configuration_contact_.OnContact(configuration_tail_.next())) {
+    handlers.on_caught_up = [this] {
+      if (configuration_contact_.OnReadSucceeded(
+              configuration_tail_.next_offset())) {
         WakeStreams();
       }
     };
     handlers.on_failure = [this](const Error& error) {
-      configuration_contact_.OnFailure(error);
+      configuration_contact_.OnReadFailed(error);
     };
     return handlers;
   }
@@ -298,16 +300,16 @@
   void SpreadRetries() {
     const auto longest = std::chrono::duration_cast<Milliseconds>(
         kRetryPerEntry * board_.entries().size());
-    board_tail_.set_longest_retry(longest);
-    configuration_tail_.set_longest_retry(longest);
+    board_tail_.set_max_retry_delay(longest);
+    configuration_tail_.set_max_retry_delay(longest);
   }
 
   // The store answers again: each stream that is lost yet is read at once,
   // since callers are refused until both are back.
   void WakeStreams() {
-    board_tail_.Wake(kRefreshTimeout);
-    configuration_tail_.Wake(kRefreshTimeout);
-    coordinator_.OnStoreBack();
+    board_tail_.RetryIfLost(kRefreshTimeout);
+    configuration_tail_.RetryIfLost(kRefreshTimeout);
+    coordinator_.OnStoreRecovered();
   }
 
   void TakeOperatorRecord(const KeyedRecord& record) {
@@ -317,7 +319,7 @@
     if (!closed_domains_.Apply(domain, closed, record.offset)) return;
     LogEvent(closed ? events::kDomainClosed : events::kDomainOpened,
              {{"failure_domain", domain}, {"offset", record.offset}});
-    coordinator_.OnDomainsChanged();
+    coordinator_.OnClosedDomainsChanged();
   }
 
   // The operators' stream was read anew; keys outside the set are gone.
@@ -327,12 +329,12 @@
       const std::string domain = formats_.ClosedDomainOf(key);
       if (!domain.empty()) closed.insert(domain);
     }
-    const int64_t next = configuration_tail_.next();
+    const int64_t next = configuration_tail_.next_offset();
     for (const std::string& domain : closed_domains_.OnSnapshot(closed, next)) {
       LogEvent(events::kDomainOpened,
                {{"failure_domain", domain}, {"offset", next}});
     }
-    coordinator_.OnDomainsChanged();
+    coordinator_.OnClosedDomainsChanged();
   }
 
   // A version that was seen once is never left for an older one.
@@ -358,12 +360,12 @@
   CallerServiceSettings CallerSettings() const {
     CallerServiceSettings settings;
     settings.board = {kJobStream, kBoardPartition};
-    settings.configuration_age = ConfigurationAge(settings_);
+    settings.max_configuration_age = ConfigurationAge(settings_);
     return settings;
   }
 
-  CallerService::Surroundings CallerSurroundings() {
-    CallerService::Surroundings surroundings;
+  CallerService::Dependencies CallerSurroundings() {
+    CallerService::Dependencies surroundings;
     surroundings.configuration = [this]() -> const ServingConfiguration* {
       return configuration_ ? &*configuration_ : nullptr;
     };
@@ -383,13 +385,13 @@
     settings.holder = Holder(settings_);
     settings.rank = Rank(settings_);
     settings.board = {kJobStream, kBoardPartition};
-    settings.state_kept = settings_.state_kept + std::chrono::seconds(30);
+    settings.job_retention = settings_.state_kept + std::chrono::seconds(30);
     settings.bounds = BoundsOf(settings_);
     return settings;
   }
 
-  ClusterCoordinator::Surroundings CoordinatorSurroundings() {
-    ClusterCoordinator::Surroundings surroundings;
+  ClusterCoordinator::Dependencies CoordinatorSurroundings() {
+    ClusterCoordinator::Dependencies surroundings;
     surroundings.board = &board_;
     surroundings.configuration = [this]() -> const ServingConfiguration& {
       static const ServingConfiguration kNone;
@@ -398,7 +400,9 @@
     surroundings.closed_domains = [this]() -> const std::set<std::string>& {
       return closed_domains_.closed();
     };
-    surroundings.board_next = [this] { return board_tail_.next(); };
+    surroundings.board_next_offset = [this] {
+      return board_tail_.next_offset();
+    };
     surroundings.board_as_of = [this] { return board_tail_.as_of(); };
     surroundings.refresh_board = [this](std::function<void(bool)> done) {
       board_tail_.CatchUp(kRefreshTimeout, std::move(done));
@@ -440,10 +444,10 @@
   std::optional<ServingConfiguration> configuration_;
   ClosedDomains closed_domains_;
   EntryClient entry_client_;
-  EntryRoll roll_;
+  EntryRegistration roll_;
   ReachabilityPoller survey_;
-  StreamContact board_contact_{"board"};
-  StreamContact configuration_contact_{"configuration"};
+  StreamReachability board_contact_{"board"};
+  StreamReachability configuration_contact_{"configuration"};
   RecordTail board_tail_;
   RecordTail configuration_tail_;
   CallerService callers_;
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -43,14 +43,14 @@
                                        RecordStore& store, WorkerCalls& calls,
                                        const Formats& formats,
                                        ClusterCoordinatorSettings settings,
-                                       Surroundings surroundings,
+                                       Dependencies dependencies,
                                        MetricsRegistry& metrics)
     : io_(io),
       store_(store),
       calls_(calls),
       formats_(formats),
       settings_(std::move(settings)),
-      surroundings_(std::move(surroundings)),
+      dependencies_(std::move(dependencies)),
       first_sequence_(FirstSequence(settings_.holder)),
       election_(LeaderElectionSettings(), settings_.holder, settings_.rank),
       planner_(PlanningFor(settings_)),
@@ -67,7 +67,7 @@
 void ClusterCoordinator::OnTick() {
   const Time now = Now();
   if (phase_ == Phase::kFollowing && !released_ && now >= next_claim_ &&
-      election_.ShouldClaim(surroundings_.board->leader(), now)) {
+      election_.ShouldClaim(dependencies_.board->leader(), now)) {
     Claim();
   }
   if (phase_ == Phase::kLeading) {
@@ -88,24 +88,24 @@
   });
 }
 
-void ClusterCoordinator::OnBoardContact(Duration latency) {
+void ClusterCoordinator::OnBoardCaughtUp(Duration latency) {
   election_.OnContact(latency, Now());
 }
 
-void ClusterCoordinator::OnDomainsChanged() {
+void ClusterCoordinator::OnClosedDomainsChanged() {
   if (!fleet_) return;
-  fleet_->CloseDomains(surroundings_.closed_domains());
+  fleet_->CloseDomains(dependencies_.closed_domains());
   SchedulePlanning();
 }
 
-void ClusterCoordinator::OnStoreBack() {
-  if (directory_) directory_->Wake(settings_.store_timeout);
+void ClusterCoordinator::OnStoreRecovered() {
+  if (directory_) directory_->RetryIfLost(settings_.store_timeout);
 }
 
 void ClusterCoordinator::OnBoardChange(const BoardChange& change) {
   switch (change.kind) {
     case BoardChange::Kind::kLeader: {
-      const LeaderRecord& leader = surroundings_.board->leader();
+      const LeaderRecord& leader = dependencies_.board->leader();
       election_.OnLeaderRecord(leader, Now());
       TellLeader(leader);
       const bool mine = leader.holder == settings_.holder;
@@ -138,10 +138,11 @@
                      leader.released == told_leader_.released;
   told_leader_ = leader;
   if (known) return;
-  LogEvent(events::kLeaderSeen, {{"holder", leader.holder},
-                                 {"epoch", leader.epoch},
-                                 {"released", leader.released},
-                                 {"board_next", surroundings_.board_next()}});
+  LogEvent(events::kLeaderSeen,
+           {{"holder", leader.holder},
+            {"epoch", leader.epoch},
+            {"released", leader.released},
+            {"board_next", dependencies_.board_next_offset()}});
 }
 
 // A claim is stored only if the board still ends where this entry has read to,
@@ -149,12 +150,12 @@
 // read a busy board too seldom for that: the board is read just before.
 void ClusterCoordinator::Claim() {
   phase_ = Phase::kClaiming;
-  surroundings_.refresh_board([this, generation = generation_,
+  dependencies_.refresh_board([this, generation = generation_,
                                current = *generation_](bool current_view) {
     if (*generation != current || phase_ != Phase::kClaiming) return;
     const bool vacant =
         current_view && !released_ &&
-        election_.ShouldClaim(surroundings_.board->leader(), Now());
+        election_.ShouldClaim(dependencies_.board->leader(), Now());
     if (vacant) return SendClaim();
     phase_ = Phase::kFollowing;
     if (!current_view) next_claim_ = Now() + kClaimRetry;
@@ -162,12 +163,12 @@
 }
 
 void ClusterCoordinator::SendClaim() {
-  const int64_t epoch = surroundings_.board->leader().epoch + 1;
+  const int64_t epoch = dependencies_.board->leader().epoch + 1;
   claimed_epoch_ = epoch;
   AppendRequest request;
   request.partition = settings_.board;
   request.records = {JobBoard::Leader({settings_.holder, epoch, false})};
-  request.expected_end = surroundings_.board_next();
+  request.expected_end = dependencies_.board_next_offset();
   request.producer = ProducerPosition{kProducer, epoch, first_sequence_};
   LogEvent(events::kLeadClaimed,
            {{"epoch", epoch}, {"expected_end", *request.expected_end}});
@@ -188,7 +189,7 @@
   // An unknown claim that was stored shows in the board, and so does the one
   // that was faster.
   next_claim_ = Now() + kClaimRetry;
-  surroundings_.refresh_board([](bool) {});
+  dependencies_.refresh_board([](bool) {});
 }
 
 void ClusterCoordinator::BeginLead(int64_t epoch) {
@@ -230,7 +231,7 @@
 }
 
 void ClusterCoordinator::LoadProgress(const std::string& after_key) {
-  store_.Newest(
+  store_.ReadNewest(
       settings_.board, after_key, settings_.store_timeout,
       [this, after_key, generation = generation_,
        current = *generation_](const NewestPage& page) {
@@ -286,7 +287,7 @@
   handlers.profile_of = [this](const TaskRef& task) { return ProfileOf(task); };
   handlers.is_known = [this](const std::string& service) {
     // Before the first configuration nothing can be told a stray.
-    const ServingConfiguration& configuration = surroundings_.configuration();
+    const ServingConfiguration& configuration = dependencies_.configuration();
     return configuration.queues.empty() || configuration.KnowsService(service);
   };
   handlers.on_ticket_refused = [this](const StepRef& step,
@@ -298,8 +299,8 @@
     ScheduleStepDown("a worker obeys a higher epoch");
   };
   fleet_ = std::make_unique<WorkerFleet>(calls_, formats_, fleet, handlers);
-  fleet_->CloseDomains(surroundings_.closed_domains());
-  advice_ = std::make_unique<AdviceDesk>(surroundings_.advisor,
+  fleet_->CloseDomains(dependencies_.closed_domains());
+  advice_ = std::make_unique<AdviceDesk>(dependencies_.advisor,
                                          [this] { SchedulePlanning(); });
 
   phase_ = Phase::kLeading;
@@ -309,7 +310,7 @@
   begun_jobs_.clear();
   published_ends_.clear();
   finished_.clear();
-  for (const auto& [id, job] : surroundings_.board->jobs()) {
+  for (const auto& [id, job] : dependencies_.board->jobs()) {
     AdoptJob(id);
   }
   const Time now = Now();
@@ -319,7 +320,7 @@
       stored_blocks_.insert({ref, number});
     }
     // An ended job whose runs are not settled is still needed for them.
-    const BoardJob* job = surroundings_.board->Find(ref.job);
+    const BoardJob* job = dependencies_.board->Find(ref.job);
     if (job == nullptr) continue;
     if (ledger_.Find(ref.job) == nullptr) ledger_.Add(*job->spec, now);
     if (!ledger_.Restore(ref, blocks)) {
@@ -331,22 +332,23 @@
     ++inherited;
   }
   for (const auto& [ref, blocks] : loaded_) {
-    const BoardJob* job = surroundings_.board->Find(ref.job);
+    const BoardJob* job = dependencies_.board->Find(ref.job);
     if (job == nullptr) continue;
     ledger_.AdoptState(ref.job, job->published);
     if (job->cancelled) ledger_.Cancel(ref.job);
     if (IsTerminal(job->published)) published_ends_.insert(ref.job);
   }
   loaded_.clear();
-  LogEvent(events::kLeadTaken, {{"epoch", epoch_},
-                                {"board_next", surroundings_.board_next()},
-                                {"jobs", ledger_.jobs().size()},
-                                {"steps", inherited}});
+  LogEvent(events::kLeadTaken,
+           {{"epoch", epoch_},
+            {"board_next", dependencies_.board_next_offset()},
+            {"jobs", ledger_.jobs().size()},
+            {"steps", inherited}});
   WriteHeartbeat(/*released=*/false, nullptr);
 
   RecordTailSettings tail;
   tail.partition = formats_.streams().workers;
-  tail.pace = settings_.directory_pace;
+  tail.min_read_interval = settings_.directory_pace;
   RecordTail::Handlers directory;
   directory.on_record = [this](const KeyedRecord& record) {
     fleet_->OnDirectoryRecord(record, Now());
@@ -354,13 +356,13 @@
   directory.on_snapshot = [this](const std::set<std::string>& ids) {
     fleet_->OnDirectorySnapshot(ids, Now());
   };
-  directory_contact_ = StreamContact("directory");
-  directory.on_current = [this] {
-    directory_contact_.OnContact(directory_->next());
+  directory_reachability_ = StreamReachability("directory");
+  directory.on_caught_up = [this] {
+    directory_reachability_.OnReadSucceeded(directory_->next_offset());
     fleet_->OnDirectoryContact(Now());
   };
   directory.on_failure = [this](const Error& error) {
-    directory_contact_.OnFailure(error);
+    directory_reachability_.OnReadFailed(error);
   };
   directory_ = std::make_unique<RecordTail>(io_, store_, tail, directory);
   directory_->Start();
@@ -370,7 +372,7 @@
 
 // Takes over from the board what it says of a job.
 void ClusterCoordinator::AdoptJob(const std::string& id) {
-  const BoardJob* job = surroundings_.board->Find(id);
+  const BoardJob* job = dependencies_.board->Find(id);
   if (job == nullptr) return;
   if (ledger_.Find(id) == nullptr) {
     if (IsTerminal(job->published) || finished_.count(id) > 0) return;
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -27,29 +27,31 @@
   }
 
   void CatchUp(Milliseconds timeout, std::function<void(bool)> done) {
-    if (!started_ || stopped_) return done(false);
+    if (!has_snapshot_ || stopped_) return done(false);
     const BootTime begun = BootClock::now();
-    store_.Read(settings_.partition, next_, Milliseconds(0), timeout,
+    store_.Read(settings_.partition, next_offset_, Milliseconds(0), timeout,
                 [self = shared_from_this(), begun,
                  done = std::move(done)](const ReadResult& result) {
                   if (self->stopped_) return done(false);
                   const bool read = result.outcome == ReadOutcome::kRead;
                   if (read) self->Take(result, begun);
-                  done(read && self->next_ >= result.end);
+                  done(read && self->next_offset_ >= result.end);
                 });
   }
 
-  void Wake(Milliseconds timeout) {
+  void RetryIfLost(Milliseconds timeout) {
     if (lost_) CatchUp(timeout, [](bool) {});
   }
 
-  bool started() const { return started_; }
-  int64_t next() const { return next_; }
+  bool has_snapshot() const { return has_snapshot_; }
+  int64_t next_offset() const { return next_offset_; }
   BootTime as_of() const { return as_of_; }
   Duration latency() const { return latency_; }
-  void set_pace(Milliseconds pace) { settings_.pace = pace; }
-  void set_longest_retry(Milliseconds longest) {
-    settings_.longest_retry = longest;
+  void set_min_read_interval(Milliseconds interval) {
+    settings_.min_read_interval = interval;
+  }
+  void set_max_retry_delay(Milliseconds longest) {
+    settings_.max_retry_delay = longest;
   }
 
  private:
@@ -61,11 +63,11 @@
   }
 
   void NextPage(const std::string& after_key) {
-    store_.Newest(settings_.partition, after_key,
-                  settings_.wait + settings_.patience,
-                  [self = shared_from_this()](const NewestPage& page) {
-                    if (!self->stopped_) self->OnPage(page);
-                  });
+    store_.ReadNewest(settings_.partition, after_key,
+                      settings_.long_poll_wait + settings_.response_timeout,
+                      [self = shared_from_this()](const NewestPage& page) {
+                        if (!self->stopped_) self->OnPage(page);
+                      });
   }
 
   void OnPage(const NewestPage& page) {
@@ -82,12 +84,12 @@
     if (page.has_more && !page.records.empty()) {
       return NextPage(page.records.back().key);
     }
-    next_ = *snapshot_end_;
+    next_offset_ = *snapshot_end_;
     as_of_ = std::max(as_of_, snapshot_begun_);
-    started_ = true;
+    has_snapshot_ = true;
     lost_ = false;
     handlers_.on_snapshot(snapshot_keys_);
-    handlers_.on_current();
+    handlers_.on_caught_up();
     Poll();
   }
 
@@ -101,10 +103,10 @@
   // After a failure a read does not wait: what is asked is whether the store is
   // back, and an idle stream would tell only a whole wait later.
   void Poll() {
-    const PollBegin begin{lost_ ? Milliseconds(0) : settings_.wait,
+    const PollBegin begin{lost_ ? Milliseconds(0) : settings_.long_poll_wait,
                           BootClock::now(), std::chrono::steady_clock::now()};
-    store_.Read(settings_.partition, next_, begin.wait,
-                begin.wait + settings_.patience,
+    store_.Read(settings_.partition, next_offset_, begin.wait,
+                begin.wait + settings_.response_timeout,
                 [self = shared_from_this(), begin](const ReadResult& result) {
                   if (!self->stopped_) self->OnPolled(result, begin);
                 });
@@ -120,8 +122,8 @@
         std::chrono::steady_clock::now() - begin.steady);
     NoteLatency(used, result.records.empty(), begin.wait);
     Take(result, begin.boot);
-    if (used >= settings_.pace) return Poll();
-    After(settings_.pace - used, [this] { Poll(); });
+    if (used >= settings_.min_read_interval) return Poll();
+    After(settings_.min_read_interval - used, [this] { Poll(); });
   }
 
   // A read that brought a record may have waited for it, so it tells only that
@@ -134,26 +136,26 @@
     }
   }
 
-  // Reads may overlap: records behind `next_` only.
+  // Reads may overlap: records behind `next_offset_` only.
   void Take(const ReadResult& result, BootTime begun) {
     for (const KeyedRecord& record : result.records) {
-      if (record.offset < next_) continue;
-      next_ = record.offset + 1;
+      if (record.offset < next_offset_) continue;
+      next_offset_ = record.offset + 1;
       handlers_.on_record(record);
     }
     lost_ = false;
-    if (next_ < result.end) return;
+    if (next_offset_ < result.end) return;
     as_of_ = std::max(as_of_, begun);
-    handlers_.on_current();
+    handlers_.on_caught_up();
   }
 
   // A read has failed: how long to wait before the next.
   Milliseconds NextRetry() {
     constexpr double kJitter = 0.25;
-    if (!lost_) backoff_ = settings_.retry;
+    if (!lost_) backoff_ = settings_.initial_retry_delay;
     lost_ = true;
     const Milliseconds longest =
-        std::max(settings_.retry, settings_.longest_retry);
+        std::max(settings_.initial_retry_delay, settings_.max_retry_delay);
     const Milliseconds delay = std::min(backoff_, longest);
     backoff_ = std::min(backoff_ * 2, longest);
     std::uniform_real_distribution<double> factor(1 - kJitter, 1 + kJitter);
@@ -174,13 +176,13 @@
   const Handlers handlers_;
   boost::asio::steady_timer timer_;
   bool stopped_ = false;
-  bool started_ = false;
+  bool has_snapshot_ = false;
   std::mt19937 random_;
   // The last read failed.
   bool lost_ = false;
   // After the next failure in a row.
   Milliseconds backoff_{0};
-  int64_t next_ = 0;
+  int64_t next_offset_ = 0;
   BootTime as_of_{};
   Duration latency_{};
   std::set<std::string> snapshot_keys_;
@@ -198,14 +200,18 @@
 void RecordTail::CatchUp(Milliseconds timeout, std::function<void(bool)> done) {
   impl_->CatchUp(timeout, std::move(done));
 }
-void RecordTail::Wake(Milliseconds timeout) { impl_->Wake(timeout); }
-bool RecordTail::started() const { return impl_->started(); }
-int64_t RecordTail::next() const { return impl_->next(); }
+void RecordTail::RetryIfLost(Milliseconds timeout) {
+  impl_->RetryIfLost(timeout);
+}
+bool RecordTail::has_snapshot() const { return impl_->has_snapshot(); }
+int64_t RecordTail::next_offset() const { return impl_->next_offset(); }
 BootTime RecordTail::as_of() const { return impl_->as_of(); }
 Duration RecordTail::latency() const { return impl_->latency(); }
-void RecordTail::set_pace(Milliseconds pace) { impl_->set_pace(pace); }
-void RecordTail::set_longest_retry(Milliseconds longest) {
-  impl_->set_longest_retry(longest);
+void RecordTail::set_min_read_interval(Milliseconds interval) {
+  impl_->set_min_read_interval(interval);
+}
+void RecordTail::set_max_retry_delay(Milliseconds longest) {
+  impl_->set_max_retry_delay(longest);
 }
 
 }  // namespace thornplank
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -308,9 +308,9 @@
       break;
     case CallOutcome::kFenced:
       return handlers_.on_fenced();
-    case CallOutcome::kOtherLife:
+    case CallOutcome::kOtherIncarnation:
       return Bury(id, LifeEnd::kCrashed);
-    case CallOutcome::kNobodyThere:
+    case CallOutcome::kConnectionRefused:
       link.departure.OnNobodyThere(now);
       [[fallthrough]];
     case CallOutcome::kRefused:
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -32,8 +32,8 @@
   static RecordTailSettings Settings(Milliseconds wait, Milliseconds retry) {
     RecordTailSettings settings;
     settings.partition = kPartition;
-    settings.wait = wait;
-    settings.retry = retry;
+    settings.long_poll_wait = wait;
+    settings.initial_retry_delay = retry;
     return settings;
   }
 
@@ -53,7 +53,7 @@
         if (keys.count(entry->first) == 0) values.erase(entry);
       }
     };
-    handlers.on_current = [] {};
+    handlers.on_caught_up = [] {};
     handlers.on_failure = [this](const Error&) { ++failures; };
     return handlers;
   }
@@ -70,12 +70,12 @@
 }
 
 // Reads that fail at once in 300 ms, with the time that passes between two.
-int FailedReads(Milliseconds longest_retry) {
+int FailedReads(Milliseconds max_retry_delay) {
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Follower follower(io, store);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
-  follower.tail().set_longest_retry(longest_retry);
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
+  follower.tail().set_max_retry_delay(max_retry_delay);
   store.up = false;
   store.refuses = true;
   const auto end = std::chrono::steady_clock::now() + Milliseconds(300);
@@ -132,7 +132,7 @@
   FakeRecordStore store(io);
   Put(&store, "a", "1");
   Follower follower(io, store);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   store.up = false;
   REQUIRE(RunUntil(io, [&] { return follower.failures > 1; }));
   const BootTime as_of = follower.tail().as_of();
@@ -150,7 +150,7 @@
   FakeRecordStore store(io);
   store.refuses = true;
   Follower follower(io, store, kLongWait);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   store.up = false;
   REQUIRE(RunUntil(io, [&] { return follower.failures > 1; }));
   const BootTime as_of = follower.tail().as_of();
@@ -163,15 +163,15 @@
   FakeRecordStore store(io);
   store.refuses = true;
   Follower follower(io, store, Milliseconds(50), /*retry=*/kLongWait);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   const int before = store.reads;
-  follower.tail().Wake(Milliseconds(500));
+  follower.tail().RetryIfLost(Milliseconds(500));
   CHECK(store.reads == before);
   store.up = false;
   REQUIRE(RunUntil(io, [&] { return follower.failures > 0; }));
   const BootTime as_of = follower.tail().as_of();
   store.up = true;
-  follower.tail().Wake(Milliseconds(500));
+  follower.tail().RetryIfLost(Milliseconds(500));
   CHECK(RunUntil(io, [&] { return follower.tail().as_of() > as_of; }));
 }
 
@@ -179,8 +179,8 @@
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Follower follower(io, store);
-  REQUIRE(RunUntil(io, [&] { return follower.tail().started(); }));
-  follower.tail().set_pace(std::chrono::seconds(60));
+  REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
+  follower.tail().set_min_read_interval(std::chrono::seconds(60));
   Put(&store, "a", "1");
   bool caught_up = false;
   follower.tail().CatchUp(Milliseconds(500),
