--- a/src/libs/membership/membership_table.cc
+++ b/src/libs/membership/membership_table.cc
@@ -1,4 +1,4 @@
-// Heartbeats, suspicion, and ownership of keys.
+// State transitions of members, and ownership of keys.
 #include "membership/membership_table.h"
 
 #include <xxhash.h>
@@ -10,15 +10,15 @@
 namespace {
 
 constexpr size_t kMaxRetiredIncarnations = 8;
-// A tick that is this many heartbeat intervals late means that this process
-// did not run.
+// Ticks this many heartbeat intervals apart mean that this process was paused.
 constexpr int kPauseIntervals = 3;
-// Weights of the smoothed gap and deviation, as for retransmission timers.
-constexpr int kGapWeight = 8;
-constexpr int kDeviationWeight = 4;
-// The bound is this many gaps plus this many deviations.
-constexpr int kBoundGaps = 2;
-constexpr int kBoundDeviations = 4;
+// Divisors of the exponential smoothing of the gap and its deviation, as in the
+// estimation of TCP retransmission timeouts.
+constexpr int kGapDivisor = 8;
+constexpr int kDeviationDivisor = 4;
+// A member becomes suspect after this many mean gaps plus this many deviations.
+constexpr int kSuspectGaps = 2;
+constexpr int kSuspectDeviations = 4;
 
 void ChangeState(Member* member, MemberState to, std::string reason, Time now,
                  MembershipTable::Changes* changes) {
@@ -29,7 +29,7 @@
   member->state_since = now;
 }
 
-MemberState HeardState(bool ready, bool leaving) {
+MemberState StateFromHeartbeat(bool ready, bool leaving) {
   if (leaving) return MemberState::kLeaving;
   return ready ? MemberState::kAlive : MemberState::kJoining;
 }
@@ -38,7 +38,7 @@
   return state == MemberState::kSuspect || state == MemberState::kDead;
 }
 
-uint64_t Score(const std::string& name, std::string_view key) {
+uint64_t RendezvousScore(const std::string& name, std::string_view key) {
   const uint64_t seed = XXH3_64bits(name.data(), name.size());
   return XXH3_64bits_withSeed(key.data(), key.size(), seed);
 }
@@ -75,8 +75,8 @@
                                                           bool leaving,
                                                           Time now) {
   Changes changes;
-  ChangeState(&members_[self_], HeardState(ready, leaving), "own readiness",
-              now, &changes);
+  ChangeState(&members_[self_], StateFromHeartbeat(ready, leaving),
+              "own readiness", now, &changes);
   return changes;
 }
 
@@ -84,15 +84,15 @@
     const Heartbeat& heartbeat, Time now) {
   Changes changes;
   const bool known = IsCurrent(heartbeat.sender);
-  Member* member = Admit(heartbeat.sender, now);
-  if (member == nullptr || heartbeat.sequence <= member->sequence) {
+  Member* member = FindOrAdd(heartbeat.sender, now);
+  if (member == nullptr || heartbeat.sequence <= member->last_sequence) {
     return changes;
   }
-  const bool first = member->sequence == 0;
-  if (!first) LearnGap(member, now);
-  member->sequence = heartbeat.sequence;
+  const bool first = member->last_sequence == 0;
+  if (!first) UpdateGapEstimate(member, now);
+  member->last_sequence = heartbeat.sequence;
   member->last_heard = now;
-  const MemberState to = HeardState(heartbeat.ready, heartbeat.leaving);
+  const MemberState to = StateFromHeartbeat(heartbeat.ready, heartbeat.leaving);
   if (!known) {
     member->state = to;
     changes.push_back({member->identity.name, member->identity.incarnation,
@@ -109,7 +109,7 @@
     const MemberIdentity& peer, Time now) {
   Changes changes;
   const bool known = IsCurrent(peer);
-  Member* member = Admit(peer, now);
+  Member* member = FindOrAdd(peer, now);
   if (member == nullptr) return changes;
   member->linked = true;
   if (!known) {
@@ -132,12 +132,12 @@
 
 MembershipTable::Changes MembershipTable::HandleTick(Time now) {
   Changes changes;
-  if (!ForgivePause(now)) {
+  if (!CompensateForPause(now)) {
     for (auto& [name, member] : members_) {
       if (name == self_) continue;
-      CheckSilence(&member, now, &changes);
+      CheckForSilence(&member, now, &changes);
     }
-    ForgetDead(now);
+    RemoveExpiredDead(now);
   }
   last_tick_ = now;
   return changes;
@@ -157,7 +157,7 @@
   uint64_t best = 0;
   for (const auto& [name, member] : members_) {
     if (member.state != MemberState::kAlive) continue;
-    const uint64_t score = Score(name, key);
+    const uint64_t score = RendezvousScore(name, key);
     if (owner && score <= best) continue;
     owner = name;
     best = score;
@@ -171,58 +171,59 @@
          found->second.identity.incarnation == identity.incarnation;
 }
 
-Member* MembershipTable::Admit(const MemberIdentity& identity, Time now) {
+Member* MembershipTable::FindOrAdd(const MemberIdentity& identity, Time now) {
   if (identity.name == self_) return nullptr;
   Member& member = members_[identity.name];
   if (member.identity.incarnation == identity.incarnation) return &member;
-  if (std::count(member.retired.begin(), member.retired.end(),
-                 identity.incarnation) > 0) {
+  if (std::count(member.retired_incarnations.begin(),
+                 member.retired_incarnations.end(), identity.incarnation) > 0) {
     return nullptr;
   }
-  Member fresh;
-  fresh.retired = std::move(member.retired);
+  Member added;
+  added.retired_incarnations = std::move(member.retired_incarnations);
   if (!member.identity.incarnation.empty()) {
-    fresh.retired.push_back(member.identity.incarnation);
-    if (fresh.retired.size() > kMaxRetiredIncarnations) {
-      fresh.retired.pop_front();
+    added.retired_incarnations.push_back(member.identity.incarnation);
+    if (added.retired_incarnations.size() > kMaxRetiredIncarnations) {
+      added.retired_incarnations.pop_front();
     }
   }
-  fresh.identity = identity;
-  fresh.state_since = now;
-  fresh.last_heard = now;
-  fresh.linked = true;
-  fresh.mean_gap = settings_.heartbeat_interval;
-  member = std::move(fresh);
+  added.identity = identity;
+  added.state_since = now;
+  added.last_heard = now;
+  added.linked = true;
+  added.mean_gap = settings_.heartbeat_interval;
+  member = std::move(added);
   return &member;
 }
 
-void MembershipTable::LearnGap(Member* member, Time now) const {
-  // A gap in which the member was taken for silent is no measure of its pace.
+void MembershipTable::UpdateGapEstimate(Member* member, Time now) const {
+  // A gap during which the member was suspect or dead says nothing about its
+  // usual heartbeat interval.
   if (IsSilent(member->state)) return;
   const Duration gap =
       std::min<Duration>(now - member->last_heard, settings_.max_suspect_after);
   const Duration error = gap - member->mean_gap;
-  member->mean_gap += error / kGapWeight;
+  member->mean_gap += error / kGapDivisor;
   member->gap_deviation +=
-      (std::chrono::abs(error) - member->gap_deviation) / kDeviationWeight;
+      (std::chrono::abs(error) - member->gap_deviation) / kDeviationDivisor;
 }
 
 Duration MembershipTable::SuspectAfter(const Member& member) const {
   if (!member.linked) return settings_.unlinked_suspect_after;
-  const Duration bound =
-      kBoundGaps * member.mean_gap + kBoundDeviations * member.gap_deviation;
+  const Duration bound = kSuspectGaps * member.mean_gap +
+                         kSuspectDeviations * member.gap_deviation;
   return std::clamp<Duration>(bound, settings_.min_suspect_after,
                               settings_.max_suspect_after);
 }
 
 Duration MembershipTable::DeadAfter(const Member& member) const {
   const bool listed = listed_.count(member.identity.name) > 0;
-  const bool list_known = !listed_.empty();
-  return list_known && !listed ? settings_.dead_after / 2
-                               : settings_.dead_after;
+  const bool list_received = !listed_.empty();
+  return list_received && !listed ? settings_.dead_after / 2
+                                  : settings_.dead_after;
 }
 
-bool MembershipTable::ForgivePause(Time now) {
+bool MembershipTable::CompensateForPause(Time now) {
   const Duration gap = now - last_tick_;
   if (gap < kPauseIntervals * settings_.heartbeat_interval) return false;
   for (auto& [name, member] : members_) {
@@ -232,8 +233,8 @@
   return true;
 }
 
-void MembershipTable::CheckSilence(Member* member, Time now,
-                                   Changes* changes) const {
+void MembershipTable::CheckForSilence(Member* member, Time now,
+                                      Changes* changes) const {
   if (member->state == MemberState::kDead) return;
   if (member->state == MemberState::kSuspect) {
     if (now - member->state_since < DeadAfter(*member)) return;
@@ -246,7 +247,7 @@
               member->linked ? "heartbeats missed" : "link down", now, changes);
 }
 
-void MembershipTable::ForgetDead(Time now) {
+void MembershipTable::RemoveExpiredDead(Time now) {
   for (auto it = members_.begin(); it != members_.end();) {
     const Member& member = it->second;
     const bool forget = member.state == MemberState::kDead &&
--- a/src/libs/membership/membership_table.h
+++ b/src/libs/membership/membership_table.h
@@ -1,10 +1,10 @@
-// Which entries are alive, decided from heartbeats, links and the passing of
-// time. No I/O.
+// A failure detector: decides from heartbeats, links and elapsed time which
+// entries are alive. No I/O, not thread-safe.
 //
-// Observation decides; the lagging instance list is a hint. It shortens the
-// wait for a member that is silent already, and lets dead members be
-// forgotten. Alone it neither ends a member that is heard nor revives one
-// that is not.
+// The instance list lags and is therefore only a hint. A member that is not on
+// it is declared dead sooner once it is silent, and is removed some time after
+// its death. The list alone neither makes a member dead that still sends
+// heartbeats nor makes a silent one alive.
 #ifndef THORNPLANK_MEMBERSHIP_MEMBERSHIP_TABLE_H_
 #define THORNPLANK_MEMBERSHIP_MEMBERSHIP_TABLE_H_
 
@@ -22,13 +22,13 @@
 namespace thornplank {
 
 enum class MemberState {
-  // Heard, but its heartbeats say that it does not take work yet.
+  // Linked or sending heartbeats, but not yet ready for work.
   kJoining,
   kAlive,
   // Silent for longer than expected.
   kSuspect,
   kDead,
-  // Heard, and shutting down.
+  // Sending heartbeats that announce its shutdown.
   kLeaving,
 };
 
@@ -36,15 +36,18 @@
 
 struct MembershipSettings {
   Milliseconds heartbeat_interval{500};
-  // Bounds of the silence after which a member is suspect. Between them the
-  // bound follows the gaps seen between its heartbeats.
+  // Limits of the time without a heartbeat after which a member becomes
+  // suspect. Between them that time depends on the observed gaps between its
+  // heartbeats.
   Milliseconds min_suspect_after{1500};
   Milliseconds max_suspect_after{4000};
-  // The same for a member whose link is down.
+  // The time without a heartbeat after which a member whose link is down
+  // becomes suspect.
   Milliseconds unlinked_suspect_after{1000};
-  // From suspect to dead; half of it when the list does not hold the member.
+  // A suspect member becomes dead after this time, or after half of it when it
+  // is not on the instance list.
   Milliseconds dead_after{3000};
-  // Dead members off the list are forgotten after this time.
+  // Dead members that are not on the instance list are removed after this time.
   Milliseconds forget_after{60000};
 };
 
@@ -57,7 +60,7 @@
 
 struct Heartbeat {
   MemberIdentity sender;
-  // Grows with each heartbeat of an incarnation; begins at 1.
+  // Starts at 1 and increases with each heartbeat of an incarnation.
   uint64_t sequence = 0;
   bool ready = false;
   bool leaving = false;
@@ -66,7 +69,7 @@
 struct MembershipChange {
   std::string name;
   std::string incarnation;
-  // Empty for a member or an incarnation seen for the first time.
+  // nullopt for a member or an incarnation that is seen for the first time.
   std::optional<MemberState> from;
   MemberState to = MemberState::kJoining;
   std::string reason;
@@ -75,60 +78,63 @@
 struct Member {
   MemberIdentity identity;
   MemberState state = MemberState::kJoining;
-  // When `state` began.
+  // When the member entered `state`.
   Time state_since;
   bool linked = false;
-  uint64_t sequence = 0;
+  // Sequence number of the newest heartbeat; 0 before the first.
+  uint64_t last_sequence = 0;
   Time last_heard;
-  // Smoothed gap between heartbeats and its mean deviation.
+  // Smoothed gap between heartbeats, and its smoothed mean deviation.
   Duration mean_gap{0};
   Duration gap_deviation{0};
-  // Earlier incarnations, which are ignored; a bounded number.
-  std::deque<std::string> retired;
+  // Earlier incarnations, oldest first; their messages are ignored. Bounded.
+  std::deque<std::string> retired_incarnations;
 };
 
 class MembershipTable {
  public:
   using Changes = std::vector<MembershipChange>;
 
-  // This entry itself is a member too, never suspect or dead.
+  // This entry is itself a member of the table and never suspect or dead.
   MembershipTable(MembershipSettings settings, MemberIdentity self, Time now);
 
   Changes SetOwnReadiness(bool ready, bool leaving, Time now);
   Changes HandleHeartbeat(const Heartbeat& heartbeat, Time now);
   Changes HandleLinkUp(const MemberIdentity& peer, Time now);
   void HandleLinkDown(const MemberIdentity& peer);
-  // The names of all entries that the instance list holds.
+  // Sets the names of all entries on the instance list.
   void SetListedNames(const std::vector<std::string>& names);
-  // To be called about once every heartbeat interval.
+  // Must be called about once per heartbeat interval; detects silent members.
   Changes HandleTick(Time now);
 
-  // Names of the alive members, sorted; with this entry when it is ready.
+  // Names of the alive members, sorted; includes this entry when it is ready.
   std::vector<std::string> alive() const;
   // The alive member responsible for `key`, by rendezvous hashing: the loss
   // of a member moves only the keys it owned. nullopt when none is alive.
   std::optional<std::string> OwnerOf(std::string_view key) const;
-  // By name, with this entry.
+  // By name; includes this entry.
   const std::map<std::string, Member>& members() const { return members_; }
 
  private:
   bool IsCurrent(const MemberIdentity& identity) const;
-  // The member when `identity` is its newest incarnation, nullptr when it is
-  // an old one. An incarnation not known yet starts anew.
-  Member* Admit(const MemberIdentity& identity, Time now);
-  void LearnGap(Member* member, Time now) const;
+  // Returns the member with this identity, or nullptr for this entry itself and
+  // for an outdated incarnation. A new incarnation replaces the previous one.
+  Member* FindOrAdd(const MemberIdentity& identity, Time now);
+  void UpdateGapEstimate(Member* member, Time now) const;
   Duration SuspectAfter(const Member& member) const;
   Duration DeadAfter(const Member& member) const;
-  // Whether this process itself did not run for a while; then silence proves
-  // nothing.
-  bool ForgivePause(Time now);
-  void CheckSilence(Member* member, Time now, Changes* changes) const;
-  void ForgetDead(Time now);
+  // Detects that this process itself was paused since the last tick, when the
+  // silence of others proves nothing. If so, shifts the members' timestamps by
+  // the length of the pause and returns true.
+  bool CompensateForPause(Time now);
+  void CheckForSilence(Member* member, Time now, Changes* changes) const;
+  void RemoveExpiredDead(Time now);
 
   const MembershipSettings settings_;
   const std::string self_;
-  // Holds self_ always.
+  // By name; always contains self_.
   std::map<std::string, Member> members_;
+  // Names on the instance list; empty while no list has been received.
   std::set<std::string> listed_;
   Time last_tick_;
 };
--- a/tests/auto/membership/tst_membership_table.cc
+++ b/tests/auto/membership/tst_membership_table.cc
@@ -1,4 +1,5 @@
-// Who is taken for alive, by tables of what was seen.
+// States of members after given sequences of heartbeats, link events, lists and
+// ticks; ownership of keys.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -10,10 +11,10 @@
 namespace thornplank {
 namespace {
 
-// One thing that happens, at a time in milliseconds.
+// An event about the peer "b", or none until the given time (kAdvance).
 struct Step {
-  enum Kind { kBeat, kLinkUp, kLinkDown, kListed, kUnlisted, kTicksTo };
-  int at;
+  enum Kind { kHeartbeat, kLinkUp, kLinkDown, kListed, kUnlisted, kAdvance };
+  int at_ms;
   Kind kind;
   const char* incarnation = "1";
   uint64_t sequence = 0;
@@ -23,27 +24,27 @@
 
 Time At(int milliseconds) { return Time{} + Milliseconds(milliseconds); }
 
-// Feeds steps about the peer "b" to the table of "a", which ticks twice a
-// second up to each step.
-class Run {
+// Feeds steps about the peer "b" to the table of entry "a", which gets a tick
+// every 500 ms up to the time of each step, except for kLinkUp.
+class TableDriver {
  public:
-  Run() : table_(MembershipSettings(), {"a", "1", "north"}, At(0)) {
+  TableDriver() : table_(MembershipSettings(), {"a", "1", "north"}, At(0)) {
     table_.SetOwnReadiness(true, false, At(0));
   }
 
   void Feed(const Step& step) {
-    while (step.kind != Step::kLinkUp && tick_ + 500 <= step.at) {
-      tick_ += 500;
-      table_.HandleTick(At(tick_));
+    while (step.kind != Step::kLinkUp && last_tick_ms_ + 500 <= step.at_ms) {
+      last_tick_ms_ += 500;
+      table_.HandleTick(At(last_tick_ms_));
     }
     const MemberIdentity b{"b", step.incarnation, "south"};
     switch (step.kind) {
-      case Step::kBeat:
+      case Step::kHeartbeat:
         table_.HandleHeartbeat({b, step.sequence, step.ready, step.leaving},
-                               At(step.at));
+                               At(step.at_ms));
         break;
       case Step::kLinkUp:
-        table_.HandleLinkUp(b, At(step.at));
+        table_.HandleLinkUp(b, At(step.at_ms));
         break;
       case Step::kLinkDown:
         table_.HandleLinkDown(b);
@@ -54,7 +55,7 @@
       case Step::kUnlisted:
         table_.SetListedNames({"a"});
         break;
-      case Step::kTicksTo:
+      case Step::kAdvance:
         break;
     }
   }
@@ -64,104 +65,108 @@
 
  private:
   MembershipTable table_;
-  int tick_ = 0;
+  int last_tick_ms_ = 0;
 };
 
-constexpr auto kBeat = Step::kBeat;
-constexpr auto kTicksTo = Step::kTicksTo;
+constexpr auto kHeartbeat = Step::kHeartbeat;
+constexpr auto kAdvance = Step::kAdvance;
 
-TEST_CASE("the state of a peer follows what is seen of it") {
+TEST_CASE("the state of a peer follows from heartbeats, links and the list") {
   const struct {
     const char* what;
     std::vector<Step> steps;
     MemberState state;
   } cases[] = {
       {"linked only", {{0, Step::kLinkUp}}, MemberState::kJoining},
-      {"heard, not ready", {{0, kBeat, "1", 1, false}}, MemberState::kJoining},
-      {"heard", {{0, kBeat, "1", 1}}, MemberState::kAlive},
+      {"heard, not ready",
+       {{0, kHeartbeat, "1", 1, false}},
+       MemberState::kJoining},
+      {"heard", {{0, kHeartbeat, "1", 1}}, MemberState::kAlive},
       {"leaving",
-       {{0, kBeat, "1", 1}, {500, kBeat, "1", 2, true, true}},
+       {{0, kHeartbeat, "1", 1}, {500, kHeartbeat, "1", 2, true, true}},
        MemberState::kLeaving},
-      {"silent", {{0, kBeat, "1", 1}, {2000, kTicksTo}}, MemberState::kSuspect},
-      {"silent for long",
-       {{0, kBeat, "1", 1}, {5500, kTicksTo}},
+      {"silent",
+       {{0, kHeartbeat, "1", 1}, {2000, kAdvance}},
+       MemberState::kSuspect},
+      {"silent for a long time",
+       {{0, kHeartbeat, "1", 1}, {5500, kAdvance}},
        MemberState::kDead},
       {"link down",
-       {{0, kBeat, "1", 1}, {100, Step::kLinkDown}, {1000, kTicksTo}},
+       {{0, kHeartbeat, "1", 1}, {100, Step::kLinkDown}, {1000, kAdvance}},
        MemberState::kSuspect},
-      {"link down, heard again on a new one",
-       {{0, kBeat, "1", 1},
+      {"link down, heard again on a new link",
+       {{0, kHeartbeat, "1", 1},
         {100, Step::kLinkDown},
-        {1000, kTicksTo},
+        {1000, kAdvance},
         {1100, Step::kLinkUp},
-        {1100, kBeat, "1", 2}},
+        {1100, kHeartbeat, "1", 2}},
        MemberState::kAlive},
-      {"frozen and thawed",
-       {{0, kBeat, "1", 1}, {9000, kTicksTo}, {9100, kBeat, "1", 2}},
+      {"paused and resumed",
+       {{0, kHeartbeat, "1", 1}, {9000, kAdvance}, {9100, kHeartbeat, "1", 2}},
        MemberState::kAlive},
-      {"a delayed repeat of an old heartbeat",
-       {{0, kBeat, "1", 7}, {9000, kTicksTo}, {9100, kBeat, "1", 7}},
+      {"a delayed duplicate of an old heartbeat",
+       {{0, kHeartbeat, "1", 7}, {9000, kAdvance}, {9100, kHeartbeat, "1", 7}},
        MemberState::kDead},
       {"restarted under the same name",
-       {{0, kBeat, "1", 9}, {500, kBeat, "2", 1, false}},
+       {{0, kHeartbeat, "1", 9}, {500, kHeartbeat, "2", 1, false}},
        MemberState::kJoining},
-      {"the old incarnation thaws after the restart",
-       {{0, kBeat, "1", 9},
-        {500, kBeat, "2", 1, false},
-        {600, kBeat, "1", 10, true}},
+      {"the old incarnation resumes after the restart",
+       {{0, kHeartbeat, "1", 9},
+        {500, kHeartbeat, "2", 1, false},
+        {600, kHeartbeat, "1", 10, true}},
        MemberState::kJoining},
-      {"the end of the old link does not touch the new incarnation",
-       {{0, kBeat, "1", 9},
-        {100, kBeat, "2", 1},
+      {"closing the old link does not affect the new incarnation",
+       {{0, kHeartbeat, "1", 9},
+        {100, kHeartbeat, "2", 1},
         {200, Step::kLinkDown, "1"},
-        {1300, kTicksTo}},
+        {1300, kAdvance}},
        MemberState::kAlive},
       {"heard, but off the list",
-       {{0, kBeat, "1", 1}, {100, Step::kUnlisted}, {1000, kTicksTo}},
+       {{0, kHeartbeat, "1", 1}, {100, Step::kUnlisted}, {1000, kAdvance}},
        MemberState::kAlive},
       {"silent, but on the list",
-       {{0, kBeat, "1", 1}, {100, Step::kListed}, {5500, kTicksTo}},
+       {{0, kHeartbeat, "1", 1}, {100, Step::kListed}, {5500, kAdvance}},
        MemberState::kDead},
       {"silent and off the list: dead sooner",
-       {{0, kBeat, "1", 1}, {100, Step::kUnlisted}, {3500, kTicksTo}},
+       {{0, kHeartbeat, "1", 1}, {100, Step::kUnlisted}, {3500, kAdvance}},
        MemberState::kDead},
       {"silent and on the list: not dead yet",
-       {{0, kBeat, "1", 1}, {100, Step::kListed}, {3500, kTicksTo}},
+       {{0, kHeartbeat, "1", 1}, {100, Step::kListed}, {3500, kAdvance}},
        MemberState::kSuspect},
   };
   for (const auto& entry : cases) {
     CAPTURE(entry.what);
-    Run run;
-    for (const Step& step : entry.steps) run.Feed(step);
-    CHECK(ToString(run.b().state) == ToString(entry.state));
+    TableDriver driver;
+    for (const Step& step : entry.steps) driver.Feed(step);
+    CHECK(ToString(driver.b().state) == ToString(entry.state));
   }
 }
 
-TEST_CASE("a pause of this process itself makes no peer suspect") {
-  Run run;
-  run.Feed({0, kBeat, "1", 1});
-  run.Feed({500, kTicksTo});
-  CHECK(run.table().HandleTick(At(60000)).empty());
-  CHECK(run.table().HandleTick(At(60500)).empty());
-  // The silence before and after the pause counts: 500 and 1000 ms.
-  CHECK(run.table().HandleTick(At(61000)).size() == 1);
+TEST_CASE("a pause of this process itself does not make a peer suspect") {
+  TableDriver driver;
+  driver.Feed({0, kHeartbeat, "1", 1});
+  driver.Feed({500, kAdvance});
+  CHECK(driver.table().HandleTick(At(60000)).empty());
+  CHECK(driver.table().HandleTick(At(60500)).empty());
+  // Only the silence before and after the pause counts: 500 and 1000 ms.
+  CHECK(driver.table().HandleTick(At(61000)).size() == 1);
 }
 
-TEST_CASE("uneven heartbeats widen the bound of suspicion") {
-  Run run;
+TEST_CASE("uneven heartbeats lengthen the time until suspicion") {
+  TableDriver driver;
   int at = 0;
   uint64_t sequence = 0;
   for (int i = 0; i < 20; ++i) {
     at += i % 2 == 0 ? 100 : 1200;
-    run.Feed({at, kBeat, "1", ++sequence});
+    driver.Feed({at, kHeartbeat, "1", ++sequence});
   }
-  run.Feed({at + 2000, kTicksTo});
-  CHECK(ToString(run.b().state) == "alive");
-  run.Feed({at + 4600, kTicksTo});
-  CHECK(ToString(run.b().state) == "suspect");
+  driver.Feed({at + 2000, kAdvance});
+  CHECK(ToString(driver.b().state) == "alive");
+  driver.Feed({at + 4600, kAdvance});
+  CHECK(ToString(driver.b().state) == "suspect");
 }
 
-TEST_CASE("both sides of a cut region find each other again") {
+TEST_CASE("the two sides of a network partition find each other again") {
   std::map<std::string, MembershipTable> tables;
   const std::vector<std::string> names = {"a", "b", "c", "d"};
   for (const std::string& name : names) {
@@ -171,11 +176,11 @@
   }
   const auto side = [](const std::string& name) { return name < "c"; };
   for (int tick = 1; tick <= 60; ++tick) {
-    const bool cut = tick > 10 && tick <= 40;
+    const bool partitioned = tick > 10 && tick <= 40;
     const Time now = At(tick * 500);
     for (const std::string& from : names) {
       for (const std::string& to : names) {
-        if (from == to || (cut && side(from) != side(to))) continue;
+        if (from == to || (partitioned && side(from) != side(to))) continue;
         tables.at(to).HandleHeartbeat(
             {{from, "1", ""}, static_cast<uint64_t>(tick), true, false}, now);
       }
