--- a/src/libs/reachability/entry_client.cc
+++ b/src/libs/reachability/entry_client.cc
@@ -1,4 +1,4 @@
-// One GET a question.
+// GET requests to other entries.
 #include "reachability/entry_client.h"
 
 #include <utility>
--- a/src/libs/reachability/entry_client.h
+++ b/src/libs/reachability/entry_client.h
@@ -1,4 +1,4 @@
-// Asks other entries over HTTP.
+// HTTP client for calls to other entries.
 #ifndef THORNPLANK_REACHABILITY_ENTRY_CLIENT_H_
 #define THORNPLANK_REACHABILITY_ENTRY_CLIENT_H_
 
@@ -13,7 +13,7 @@
 
 class EntryClient : public EntryClientInterface {
  public:
-  // `client` outlives this object.
+  // `client` must outlive this object.
   explicit EntryClient(HttpClient& client) : client_(client) {}
 
   void FetchStoreAge(
--- a/src/libs/reachability/entry_client_interface.h
+++ b/src/libs/reachability/entry_client_interface.h
@@ -1,4 +1,4 @@
-// What one entry asks another.
+// Interface for HTTP calls from one entry to another; tests replace it.
 #ifndef THORNPLANK_REACHABILITY_ENTRY_CLIENT_INTERFACE_H_
 #define THORNPLANK_REACHABILITY_ENTRY_CLIENT_INTERFACE_H_
 
@@ -14,8 +14,9 @@
  public:
   virtual ~EntryClientInterface() = default;
 
-  // How long ago the last whole read of the store began there; nullopt without
-  // an answer. `done` runs once, on the loop that the entry runs on.
+  // Fetches from the entry at `address` how long ago its most recent complete
+  // read of the store began. `done` runs once, on the event loop of this entry,
+  // and gets nullopt when there is no valid answer within `timeout`.
   virtual void FetchStoreAge(
       const std::string& address, Milliseconds timeout,
       std::function<void(std::optional<Milliseconds>)> done) = 0;
--- a/src/libs/reachability/reachability_poller.cc
+++ b/src/libs/reachability/reachability_poller.cc
@@ -1,4 +1,4 @@
-// Rounds of questions to entries that are chosen by chance.
+// Periodic queries to randomly chosen entries.
 #include "reachability/reachability_poller.h"
 
 #include <algorithm>
@@ -15,10 +15,10 @@
 }  // namespace
 
 ReachabilityPoller::ReachabilityPoller(
-    boost::asio::io_context& io, EntryClientInterface& calls,
+    boost::asio::io_context& io, EntryClientInterface& client,
     ReachabilityPollerSettings settings,
     std::function<std::vector<std::string>()> peers)
-    : calls_(calls),
+    : client_(client),
       settings_(settings),
       peers_(std::move(peers)),
       timer_(io),
@@ -27,57 +27,57 @@
 ReachabilityPoller::~ReachabilityPoller() { *alive_ = false; }
 
 void ReachabilityPoller::OnReadFailed() {
-  if (outlook_.lost()) return;
-  outlook_.OnReadFailed(Now());
-  Tell();
-  Ask();
+  if (reachability_.unreachable()) return;
+  reachability_.OnReadFailed(Now());
+  LogStatusChange();
+  PollPeers();
 }
 
 void ReachabilityPoller::OnReadSucceeded() {
-  if (!outlook_.lost()) return;
+  if (!reachability_.unreachable()) return;
   timer_.cancel();
-  outlook_.OnReadSucceeded();
-  Tell();
+  reachability_.OnReadSucceeded();
+  LogStatusChange();
 }
 
 bool ReachabilityPoller::ReachableElsewhere() const {
-  return outlook_.ReachableElsewhere(Now());
+  return reachability_.ReachableElsewhere(Now());
 }
 
-void ReachabilityPoller::Ask() {
+void ReachabilityPoller::PollPeers() {
   std::vector<std::string> peers = peers_();
   std::shuffle(peers.begin(), peers.end(), random_);
-  if (peers.size() > settings_.asked) peers.resize(settings_.asked);
+  if (peers.size() > settings_.max_polled) peers.resize(settings_.max_polled);
   for (const std::string& peer : peers) {
-    calls_.FetchStoreAge(peer, settings_.timeout,
-                         [this, alive = alive_, peer,
-                          sent = Now()](std::optional<Milliseconds> age) {
-                           if (*alive) OnAnswer(peer, sent, age);
-                         });
+    client_.FetchStoreAge(peer, settings_.timeout,
+                          [this, alive = alive_, peer,
+                           sent = Now()](std::optional<Milliseconds> age) {
+                            if (*alive) OnAnswer(peer, sent, age);
+                          });
   }
   timer_.expires_after(settings_.interval);
   timer_.async_wait([this](const boost::system::error_code& code) {
-    if (code || !outlook_.lost()) return;
-    Tell();
-    Ask();
+    if (code || !reachability_.unreachable()) return;
+    LogStatusChange();
+    PollPeers();
   });
 }
 
 void ReachabilityPoller::OnAnswer(const std::string& peer, Time sent,
                                   std::optional<Milliseconds> age) {
   if (age) {
-    outlook_.OnAnswer(*age, sent, Now());
+    reachability_.OnAnswer(*age, sent, Now());
   } else {
-    outlook_.OnSilence(peer);
+    reachability_.OnNoAnswer(peer);
   }
-  Tell();
+  LogStatusChange();
 }
 
-void ReachabilityPoller::Tell() {
-  const StoreStatus belief = outlook_.belief(Now());
-  if (belief == told_) return;
-  told_ = belief;
-  LogEvent(events::kStoreOutlook, {{"belief", std::string(ToText(belief))}});
+void ReachabilityPoller::LogStatusChange() {
+  const StoreStatus status = reachability_.status(Now());
+  if (status == logged_status_) return;
+  logged_status_ = status;
+  LogEvent(events::kStoreOutlook, {{"belief", std::string(ToText(status))}});
 }
 
 }  // namespace thornplank
--- a/src/libs/reachability/reachability_poller.h
+++ b/src/libs/reachability/reachability_poller.h
@@ -1,4 +1,5 @@
-// Asks other entries whether they reach the store, while this one does not.
+// While this entry cannot reach the store, polls other entries whether they
+// can. Must be used on the thread that runs the io_context.
 #ifndef THORNPLANK_REACHABILITY_REACHABILITY_POLLER_H_
 #define THORNPLANK_REACHABILITY_REACHABILITY_POLLER_H_
 
@@ -22,45 +23,51 @@
 namespace thornplank {
 
 struct ReachabilityPollerSettings {
-  // Between two rounds of questions. Followers read twice a second, so that the
-  // first proof comes 0.25 s after a loss in the mean.
+  // Time between two rounds of queries. Entries read the store twice a second,
+  // so the first proof that it serves another entry comes 0.25 s after the loss
+  // on average.
   Milliseconds interval{250};
+  // Timeout of a query.
   Milliseconds timeout{250};
-  // Entries asked in a round; of 100 entries of which a third is cut off, one
-  // of three chosen by chance is not in 26 cases of 27.
-  size_t asked = 3;
+  // Entries polled per round. If a third of 100 entries is cut off from the
+  // store, at least one of three randomly chosen entries is not in 26 of 27
+  // cases.
+  size_t max_polled = 3;
   uint32_t seed = 1;
 };
 
 class ReachabilityPoller {
  public:
-  // `peers`: addresses of the other entries that are known.
-  ReachabilityPoller(boost::asio::io_context& io, EntryClientInterface& calls,
+  // `peers` returns the addresses of the other known entries.
+  ReachabilityPoller(boost::asio::io_context& io, EntryClientInterface& client,
                      ReachabilityPollerSettings settings,
                      std::function<std::vector<std::string>()> peers);
   ~ReachabilityPoller();
 
-  // The store could not be read; or it could.
+  // To be called after each read of the store, depending on its result. The
+  // first failure starts the polling, a success stops it.
   void OnReadFailed();
   void OnReadSucceeded();
 
+  // Whether a caller should try another entry at once.
   bool ReachableElsewhere() const;
 
  private:
-  void Ask();
+  void PollPeers();
   void OnAnswer(const std::string& peer, Time sent,
                 std::optional<Milliseconds> age);
-  // Logs the belief when it has changed.
-  void Tell();
+  // Logs the status if it differs from the one logged last.
+  void LogStatusChange();
 
-  EntryClientInterface& calls_;
+  EntryClientInterface& client_;
   const ReachabilityPollerSettings settings_;
   const std::function<std::vector<std::string>()> peers_;
   boost::asio::steady_timer timer_;
   std::minstd_rand random_;
-  StoreReachability outlook_;
-  StoreStatus told_ = StoreStatus::kReached;
-  // Callbacks of calls that outlive this object do nothing.
+  StoreReachability reachability_;
+  StoreStatus logged_status_ = StoreStatus::kReachable;
+  // Set to false by the destructor; callbacks of queries that outlive this
+  // object then do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/libs/reachability/store_age_route.cc
+++ b/src/libs/reachability/store_age_route.cc
@@ -1,4 +1,4 @@
-// The one question so far.
+// The handler of the store age route.
 #include "reachability/store_age_route.h"
 
 #include "base/json.h"
--- a/src/libs/reachability/store_age_route.h
+++ b/src/libs/reachability/store_age_route.h
@@ -1,4 +1,5 @@
-// Answers the questions of other entries.
+// HTTP route by which other entries read this entry's store age: the time since
+// its most recent complete read of the store began.
 #ifndef THORNPLANK_REACHABILITY_STORE_AGE_ROUTE_H_
 #define THORNPLANK_REACHABILITY_STORE_AGE_ROUTE_H_
 
@@ -10,11 +11,13 @@
 
 namespace thornplank {
 
-// GET, answered by {"store_age_ms": N}: the last whole read of the store began
-// so long ago. 503 before the first.
+// The response to GET is {"store_age_ms": N}, or 503 before the first complete
+// read of the store.
 inline constexpr char kStoreAgePath[] = "/v1/entry/store-age";
 inline constexpr char kStoreAgeField[] = "store_age_ms";
 
+// Responds with 404 to other paths and methods. `store_age` is nullopt before
+// the first complete read.
 HttpResponse HandleStoreAgeRequest(const HttpRequest& request,
                                    std::optional<Milliseconds> store_age);
 
--- a/src/libs/reachability/store_reachability.cc
+++ b/src/libs/reachability/store_reachability.cc
@@ -1,59 +1,60 @@
-// What proves that the store serves others.
+// Evaluation of other entries' answers.
 #include "reachability/store_reachability.h"
 
 namespace thornplank {
 namespace {
 
-// Others are asked four times a second; a proof that was not renewed since is
-// out of date.
-constexpr Milliseconds kProofLasts{1000};
-// Of three entries in failure domains of their own hardly all are away at once.
-constexpr size_t kTellingSilence = 3;
+// Other entries are polled four times a second, so a proof that has not been
+// renewed for this long is outdated.
+constexpr Milliseconds kProofValidity{1000};
+// If this many entries do not answer, this entry is cut off: three entries in
+// different failure domains are unlikely to be down at the same time.
+constexpr size_t kMinSilent = 3;
 
 }  // namespace
 
 void StoreReachability::OnReadFailed(Time now) {
-  if (!lost_) lost_ = now;
+  if (!first_failure_) first_failure_ = now;
 }
 
 void StoreReachability::OnReadSucceeded() { *this = StoreReachability(); }
 
 void StoreReachability::OnAnswer(Duration age, Time sent, Time now) {
-  if (!lost_) return;
-  heard_ = true;
-  // A read that began before the loss shows nothing: the other entry may not
-  // have noticed yet that the store is away.
-  if (sent - age >= *lost_) proved_ = now;
+  if (!first_failure_) return;
+  answered_ = true;
+  // A read that began before the first failure here proves nothing: the store
+  // may have failed since, and the other entry may not have noticed yet.
+  if (sent - age >= *first_failure_) last_proof_ = now;
 }
 
-void StoreReachability::OnSilence(const std::string& peer) {
-  if (lost_) silent_.insert(peer);
+void StoreReachability::OnNoAnswer(const std::string& peer) {
+  if (first_failure_) silent_.insert(peer);
 }
 
-StoreStatus StoreReachability::belief(Time now) const {
-  if (!lost_) return StoreStatus::kReached;
-  if (proved_ && now - *proved_ < kProofLasts) {
-    return StoreStatus::kServesOthers;
+StoreStatus StoreReachability::status(Time now) const {
+  if (!first_failure_) return StoreStatus::kReachable;
+  if (last_proof_ && now - *last_proof_ < kProofValidity) {
+    return StoreStatus::kReachableByOthers;
   }
-  if (!heard_ && silent_.size() >= kTellingSilence) return StoreStatus::kCutOff;
+  if (!answered_ && silent_.size() >= kMinSilent) return StoreStatus::kIsolated;
   return StoreStatus::kUnknown;
 }
 
 bool StoreReachability::ReachableElsewhere(Time now) const {
-  const StoreStatus current = belief(now);
-  return current == StoreStatus::kServesOthers ||
-         current == StoreStatus::kCutOff;
+  const StoreStatus current = status(now);
+  return current == StoreStatus::kReachableByOthers ||
+         current == StoreStatus::kIsolated;
 }
 
-std::string_view ToText(StoreStatus belief) {
-  switch (belief) {
-    case StoreStatus::kReached:
+std::string_view ToText(StoreStatus status) {
+  switch (status) {
+    case StoreStatus::kReachable:
       return "reached";
     case StoreStatus::kUnknown:
       return "unknown";
-    case StoreStatus::kServesOthers:
+    case StoreStatus::kReachableByOthers:
       return "serves others";
-    case StoreStatus::kCutOff:
+    case StoreStatus::kIsolated:
       return "cut off";
   }
   return "unknown";
--- a/src/libs/reachability/store_reachability.h
+++ b/src/libs/reachability/store_reachability.h
@@ -1,9 +1,10 @@
-// Whether the store that this entry cannot reach serves other entries.
+// Decides whether the store, when this entry cannot reach it, is reachable from
+// other entries.
 //
-// A call that is refused here is served there, so its caller should come back
-// at once. Where the store is away for all, that would use up the caller's
-// tries within milliseconds. Decisions only: what others say comes in as
-// events.
+// If it is, a call that this entry refuses would be served by another entry, so
+// the caller should retry at once. If the store is unreachable for all entries,
+// immediate retries would use up the caller's attempts within milliseconds.
+// No I/O and not thread-safe: the results of queries come in as events.
 #ifndef THORNPLANK_REACHABILITY_STORE_REACHABILITY_H_
 #define THORNPLANK_REACHABILITY_STORE_REACHABILITY_H_
 
@@ -17,41 +18,43 @@
 namespace thornplank {
 
 enum class StoreStatus {
-  // This entry reaches it.
-  kReached,
-  // Not reached, and nobody has said yet whether others reach it.
+  // This entry reaches the store.
+  kReachable,
+  // This entry does not reach the store, and it is not known whether others do.
   kUnknown,
-  // Another entry has read it since this one lost it.
-  kServesOthers,
-  // No other entry answers either: this one is cut off.
-  kCutOff,
+  // Another entry has recently read the store, after the first failure here.
+  kReachableByOthers,
+  // No other entry answers either: this entry is cut off from the network.
+  kIsolated,
 };
 
-std::string_view ToText(StoreStatus belief);
+std::string_view ToText(StoreStatus status);
 
 class StoreReachability {
  public:
-  // The store was lost, or is still; only the first of a row counts.
+  // A read of the store failed; only the first failure after a success counts.
   void OnReadFailed(Time now);
   void OnReadSucceeded();
-  // A question that was sent to another entry at `sent` has an answer: its last
-  // whole read of the store began `age` before that.
+  // Another entry answered a query that was sent at `sent`: its most recent
+  // complete read of the store began `age` before.
   void OnAnswer(Duration age, Time sent, Time now);
-  // A question to `peer` has no answer.
-  void OnSilence(const std::string& peer);
+  // A query to `peer` failed or timed out.
+  void OnNoAnswer(const std::string& peer);
 
-  StoreStatus belief(Time now) const;
+  StoreStatus status(Time now) const;
   // Whether a caller should try another entry at once.
   bool ReachableElsewhere(Time now) const;
-  bool lost() const { return lost_.has_value(); }
+  bool unreachable() const { return first_failure_.has_value(); }
 
  private:
-  std::optional<Time> lost_;
-  // When it was last shown that others are served.
-  std::optional<Time> proved_;
-  // Some entry has answered since the loss.
-  bool heard_ = false;
-  // Entries that did not answer since the loss.
+  // The first failure since the last success; nullopt while the store is
+  // reachable.
+  std::optional<Time> first_failure_;
+  // When it was last proved that the store is reachable from another entry.
+  std::optional<Time> last_proof_;
+  // Whether any entry has answered since first_failure_.
+  bool answered_ = false;
+  // Entries that have failed to answer a query since first_failure_.
   std::set<std::string> silent_;
 };
 
--- a/tests/auto/reachability/tst_reachability_poller.cc
+++ b/tests/auto/reachability/tst_reachability_poller.cc
@@ -1,4 +1,4 @@
-// Whom an entry asks, and when.
+// Which entries are polled and when, and the response to a poll.
 #include <doctest/doctest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -15,35 +15,36 @@
 namespace thornplank {
 namespace {
 
+// Entries whose answers the test gives.
 class ScriptedEntries : public EntryClientInterface {
  public:
   void FetchStoreAge(
       const std::string& address, Milliseconds,
       std::function<void(std::optional<Milliseconds>)> done) override {
-    asked.push_back(address);
-    answers.push_back(std::move(done));
+    polled.push_back(address);
+    pending_queries.push_back(std::move(done));
   }
 
   void Answer(std::optional<Milliseconds> age) {
-    for (auto& answer : std::exchange(answers, {})) {
-      answer(age);
+    for (auto& done : std::exchange(pending_queries, {})) {
+      done(age);
     }
   }
 
-  std::vector<std::string> asked;
-  std::vector<std::function<void(std::optional<Milliseconds>)>> answers;
+  std::vector<std::string> polled;
+  std::vector<std::function<void(std::optional<Milliseconds>)>> pending_queries;
 };
 
-TEST_CASE("three others are asked when the store is lost, none before") {
+TEST_CASE("three entries are polled once a read fails, none before") {
   struct Row {
     size_t known;
-    size_t asked;
+    size_t polled;
   };
   for (const Row& row : std::vector<Row>{{0, 0}, {2, 2}, {10, 3}}) {
     CAPTURE(row.known);
     boost::asio::io_context io;
     ScriptedEntries entries;
-    ReachabilityPoller survey(
+    ReachabilityPoller poller(
         io, entries, ReachabilityPollerSettings(), [&row] {
           std::vector<std::string> peers;
           for (size_t i = 0; i < row.known; ++i) {
@@ -51,40 +52,40 @@
           }
           return peers;
         });
-    survey.OnReadSucceeded();
-    CHECK(entries.asked.empty());
-    survey.OnReadFailed();
-    survey.OnReadFailed();
-    CHECK(entries.asked.size() == row.asked);
-    const std::set<std::string> distinct(entries.asked.begin(),
-                                         entries.asked.end());
-    CHECK(distinct.size() == row.asked);
-    CHECK_FALSE(survey.ReachableElsewhere());
+    poller.OnReadSucceeded();
+    CHECK(entries.polled.empty());
+    poller.OnReadFailed();
+    poller.OnReadFailed();
+    CHECK(entries.polled.size() == row.polled);
+    const std::set<std::string> distinct(entries.polled.begin(),
+                                         entries.polled.end());
+    CHECK(distinct.size() == row.polled);
+    CHECK_FALSE(poller.ReachableElsewhere());
     entries.Answer(Milliseconds(0));
-    CHECK(survey.ReachableElsewhere() == (row.asked > 0));
-    survey.OnReadSucceeded();
-    CHECK_FALSE(survey.ReachableElsewhere());
+    CHECK(poller.ReachableElsewhere() == (row.polled > 0));
+    poller.OnReadSucceeded();
+    CHECK_FALSE(poller.ReachableElsewhere());
   }
 }
 
-TEST_CASE("it goes on asking until the store is reached") {
+TEST_CASE("polling continues until a read of the store succeeds") {
   boost::asio::io_context io;
   ScriptedEntries entries;
   ReachabilityPollerSettings settings;
   settings.interval = Milliseconds(1);
-  ReachabilityPoller survey(io, entries, settings, [] {
+  ReachabilityPoller poller(io, entries, settings, [] {
     return std::vector<std::string>{"127.0.0.1:1"};
   });
-  survey.OnReadFailed();
-  while (entries.asked.size() < 5) io.run_one();
+  poller.OnReadFailed();
+  while (entries.polled.size() < 5) io.run_one();
   entries.Answer(std::nullopt);
-  CHECK_FALSE(survey.ReachableElsewhere());
-  survey.OnReadSucceeded();
+  CHECK_FALSE(poller.ReachableElsewhere());
+  poller.OnReadSucceeded();
   io.run();
-  CHECK(entries.asked.size() == 5);
+  CHECK(entries.polled.size() == 5);
 }
 
-TEST_CASE("what an entry answers to others") {
+TEST_CASE("the response to a request for the store age") {
   struct Row {
     const char* name;
     const char* method;
@@ -94,7 +95,7 @@
     std::string body;
   };
   const std::vector<Row> rows = {
-      {"its age", "GET", kStoreAgePath, Milliseconds(120), 200,
+      {"the store age", "GET", kStoreAgePath, Milliseconds(120), 200,
        R"({"store_age_ms":120})"},
       {"nothing read yet", "GET", kStoreAgePath, std::nullopt, 503, ""},
       {"another path", "GET", "/", Milliseconds(1), 404, ""},
--- a/tests/auto/reachability/tst_store_reachability.cc
+++ b/tests/auto/reachability/tst_store_reachability.cc
@@ -1,4 +1,5 @@
-// What an entry believes of a store that it cannot reach.
+// Status of a store that this entry cannot reach, after answers of other
+// entries.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -13,94 +14,102 @@
   return Time{} + std::chrono::hours(1) + Milliseconds(milliseconds);
 }
 
-// An answer sent for at `sent` that tells of a read which began `age` before.
-void Answer(StoreReachability* outlook, int64_t age, int64_t sent) {
-  outlook->OnAnswer(Milliseconds(age), At(sent), At(sent + 2));
+// An answer to a query that was sent at `sent_ms`: the other entry's most
+// recent read began `age_ms` before.
+void Answer(StoreReachability* reachability, int64_t age_ms, int64_t sent_ms) {
+  reachability->OnAnswer(Milliseconds(age_ms), At(sent_ms), At(sent_ms + 2));
 }
 
-TEST_CASE("what others say shows whether the store serves them") {
+TEST_CASE("answers of other entries show whether they reach the store") {
   struct Row {
     const char* name;
     std::function<void(StoreReachability*)> events;
-    // When it is asked for.
-    int64_t now;
-    StoreStatus belief;
-    bool elsewhere;
+    // When the status is read.
+    int64_t now_ms;
+    StoreStatus status;
+    bool reachable_elsewhere;
   };
   const std::vector<Row> rows = {
-      {"never lost", [](StoreReachability* o) { Answer(o, 0, 10); }, 100,
-       StoreStatus::kReached, false},
-      {"lost, nobody asked",
-       [](StoreReachability* o) { o->OnReadFailed(At(0)); }, 100,
-       StoreStatus::kUnknown, false},
-      {"a read since the loss",
-       [](StoreReachability* o) {
-         o->OnReadFailed(At(0));
-         Answer(o, 100, 300);
+      {"no failure",
+       [](StoreReachability* reachability) { Answer(reachability, 0, 10); },
+       100, StoreStatus::kReachable, false},
+      {"failure, no answer yet",
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
        },
-       400, StoreStatus::kServesOthers, true},
-      {"a read before the loss: it may not have noticed yet",
-       [](StoreReachability* o) {
-         o->OnReadFailed(At(0));
-         Answer(o, 400, 300);
+       100, StoreStatus::kUnknown, false},
+      {"another entry has read since the failure",
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
+         Answer(reachability, 100, 300);
+       },
+       400, StoreStatus::kReachableByOthers, true},
+      {"a read from before the failure proves nothing",
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
+         Answer(reachability, 400, 300);
        },
        400, StoreStatus::kUnknown, false},
-      {"one of three is enough",
-       [](StoreReachability* o) {
-         o->OnReadFailed(At(0));
-         Answer(o, 5000, 300);
-         o->OnSilence("a");
-         Answer(o, 100, 300);
+      {"the proof of one entry is enough",
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
+         Answer(reachability, 5000, 300);
+         reachability->OnNoAnswer("a");
+         Answer(reachability, 100, 300);
        },
-       400, StoreStatus::kServesOthers, true},
-      {"a proof that is not renewed",
-       [](StoreReachability* o) {
-         o->OnReadFailed(At(0));
-         Answer(o, 100, 300);
-         Answer(o, 1500, 1200);
+       400, StoreStatus::kReachableByOthers, true},
+      {"a proof expires unless it is renewed",
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
+         Answer(reachability, 100, 300);
+         Answer(reachability, 1500, 1200);
        },
        1400, StoreStatus::kUnknown, false},
-      {"lost again in the same spell counts from the first time",
-       [](StoreReachability* o) {
-         o->OnReadFailed(At(0));
-         o->OnReadFailed(At(500));
-         Answer(o, 400, 600);
+      {"the first of several failures counts",
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
+         reachability->OnReadFailed(At(500));
+         Answer(reachability, 400, 600);
        },
-       700, StoreStatus::kServesOthers, true},
-      {"lost anew",
-       [](StoreReachability* o) {
-         o->OnReadFailed(At(0));
-         Answer(o, 0, 300);
-         o->OnReadSucceeded();
-         o->OnReadFailed(At(500));
+       700, StoreStatus::kReachableByOthers, true},
+      {"a success resets the proof",
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
+         Answer(reachability, 0, 300);
+         reachability->OnReadSucceeded();
+         reachability->OnReadFailed(At(500));
        },
        600, StoreStatus::kUnknown, false},
       {"nobody answers",
-       [](StoreReachability* o) {
-         o->OnReadFailed(At(0));
-         for (const char* peer : {"a", "b", "c"}) o->OnSilence(peer);
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
+         for (const char* peer : {"a", "b", "c"})
+           reachability->OnNoAnswer(peer);
        },
-       400, StoreStatus::kCutOff, true},
-      {"the same one twice is one",
-       [](StoreReachability* o) {
-         o->OnReadFailed(At(0));
-         for (const char* peer : {"a", "b", "a"}) o->OnSilence(peer);
+       400, StoreStatus::kIsolated, true},
+      {"two failed queries to one entry count once",
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
+         for (const char* peer : {"a", "b", "a"})
+           reachability->OnNoAnswer(peer);
        },
        400, StoreStatus::kUnknown, false},
-      {"somebody answers, and has lost it too",
-       [](StoreReachability* o) {
-         o->OnReadFailed(At(0));
-         for (const char* peer : {"a", "b", "c"}) o->OnSilence(peer);
-         Answer(o, 5000, 300);
+      {"another entry answers but does not reach the store either",
+       [](StoreReachability* reachability) {
+         reachability->OnReadFailed(At(0));
+         for (const char* peer : {"a", "b", "c"})
+           reachability->OnNoAnswer(peer);
+         Answer(reachability, 5000, 300);
        },
        400, StoreStatus::kUnknown, false},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    StoreReachability outlook;
-    row.events(&outlook);
-    CHECK(outlook.belief(At(row.now)) == row.belief);
-    CHECK(outlook.ReachableElsewhere(At(row.now)) == row.elsewhere);
+    StoreReachability reachability;
+    row.events(&reachability);
+    CHECK(reachability.status(At(row.now_ms)) == row.status);
+    CHECK(reachability.ReachableElsewhere(At(row.now_ms)) ==
+          row.reachable_elsewhere);
   }
 }
 
