--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -437,7 +437,7 @@
                                 {"text", action.text}});
 }
 
-void Coordinator::CarryOne(const WorkerJudged& action, Time) {
+void Coordinator::CarryOne(const WorkerQuarantineChanged& action, Time) {
   static constexpr const char* kVerdicts[] = {"quarantined", "probed",
                                               "released"};
   LogEvent(events::kWorkerJudged,
--- a/src/libs/jobs/coordinator.h
+++ b/src/libs/jobs/coordinator.h
@@ -101,7 +101,7 @@
   void CarryOne(const StopLease& action, Time now);
   void CarryOne(const PhaseChanged& action, Time now);
   void CarryOne(const ReportShortfall& action, Time now);
-  void CarryOne(const WorkerJudged& action, Time now);
+  void CarryOne(const WorkerQuarantineChanged& action, Time now);
 
   const int64_t epoch_;
   const Time takeover_deadline_;
--- a/src/libs/scheduling/placement_round.cc
+++ b/src/libs/scheduling/placement_round.cc
@@ -402,8 +402,9 @@
     if (!job) continue;
     const std::string& name = state_.cluster.info(worker).name;
     state_.faults.ProbeStarted(worker);
-    state_.actions.push_back(WorkerJudged{name, WorkerJudged::Verdict::kProbed,
-                                          "probed with job " + job->spec.id});
+    state_.actions.push_back(
+        WorkerQuarantineChanged{name, WorkerQuarantineChanged::Verdict::kProbed,
+                                "probed with job " + job->spec.id});
     const std::vector<WorkerIndex> workers(job->spec.shape.members, worker);
     starter_.StartGang(*job, workers, "probe of worker " + name, now_);
   }
--- a/src/libs/scheduling/scheduler_actions.h
+++ b/src/libs/scheduling/scheduler_actions.h
@@ -71,7 +71,7 @@
 
 // A worker was taken out of placement for failing what others run, is being
 // probed with one gang, or was taken back.
-struct WorkerJudged {
+struct WorkerQuarantineChanged {
   enum class Verdict { kQuarantined, kProbed, kReleased };
   std::string worker;
   Verdict verdict = Verdict::kQuarantined;
@@ -80,7 +80,7 @@
 
 using SchedulerAction =
     std::variant<GrantGang, LiftThrottle, CheckpointGang, StopGang, StopLease,
-                 PhaseChanged, ReportShortfall, WorkerJudged>;
+                 PhaseChanged, ReportShortfall, WorkerQuarantineChanged>;
 using SchedulerActions = std::vector<SchedulerAction>;
 
 }  // namespace thornplank
--- a/src/libs/scheduling/scheduler_upkeep.cc
+++ b/src/libs/scheduling/scheduler_upkeep.cc
@@ -192,9 +192,9 @@
   }
   state_.cluster.SetQuarantined(member.worker, true);
   repair_due_ = true;
-  state_.actions.push_back(
-      WorkerJudged{member.member.worker, WorkerJudged::Verdict::kQuarantined,
-                   "different jobs fail there, the last with: " + reason});
+  state_.actions.push_back(WorkerQuarantineChanged{
+      member.member.worker, WorkerQuarantineChanged::Verdict::kQuarantined,
+      "different jobs fail there, the last with: " + reason});
 }
 
 void SchedulerCore::ReleaseRefusing(Time now) {
@@ -232,9 +232,9 @@
   state_.cluster.SetQuarantined(worker, false);
   repair_due_ = true;
   dirty_ = true;
-  state_.actions.push_back(WorkerJudged{state_.cluster.info(worker).name,
-                                        WorkerJudged::Verdict::kReleased,
-                                        "its probe went well"});
+  state_.actions.push_back(WorkerQuarantineChanged{
+      state_.cluster.info(worker).name,
+      WorkerQuarantineChanged::Verdict::kReleased, "its probe went well"});
 }
 
 std::string SchedulerCore::EventShortfall(const EventReservation& event) const {
--- a/tests/auto/scheduling/virtual_cluster.h
+++ b/tests/auto/scheduling/virtual_cluster.h
@@ -75,7 +75,7 @@
   void ApplyOne(const StopLease& action);
   void ApplyOne(const PhaseChanged& action);
   void ApplyOne(const ReportShortfall& action);
-  void ApplyOne(const WorkerJudged&) {}
+  void ApplyOne(const WorkerQuarantineChanged&) {}
   void Lapse();
   void Fault(const std::string& text);
   int Held(const Worker& worker) const;
