--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -347,7 +347,7 @@
     silent_.erase(event.worker);
     return;
   }
-  Carry(scheduler_.WorkerBack(event.worker, now), now);
+  Carry(scheduler_.WorkerRecovered(event.worker, now), now);
 }
 
 void Coordinator::HandleOne(const TokenRefused& event, Time) {
--- a/src/libs/scheduling/job_scheduler.cc
+++ b/src/libs/scheduling/job_scheduler.cc
@@ -89,10 +89,11 @@
   return impl_->Decide(now);
 }
 
-SchedulerActions JobScheduler::WorkerBack(const std::string& worker, Time now) {
+SchedulerActions JobScheduler::WorkerRecovered(const std::string& worker,
+                                               Time now) {
   const WorkerIndex index = impl_->state().cluster.Find(worker);
   if (index == kNoWorker) return {};
-  impl_->WorkerBack(index);
+  impl_->WorkerRecovered(index);
   return impl_->Decide(now);
 }
 
--- a/src/libs/scheduling/job_scheduler.h
+++ b/src/libs/scheduling/job_scheduler.h
@@ -158,7 +158,7 @@
   SchedulerActions WorkerLost(const std::string& worker, Time leases_lapse_at,
                               Time now);
   // The worker answers again; its lease table follows by WorkerReported.
-  SchedulerActions WorkerBack(const std::string& worker, Time now);
+  SchedulerActions WorkerRecovered(const std::string& worker, Time now);
 
   // Acts on what has come due and places what fits.
   SchedulerActions Tick(Time now);
--- a/src/libs/scheduling/scheduler_core.cc
+++ b/src/libs/scheduling/scheduler_core.cc
@@ -135,7 +135,7 @@
   repair_due_ = true;
 }
 
-void SchedulerCore::WorkerBack(WorkerIndex worker) {
+void SchedulerCore::WorkerRecovered(WorkerIndex worker) {
   state_.cluster.SetLost(worker, false);
   dirty_ = true;
   repair_due_ = true;
--- a/src/libs/scheduling/scheduler_core.h
+++ b/src/libs/scheduling/scheduler_core.h
@@ -36,7 +36,7 @@
                     const std::string& reason, Time now);
   void CheckpointDone(Gang& gang, Time now);
   void WorkerLost(WorkerIndex worker, Time leases_lapse_at, Time now);
-  void WorkerBack(WorkerIndex worker);
+  void WorkerRecovered(WorkerIndex worker);
   void Tick(Time now);
 
   // End an event: place, reclaim, report, and hand out the actions.
--- a/tests/auto/scheduling/tst_guarantees.cc
+++ b/tests/auto/scheduling/tst_guarantees.cc
@@ -134,7 +134,8 @@
   REQUIRE(lost.size() == 1);
   CHECK(lost[0].name == "a");
   CHECK_FALSE(lost[0].text.empty());
-  const auto back = Only<ReportShortfall>(scheduler.WorkerBack("w0", At(20)));
+  const auto back =
+      Only<ReportShortfall>(scheduler.WorkerRecovered("w0", At(20)));
   REQUIRE(back.size() == 1);
   CHECK(back[0].text.empty());
 }
--- a/tests/auto/scheduling/virtual_cluster.cc
+++ b/tests/auto/scheduling/virtual_cluster.cc
@@ -125,7 +125,7 @@
     Apply(scheduler_->WorkerLost(worker.info.name, worker.lapses_at, now_));
     return;
   }
-  Apply(scheduler_->WorkerBack(worker.info.name, now_));
+  Apply(scheduler_->WorkerRecovered(worker.info.name, now_));
   Report(worker_index);
 }
 
