--- a/benchmarks/bench_recovery.cc
+++ b/benchmarks/bench_recovery.cc
@@ -55,7 +55,7 @@
 
 std::unique_ptr<JobStreamFold> FoldTexts(const Texts& texts, int64_t offset) {
   auto fold = std::make_unique<JobStreamFold>(JobRetention{});
-  fold->LoseBefore(offset);
+  fold->SkipLostRecords(offset);
   for (const std::string& text : texts) {
     const std::optional<Json> data = ParseJson(text);
     if (!data) continue;
--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -182,7 +182,7 @@
 void JobManager::Impl::OnGap(int64_t from, int64_t first_kept) {
   LogEvent(events::kJobStreamGap, {{"from", from}, {"first_kept", first_kept}});
   const std::lock_guard<std::mutex> lock(mutex_);
-  fold_.LoseBefore(first_kept);
+  fold_.SkipLostRecords(first_kept);
   if (!fold_.complete() && coordinator_) StepDown("records were lost unread");
 }
 
--- a/src/libs/state/job_stream_fold.cc
+++ b/src/libs/state/job_stream_fold.cc
@@ -34,7 +34,7 @@
   return Apply(record, *typed);
 }
 
-void JobStreamFold::LoseBefore(int64_t first_kept) {
+void JobStreamFold::SkipLostRecords(int64_t first_kept) {
   if (first_kept <= next_offset_) return;
   complete_ = false;
   kept_.clear();
--- a/src/libs/state/job_stream_fold.h
+++ b/src/libs/state/job_stream_fold.h
@@ -51,7 +51,7 @@
   // Records in order of offset. An offset below next_offset() is a repeat.
   FoldChange Fold(const LogRecord& record);
   // Records before `first_kept` were lost unread.
-  void LoseBefore(int64_t first_kept);
+  void SkipLostRecords(int64_t first_kept);
   // Takes a snapshot from a peer. One that covers less than what is folded
   // changes nothing. True when the tables were replaced; reading then goes on
   // at next_offset().
--- a/tests/auto/state/tst_job_snapshot.cc
+++ b/tests/auto/state/tst_job_snapshot.cc
@@ -57,7 +57,7 @@
     CAPTURE(one.name);
     const CutLog cut = CutWithSnapshot(one.covers, one.first);
     JobStreamFold fold{JobRetention{}};
-    fold.LoseBefore(cut.first);
+    fold.SkipLostRecords(cut.first);
     CHECK_FALSE(fold.complete());
     for (const LogRecord& record : cut.log) fold.Fold(record);
     CHECK(fold.complete() == one.complete);
@@ -91,7 +91,7 @@
   CutLog cut = CutWithSnapshot(5, 5);
   cut.log.pop_back();
   JobStreamFold fold{JobRetention{}};
-  fold.LoseBefore(cut.first);
+  fold.SkipLostRecords(cut.first);
   for (const LogRecord& record : cut.log) fold.Fold(record);
   CHECK_FALSE(fold.complete());
   CHECK(fold.MakeSnapshot("x", 10).empty());
@@ -162,7 +162,7 @@
     const auto cut = static_cast<std::ptrdiff_t>(
         *rc::gen::inRange<size_t>(0, log.size() + 1));
     JobStreamFold fold{JobRetention{}};
-    fold.LoseBefore(cut);
+    fold.SkipLostRecords(cut);
     fold.Restore(FoldOf({log.begin(), log.begin() + cut}).MakeSnapshot("s", 1));
     for (auto record = log.begin() + cut; record != log.end(); ++record) {
       fold.Fold(*record);
