--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -415,7 +415,7 @@
     const Time now = Clock::now();
     if (may_snapshot &&
         snapshots_.Due(result->first_offset, result->next_offset,
-                       fold_.newest_snapshot_covers(), now)) {
+                       fold_.newest_snapshot_end(), now)) {
       *parts =
           fold_.MakeSnapshot(NewRecordId(), settings_.snapshot_jobs_per_part);
       snapshot_under_way_ = !parts->empty();
--- a/src/libs/state/job_stream_fold.cc
+++ b/src/libs/state/job_stream_fold.cc
@@ -106,12 +106,12 @@
   const auto whole = collector_.Add(part);
   if (!whole) return {};
   if (complete_) {
-    newest_snapshot_covers_ = std::max(newest_snapshot_covers_, part.covers);
+    newest_snapshot_end_ = std::max(newest_snapshot_end_, part.covers);
     return {};
   }
   if (part.covers < kept_from_) return {};
   if (!Install(*whole)) return {};
-  newest_snapshot_covers_ = std::max(newest_snapshot_covers_, part.covers);
+  newest_snapshot_end_ = std::max(newest_snapshot_end_, part.covers);
   return {Kind::kRestored, ""};
 }
 
--- a/src/libs/state/job_stream_fold.h
+++ b/src/libs/state/job_stream_fold.h
@@ -66,7 +66,7 @@
   int64_t next_offset() const { return next_offset_; }
   // What the newest whole snapshot seen in the stream covers; 0 when none
   // was seen. Retention must not take records from here on.
-  int64_t newest_snapshot_covers() const { return newest_snapshot_covers_; }
+  int64_t newest_snapshot_end() const { return newest_snapshot_end_; }
   const JobTable& jobs() const { return jobs_; }
   const EpochTable& epochs() const { return epochs_; }
 
@@ -88,7 +88,7 @@
   // record below next_offset_.
   bool complete_ = true;
   int64_t next_offset_ = 0;
-  int64_t newest_snapshot_covers_ = 0;
+  int64_t newest_snapshot_end_ = 0;
   // While not complete_: every record from kept_from_ to next_offset_.
   std::vector<LogRecord> kept_;
   int64_t kept_from_ = 0;
--- a/tests/auto/state/tst_job_snapshot.cc
+++ b/tests/auto/state/tst_job_snapshot.cc
@@ -83,7 +83,7 @@
 TEST_CASE("a snapshot in the stream of a whole fold is only noted") {
   CutLog cut = CutWithSnapshot(5, 0);
   const JobStreamFold fold = FoldOf(cut.log);
-  CHECK(fold.newest_snapshot_covers() == 5);
+  CHECK(fold.newest_snapshot_end() == 5);
   CHECK(ContentOf(fold) == ContentOf(FoldOf(SampleLog())));
 }
 
