--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -164,7 +164,7 @@
   std::set<std::string> live(names.begin(), names.end());
   live.insert(settings_.name);
   live_entries_known_ = true;
-  election_.LiveEntries(live, Clock::now());
+  election_.SetLiveEntries(live, Clock::now());
 }
 
 void JobManager::Impl::OnRecord(const LogRecord& record) {
@@ -219,7 +219,7 @@
 
 void JobManager::Impl::EpochMoved(Time now) {
   const CoordinatorEpoch& epoch = fold_.epochs().current();
-  election_.EpochChanged(epoch, now);
+  election_.SetEpoch(epoch, now);
   const bool ours =
       fold_.epochs().HeldBy(settings_.name, settings_.incarnation) &&
       epoch.number != given_up_epoch_ && !draining_;
@@ -283,7 +283,7 @@
   const bool may_claim = live_entries_known_ && !draining_ && !log_down &&
                          fold_.complete() && follower_->caught_up();
   if (may_claim) {
-    if (const std::optional<int64_t> number = election_.Claim(now)) {
+    if (const std::optional<int64_t> number = election_.ClaimIfDue(now)) {
       outbox.claim =
           EpochRecord{*number, settings_.name, settings_.incarnation};
     }
--- a/src/libs/state/coordinator_election.cc
+++ b/src/libs/state/coordinator_election.cc
@@ -15,8 +15,7 @@
       incarnation_(std::move(incarnation)),
       settings_(settings) {}
 
-void CoordinatorElection::EpochChanged(const CoordinatorEpoch& epoch,
-                                       Time now) {
+void CoordinatorElection::SetEpoch(const CoordinatorEpoch& epoch, Time now) {
   if (epoch.number != epoch_.number) {
     epoch_since_ = now;
     claimed_at_.reset();
@@ -26,13 +25,13 @@
   NoteVacancy(now);
 }
 
-void CoordinatorElection::LiveEntries(const std::set<std::string>& names,
-                                      Time now) {
+void CoordinatorElection::SetLiveEntries(const std::set<std::string>& names,
+                                         Time now) {
   live_ = names;
   NoteVacancy(now);
 }
 
-std::optional<int64_t> CoordinatorElection::Claim(Time now) {
+std::optional<int64_t> CoordinatorElection::ClaimIfDue(Time now) {
   NoteVacancy(now);
   const std::optional<Time> due = NextWake();
   if (!due || now < *due) return std::nullopt;
--- a/src/libs/state/coordinator_election.h
+++ b/src/libs/state/coordinator_election.h
@@ -34,12 +34,12 @@
                       ElectionSettings settings);
 
   // An epoch was won or resigned, by the stream.
-  void EpochChanged(const CoordinatorEpoch& epoch, Time now);
+  void SetEpoch(const CoordinatorEpoch& epoch, Time now);
   // The live entries, by observation.
-  void LiveEntries(const std::set<std::string>& names, Time now);
+  void SetLiveEntries(const std::set<std::string>& names, Time now);
 
   // The number to claim now, or nullopt. Each answer is one claim.
-  std::optional<int64_t> Claim(Time now);
+  std::optional<int64_t> ClaimIfDue(Time now);
   // When Claim is next worth asking.
   std::optional<Time> NextWake() const;
 
--- a/tests/auto/state/tst_coordinator_election.cc
+++ b/tests/auto/state/tst_coordinator_election.cc
@@ -37,11 +37,11 @@
   for (const HolderCase& one : cases) {
     CAPTURE(one.name);
     CoordinatorElection election = MakeElection("a");
-    election.LiveEntries(one.live, kStart);
-    election.EpochChanged(one.epoch, kStart);
+    election.SetLiveEntries(one.live, kStart);
+    election.SetEpoch(one.epoch, kStart);
     int claimed_at = -1;
     for (int ms = 0; ms <= 10000 && claimed_at < 0; ms += 50) {
-      const auto number = election.Claim(kStart + milliseconds(ms));
+      const auto number = election.ClaimIfDue(kStart + milliseconds(ms));
       if (!number) continue;
       CHECK(*number == one.epoch.number + 1);
       claimed_at = ms;
@@ -56,8 +56,8 @@
   std::set<Time> due;
   for (const std::string& name : live) {
     CoordinatorElection election = MakeElection(name);
-    election.LiveEntries(live, kStart);
-    election.EpochChanged({}, kStart);
+    election.SetLiveEntries(live, kStart);
+    election.SetEpoch({}, kStart);
     REQUIRE(election.NextWake());
     due.insert(*election.NextWake());
   }
@@ -66,13 +66,13 @@
 
 TEST_CASE("a new epoch is left alone for its tenure") {
   CoordinatorElection election = MakeElection("a");
-  election.LiveEntries({"a"}, kStart);
-  election.EpochChanged({1, "b", "b-1"}, kStart);
-  CHECK_FALSE(election.Claim(kStart + milliseconds(2999)));
-  CHECK(election.Claim(kStart + milliseconds(3000)));
+  election.SetLiveEntries({"a"}, kStart);
+  election.SetEpoch({1, "b", "b-1"}, kStart);
+  CHECK_FALSE(election.ClaimIfDue(kStart + milliseconds(2999)));
+  CHECK(election.ClaimIfDue(kStart + milliseconds(3000)));
   // The claim is not repeated at once, though its fate is unknown.
-  CHECK_FALSE(election.Claim(kStart + milliseconds(3100)));
-  CHECK(election.Claim(kStart + milliseconds(5500)));
+  CHECK_FALSE(election.ClaimIfDue(kStart + milliseconds(3100)));
+  CHECK(election.ClaimIfDue(kStart + milliseconds(5500)));
 }
 
 }  // namespace
