--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -393,23 +393,23 @@
 }
 
 void Coordinator::CarryOne(const CheckpointGang& action, Time) {
-  LogEvent(
-      events::kGangCheckpointed,
-      {{"job", action.job}, {"gang", action.gang_id}, {"reason", action.why}});
+  LogEvent(events::kGangCheckpointed, {{"job", action.job},
+                                       {"gang", action.gang_id},
+                                       {"reason", action.reason}});
   executor_.Checkpoint(action.gang_id);
 }
 
 void Coordinator::CarryOne(const StopGang& action, Time now) {
-  LogEvent(
-      events::kGangStopped,
-      {{"job", action.job}, {"gang", action.gang_id}, {"reason", action.why}});
+  LogEvent(events::kGangStopped, {{"job", action.job},
+                                  {"gang", action.gang_id},
+                                  {"reason", action.reason}});
   Handle(executor_.Stop(action.gang_id), now);
 }
 
 void Coordinator::CarryOne(const StopLease& action, Time) {
   LogEvent(events::kLeaseStopped, {{"worker", action.worker},
                                    {"lease", action.lease_id},
-                                   {"reason", action.why}});
+                                   {"reason", action.reason}});
   executor_.StopLease(action.worker, action.lease_id);
 }
 
--- a/src/libs/scheduling/scheduler_actions.h
+++ b/src/libs/scheduling/scheduler_actions.h
@@ -31,7 +31,7 @@
 struct CheckpointGang {
   std::string job;
   std::string gang_id;
-  std::string why;
+  std::string reason;
 };
 
 // Stop every member that may still hold a lease, and release the lease.
@@ -40,7 +40,7 @@
 struct StopGang {
   std::string job;
   std::string gang_id;
-  std::string why;
+  std::string reason;
 };
 
 // Stop one lease that belongs to no gang of ours: of an older attempt, or
@@ -48,7 +48,7 @@
 struct StopLease {
   std::string worker;
   std::string lease_id;
-  std::string why;
+  std::string reason;
 };
 
 // The carrier appends it to the job stream.
