--- a/benchmarks/scheduling_policies.cc
+++ b/benchmarks/scheduling_policies.cc
@@ -124,7 +124,7 @@
     double at = next_tick;
     if (next < trace.size()) at = std::min(at, trace[next].submit);
     if (!ends.empty()) at = std::min(at, std::get<0>(ends.top()));
-    const Room room = cluster.FreeRoom();
+    const AcceleratorsByWorker room = cluster.FreeByWorker();
     const double free = cluster.total_free() * (at - now);
     // After the last arrival everything drains: not a loaded cluster.
     if (next < trace.size()) {
--- a/benchmarks/scheduling_policies.h
+++ b/benchmarks/scheduling_policies.h
@@ -61,14 +61,14 @@
 
  private:
   std::optional<Placement> Find(const Shape& shape) const {
-    const Room room = cluster_.FreeRoom();
+    const AcceleratorsByWorker room = cluster_.FreeByWorker();
     if (best_fit_) {
       return FindPlacement(cluster_, shape, room, NoPlacementCost());
     }
     return FirstFit(shape, room);
   }
   std::optional<Placement> FirstFit(const Shape& shape,
-                                    const Room& room) const {
+                                    const AcceleratorsByWorker& room) const {
     Placement placement;
     int missing = shape.members;
     for (int rack = 0; rack < cluster_.rack_count(); ++rack) {
--- a/src/libs/scheduling/cell_layout.cc
+++ b/src/libs/scheduling/cell_layout.cc
@@ -81,7 +81,7 @@
 }
 
 void CellLayout::RefreshRoom() {
-  room_ = cluster_.CapacityRoom();
+  room_ = cluster_.CapacityByWorker();
   for (const Cell& cell : cells_) {
     if (!cell.placed) continue;
     for (const CellSlot& slot : cell.slots) {
@@ -124,7 +124,7 @@
   RefreshRoom();
 }
 
-bool CellLayout::PlaceRackCell(int index, const Room& room,
+bool CellLayout::PlaceRackCell(int index, const AcceleratorsByWorker& room,
                                const PlacementCost& cost) {
   const std::optional<Placement> placement =
       FindPlacement(cluster_, cells_[index].shape, room, cost);
@@ -134,7 +134,8 @@
 }
 
 // All `units` are of one size; places as many as fit.
-void CellLayout::PlaceUnits(const std::vector<int>& units, const Room& room,
+void CellLayout::PlaceUnits(const std::vector<int>& units,
+                            const AcceleratorsByWorker& room,
                             const PlacementCost& cost) {
   if (units.empty()) return;
   const int size = cells_[units[0]].shape.accelerators_per_member;
@@ -151,9 +152,10 @@
   }
 }
 
-bool CellLayout::PlaceChosen(const std::vector<int>& moving, const Room& room,
+bool CellLayout::PlaceChosen(const std::vector<int>& moving,
+                             const AcceleratorsByWorker& room,
                              const PlacementCost& cost) {
-  Room left = room;
+  AcceleratorsByWorker left = room;
   const auto take = [this, &left](int index) {
     for (const CellSlot& slot : cells_[index].slots) {
       left[slot.worker] -= cells_[index].shape.accelerators_per_member;
@@ -285,7 +287,7 @@
 }
 
 bool CellLayout::LiesOnFree(const std::vector<int>& cells) const {
-  Room free = cluster_.FreeRoom();
+  AcceleratorsByWorker free = cluster_.FreeByWorker();
   for (const int index : cells) {
     const Cell& cell = cells_[index];
     for (const CellSlot& slot : cell.slots) {
@@ -297,8 +299,8 @@
 }
 
 // Free accelerators outside of the cells that cannot be moved.
-Room CellLayout::FreeRoomWithoutMovable() const {
-  Room room = room_;
+AcceleratorsByWorker CellLayout::FreeRoomWithoutMovable() const {
+  AcceleratorsByWorker room = room_;
   for (const Cell& cell : cells_) {
     if (!IsMovable(cell) || !cell.placed) continue;
     for (const CellSlot& slot : cell.slots) {
--- a/src/libs/scheduling/cell_layout.h
+++ b/src/libs/scheduling/cell_layout.h
@@ -112,13 +112,14 @@
   void Undo();
   void Commit() { moves_.clear(); }
 
-  bool PlaceRackCell(int cell, const Room& room, const PlacementCost& cost);
-  void PlaceUnits(const std::vector<int>& units, const Room& room,
-                  const PlacementCost& cost);
-  bool PlaceChosen(const std::vector<int>& moving, const Room& room,
-                   const PlacementCost& cost);
+  bool PlaceRackCell(int cell, const AcceleratorsByWorker& room,
+                     const PlacementCost& cost);
+  void PlaceUnits(const std::vector<int>& units,
+                  const AcceleratorsByWorker& room, const PlacementCost& cost);
+  bool PlaceChosen(const std::vector<int>& moving,
+                   const AcceleratorsByWorker& room, const PlacementCost& cost);
   bool LiesOnFree(const std::vector<int>& cells) const;
-  Room FreeRoomWithoutMovable() const;
+  AcceleratorsByWorker FreeRoomWithoutMovable() const;
   // Unplaces movable cells from workers whose cells exceed their room.
   void ClearOverfull();
   // Places every missing movable cell, those of `first` before the others.
@@ -139,7 +140,7 @@
   std::vector<Cell> cells_;
   // Capacity of each worker minus its cells. Invariant outside of a method:
   // negative only where cells in use lie on unusable workers.
-  Room room_;
+  AcceleratorsByWorker room_;
   // Places before the changes that are not committed yet.
   std::vector<Move> moves_;
 };
--- a/src/libs/scheduling/cluster_model.cc
+++ b/src/libs/scheduling/cluster_model.cc
@@ -61,14 +61,14 @@
   return largest;
 }
 
-Room ClusterModel::FreeRoom() const {
-  Room room(workers_.size());
+AcceleratorsByWorker ClusterModel::FreeByWorker() const {
+  AcceleratorsByWorker room(workers_.size());
   for (WorkerIndex i = 0; i < size(); ++i) room[i] = free(i);
   return room;
 }
 
-Room ClusterModel::CapacityRoom() const {
-  Room room(workers_.size());
+AcceleratorsByWorker ClusterModel::CapacityByWorker() const {
+  AcceleratorsByWorker room(workers_.size());
   for (WorkerIndex i = 0; i < size(); ++i) room[i] = capacity(i);
   return room;
 }
--- a/src/libs/scheduling/cluster_model.h
+++ b/src/libs/scheduling/cluster_model.h
@@ -19,7 +19,7 @@
 inline constexpr WorkerIndex kNoWorker = -1;
 
 // Accelerators per worker, by WorkerIndex, that a decision may use.
-using Room = std::vector<int>;
+using AcceleratorsByWorker = std::vector<int>;
 
 // `members` members of a gang on one worker.
 struct WorkerShare {
@@ -56,8 +56,8 @@
   int total_free() const;
   // Largest accelerators of one usable worker.
   int largest_worker() const;
-  Room FreeRoom() const;
-  Room CapacityRoom() const;
+  AcceleratorsByWorker FreeByWorker() const;
+  AcceleratorsByWorker CapacityByWorker() const;
 
   // A lease of a gang.
   void Hold(WorkerIndex worker, int accelerators);
--- a/src/libs/scheduling/cluster_survey.cc
+++ b/src/libs/scheduling/cluster_survey.cc
@@ -52,8 +52,9 @@
   return releases;
 }
 
-Room ClusterSurvey::Outlasting(const ClusterModel& cluster, Time at) const {
-  Room outlasting(cluster.size());
+AcceleratorsByWorker ClusterSurvey::Outlasting(const ClusterModel& cluster,
+                                               Time at) const {
+  AcceleratorsByWorker outlasting(cluster.size());
   for (WorkerIndex i = 0; i < cluster.size(); ++i) {
     outlasting[i] = cluster.claimed(i);
   }
@@ -68,9 +69,9 @@
   return outlasting;
 }
 
-Room ClusterSurvey::Reclaimable(const ClusterModel& cluster,
-                                bool urgent_too) const {
-  Room room(cluster.size(), 0);
+AcceleratorsByWorker ClusterSurvey::Reclaimable(const ClusterModel& cluster,
+                                                bool urgent_too) const {
+  AcceleratorsByWorker room(cluster.size(), 0);
   for (const GangView& view : gangs) {
     if (!view.borrower && !view.leaving) continue;
     if (view.urgent && !view.leaving && !urgent_too) continue;
--- a/src/libs/scheduling/cluster_survey.h
+++ b/src/libs/scheduling/cluster_survey.h
@@ -30,10 +30,11 @@
                            const std::string& account) const;
   std::vector<ExpectedRelease> Releases() const;
   // Accelerators per worker in use or claimed and not expected free by `at`.
-  Room Outlasting(const ClusterModel& cluster, Time at) const;
+  AcceleratorsByWorker Outlasting(const ClusterModel& cluster, Time at) const;
   // Accelerators per worker that only borrowers hold, urgent ones excepted
   // unless `urgent_too`.
-  Room Reclaimable(const ClusterModel& cluster, bool urgent_too) const;
+  AcceleratorsByWorker Reclaimable(const ClusterModel& cluster,
+                                   bool urgent_too) const;
   // When the last gang of each rack is expected to end; `now` for an idle one.
   std::vector<Time> RackEnds(const ClusterModel& cluster, Time now) const;
   // Work lost per borrowed accelerator when a worker is cleared.
--- a/src/libs/scheduling/feasibility.cc
+++ b/src/libs/scheduling/feasibility.cc
@@ -66,7 +66,7 @@
   if (!account) return "account " + job.account + " is not declared";
   ClusterModel cluster;
   cluster.SetWorkers(Staying(workers));
-  if (!Fits(cluster, job.shape, cluster.CapacityRoom())) {
+  if (!Fits(cluster, job.shape, cluster.CapacityByWorker())) {
     return CannotHold(job.shape, cluster);
   }
   // Jobs of an event have the event's shapes beside the guarantee.
@@ -88,7 +88,7 @@
         return guarantee.account +
                ": members and accelerators must be at least 1";
       }
-      if (!Fits(cluster, guaranteed.shape, cluster.CapacityRoom())) {
+      if (!Fits(cluster, guaranteed.shape, cluster.CapacityByWorker())) {
         return guarantee.account + ": " + CannotHold(guaranteed.shape, cluster);
       }
       demands.push_back({{guarantee.account, ""}, guaranteed});
--- a/src/libs/scheduling/fragmentation_score.cc
+++ b/src/libs/scheduling/fragmentation_score.cc
@@ -31,7 +31,7 @@
 
 double FragmentationScore::Loss(int rack, const Placement& share,
                                 int accelerators_per_member,
-                                const Room& room) const {
+                                const AcceleratorsByWorker& room) const {
   double loss = 0;
   for (const WeightedShape& weighted : shapes_) {
     const int size = weighted.shape.accelerators_per_member;
@@ -54,7 +54,8 @@
   return loss;
 }
 
-double FragmentationScore::Fragmentation(const Room& room) const {
+double FragmentationScore::Fragmentation(
+    const AcceleratorsByWorker& room) const {
   int free = 0;
   for (const int one : room) free += std::max(0, one);
   if (free == 0 || shapes_.empty()) return 0;
--- a/src/libs/scheduling/fragmentation_score.h
+++ b/src/libs/scheduling/fragmentation_score.h
@@ -29,10 +29,10 @@
   // Accelerators' worth of large shapes that `rack` can serve less when
   // `share` of a gang is placed into `room` there.
   double Loss(int rack, const Placement& share, int accelerators_per_member,
-              const Room& room) const;
+              const AcceleratorsByWorker& room) const;
   // Share of the accelerators in `room` that serve none of the shapes, by
   // weight; 0 when nothing is free or no shape is declared.
-  double Fragmentation(const Room& room) const;
+  double Fragmentation(const AcceleratorsByWorker& room) const;
 
  private:
   // Accelerators of `slots` member slots in one rack that serve the shape.
--- a/src/libs/scheduling/guarantee_witness.cc
+++ b/src/libs/scheduling/guarantee_witness.cc
@@ -336,8 +336,8 @@
   for (const int index : moving) layout_.SetFixed(index, true);
 }
 
-Room GuaranteeWitness::SetAside() const {
-  Room aside(cluster_.size(), 0);
+AcceleratorsByWorker GuaranteeWitness::SetAside() const {
+  AcceleratorsByWorker aside(cluster_.size(), 0);
   for (const Cell& cell : cells()) {
     if (cell.retired) continue;
     for (const CellSlot& slot : cell.slots) {
@@ -348,8 +348,9 @@
   return aside;
 }
 
-Room GuaranteeWitness::SetAsideFor(const std::string& event) const {
-  Room aside(cluster_.size(), 0);
+AcceleratorsByWorker GuaranteeWitness::SetAsideFor(
+    const std::string& event) const {
+  AcceleratorsByWorker aside(cluster_.size(), 0);
   for (const Cell& cell : cells()) {
     if (!IsOnlyFor(cell, event)) continue;
     for (const CellSlot& slot : cell.slots) {
--- a/src/libs/scheduling/guarantee_witness.h
+++ b/src/libs/scheduling/guarantee_witness.h
@@ -74,9 +74,9 @@
 
   const std::vector<Cell>& cells() const { return layout_.cells(); }
   // Accelerators per worker that cells hold unused, whoever borrows them.
-  Room SetAside() const;
+  AcceleratorsByWorker SetAside() const;
   // The same for the cells that only `event` may take.
-  Room SetAsideFor(const std::string& event) const;
+  AcceleratorsByWorker SetAsideFor(const std::string& event) const;
   // Whether every cell has a place on workers that may be used.
   bool IsWhole() const { return layout_.CountMissing() == 0; }
   // What of `owner` has no place, in words; empty when all has.
--- a/src/libs/scheduling/large_job_reservation.cc
+++ b/src/libs/scheduling/large_job_reservation.cc
@@ -8,7 +8,8 @@
 // Counts the member slots of a shape per rack while accelerators come free.
 class SlotCounter {
  public:
-  SlotCounter(const ClusterModel& cluster, const Shape& shape, Room* room)
+  SlotCounter(const ClusterModel& cluster, const Shape& shape,
+              AcceleratorsByWorker* room)
       : cluster_(cluster),
         shape_(shape),
         room_(*room),
@@ -39,7 +40,7 @@
 
   const ClusterModel& cluster_;
   const Shape shape_;
-  Room& room_;
+  AcceleratorsByWorker& room_;
   std::vector<int> rack_slots_;
   int total_ = 0;
   int most_in_rack_ = 0;
@@ -48,7 +49,7 @@
 }  // namespace
 
 std::optional<EarliestStart> FindEarliestStart(
-    const ClusterModel& cluster, const Shape& shape, Room room,
+    const ClusterModel& cluster, const Shape& shape, AcceleratorsByWorker room,
     std::vector<ExpectedRelease> releases, Time now,
     const PlacementCost& cost) {
   std::sort(releases.begin(), releases.end(),
@@ -93,7 +94,8 @@
 }
 
 void LargeJobReservation::KeepFree(const ClusterModel& cluster,
-                                   const Room& outlasting, Room* room) const {
+                                   const AcceleratorsByWorker& outlasting,
+                                   AcceleratorsByWorker* room) const {
   for (const WorkerShare& share : placement_) {
     const int kept = share.members * shape_.accelerators_per_member;
     const int left =
--- a/src/libs/scheduling/large_job_reservation.h
+++ b/src/libs/scheduling/large_job_reservation.h
@@ -33,7 +33,7 @@
 // When `shape` first fits, given `room` now and `releases` later; nullopt when
 // it doesn't after the last of them.
 std::optional<EarliestStart> FindEarliestStart(
-    const ClusterModel& cluster, const Shape& shape, Room room,
+    const ClusterModel& cluster, const Shape& shape, AcceleratorsByWorker room,
     std::vector<ExpectedRelease> releases, Time now, const PlacementCost& cost);
 
 class LargeJobReservation {
@@ -59,8 +59,9 @@
   bool EndsInTime(Time expected_end) const;
   // Takes from `room` what the job needs at the start. `outlasting` holds, per
   // worker, the accelerators in use that are not expected free by then.
-  void KeepFree(const ClusterModel& cluster, const Room& outlasting,
-                Room* room) const;
+  void KeepFree(const ClusterModel& cluster,
+                const AcceleratorsByWorker& outlasting,
+                AcceleratorsByWorker* room) const;
   // Whether a worker of the reservation can no longer be used.
   bool LostWorker(const ClusterModel& cluster) const;
 
--- a/src/libs/scheduling/placement_costs.cc
+++ b/src/libs/scheduling/placement_costs.cc
@@ -42,11 +42,12 @@
 
 double DisplacingCost::RackCost(int rack, const Placement& share,
                                 int accelerators_per_member,
-                                const Room& room) const {
+                                const AcceleratorsByWorker& room) const {
   return fragmentation_.Loss(rack, share, accelerators_per_member, room);
 }
 
-BorrowingCost::BorrowingCost(const BorrowingView& view, const Room& room,
+BorrowingCost::BorrowingCost(const BorrowingView& view,
+                             const AcceleratorsByWorker& room,
                              const JobRecord& job, Time expected_end)
     : view_(view), room_(room), job_(job), expected_end_(expected_end) {}
 
@@ -58,7 +59,7 @@
 
 double BorrowingCost::RackCost(int rack, const Placement& share,
                                int accelerators_per_member,
-                               const Room& room) const {
+                               const AcceleratorsByWorker& room) const {
   const std::chrono::duration<double> longer =
       expected_end_ - view_.rack_ends[rack];
   return view_.fragmentation.Loss(rack, share, accelerators_per_member, room) +
--- a/src/libs/scheduling/placement_costs.h
+++ b/src/libs/scheduling/placement_costs.h
@@ -23,7 +23,7 @@
 
   double WorkerCost(WorkerIndex worker) const override;
   double RackCost(int rack, const Placement& share, int accelerators_per_member,
-                  const Room& room) const override;
+                  const AcceleratorsByWorker& room) const override;
 
  private:
   const ClusterModel& cluster_;
@@ -36,7 +36,7 @@
 struct BorrowingView {
   const FragmentationScore& fragmentation;
   // What guarantees hold unused, by worker.
-  const Room& set_aside;
+  const AcceleratorsByWorker& set_aside;
   // When the last gang of each rack is expected to end.
   const std::vector<Time>& rack_ends;
 };
@@ -46,16 +46,16 @@
 class BorrowingCost : public PlacementCost {
  public:
   // `expected_end` is that of the gang. The references outlive the object.
-  BorrowingCost(const BorrowingView& view, const Room& room,
+  BorrowingCost(const BorrowingView& view, const AcceleratorsByWorker& room,
                 const JobRecord& job, Time expected_end);
 
   double WorkerCost(WorkerIndex worker) const override;
   double RackCost(int rack, const Placement& share, int accelerators_per_member,
-                  const Room& room) const override;
+                  const AcceleratorsByWorker& room) const override;
 
  private:
   const BorrowingView view_;
-  const Room& room_;
+  const AcceleratorsByWorker& room_;
   const JobRecord& job_;
   const Time expected_end_;
 };
--- a/src/libs/scheduling/placement_round.cc
+++ b/src/libs/scheduling/placement_round.cc
@@ -69,7 +69,8 @@
 void PlacementRound::ServePlans() {
   const std::map<std::string, JobRecord*> planned = state_.planned;
   if (planned.empty()) return;
-  const Room reclaimable = survey_.Reclaimable(state_.cluster, false);
+  const AcceleratorsByWorker reclaimable =
+      survey_.Reclaimable(state_.cluster, false);
   for (const auto& [id, job] : planned) {
     const std::vector<WorkerIndex> workers = job->plan->workers;
     const bool servable = std::all_of(
@@ -184,7 +185,7 @@
 }
 
 bool PlacementRound::TryUrgent(JobRecord& job) {
-  const Room room = RoomFor(job, true);
+  const AcceleratorsByWorker room = RoomFor(job, true);
   const DisplacingCost cost(state_.cluster, state_.fragmentation,
                             displacement_cost_, job);
   if (const std::optional<Placement> placement =
@@ -197,7 +198,7 @@
 
 bool PlacementRound::ClaimFromBorrowers(JobRecord& job,
                                         const std::string& reason) {
-  Room room = survey_.Reclaimable(state_.cluster, false);
+  AcceleratorsByWorker room = survey_.Reclaimable(state_.cluster, false);
   for (WorkerIndex i = 0; i < state_.cluster.size(); ++i) {
     room[i] += state_.cluster.unheld(i) - state_.cluster.claimed(i);
   }
@@ -205,7 +206,7 @@
     const Time end = now_ + state_.ExpectedRun(job);
     const Duration lead = state_.Lead(job.spec.account);
     if (!EventCalendar::KeepsOff(event, now_, end, lead)) continue;
-    const Room& aside = AsideFor(event.name);
+    const AcceleratorsByWorker& aside = AsideFor(event.name);
     for (WorkerIndex i = 0; i < state_.cluster.size(); ++i) room[i] -= aside[i];
   }
   const DisplacingCost cost(state_.cluster, state_.fragmentation,
@@ -217,7 +218,7 @@
   return true;
 }
 
-const Room& PlacementRound::AsideFor(const std::string& event) {
+const AcceleratorsByWorker& PlacementRound::AsideFor(const std::string& event) {
   const auto found = aside_for_event_.find(event);
   if (found != aside_for_event_.end()) return found->second;
   return aside_for_event_[event] = state_.witness.SetAsideFor(event);
@@ -226,13 +227,14 @@
 // Free accelerators that the job may borrow: none that an event needs before
 // the job can be out of the way, none that the reserved job needs, none where
 // it failed before.
-Room PlacementRound::RoomFor(const JobRecord& job, bool past_reservation) {
-  Room room = state_.cluster.FreeRoom();
+AcceleratorsByWorker PlacementRound::RoomFor(const JobRecord& job,
+                                             bool past_reservation) {
+  AcceleratorsByWorker room = state_.cluster.FreeByWorker();
   const Time end = now_ + state_.ExpectedRun(job);
   for (const EventReservation& event : state_.calendar.events()) {
     const Duration lead = state_.Lead(job.spec.account);
     if (!EventCalendar::KeepsOff(event, now_, end, lead)) continue;
-    const Room& aside = AsideFor(event.name);
+    const AcceleratorsByWorker& aside = AsideFor(event.name);
     for (size_t i = 0; i < room.size(); ++i) {
       room[i] = std::max(0, room[i] - aside[i]);
     }
@@ -281,7 +283,7 @@
   if (JobRecord* reserved = state_.FindJob(state_.reservation.job())) {
     if (MayStart(*reserved) && TryBorrow(*reserved)) state_.reservation.Clear();
   }
-  const Room free = state_.cluster.FreeRoom();
+  const AcceleratorsByWorker free = state_.cluster.FreeByWorker();
   using Entry = std::pair<double, JobRecord*>;
   std::vector<Entry> entries;
   for (const JobClass& job_class : state_.classes) {
@@ -316,7 +318,7 @@
 }
 
 bool PlacementRound::TryBorrow(JobRecord& job) {
-  const Room room = RoomFor(job, false);
+  const AcceleratorsByWorker room = RoomFor(job, false);
   if (!Fits(state_.cluster, job.spec.shape, room)) return false;
   const BorrowingCost cost({state_.fragmentation, set_aside_, rack_ends_}, room,
                            job, now_ + state_.ExpectedRun(job));
--- a/src/libs/scheduling/placement_round.h
+++ b/src/libs/scheduling/placement_round.h
@@ -53,7 +53,7 @@
   bool PlaceBorrowers();
   bool TryBorrow(JobRecord& job);
   double ScoreOf(const JobRecord& job) const;
-  Room RoomFor(const JobRecord& job, bool past_reservation);
+  AcceleratorsByWorker RoomFor(const JobRecord& job, bool past_reservation);
   // What its expected end keeps the job off: the reservation and events, by
   // name. Jobs of one class with the same limits have the same room.
   std::set<std::string> LimitsOf(const JobRecord& job) const;
@@ -74,18 +74,18 @@
             const std::string& reason);
   bool IsFreeNow(const JobRecord& job,
                  const std::vector<WorkerIndex>& workers) const;
-  const Room& AsideFor(const std::string& event);
+  const AcceleratorsByWorker& AsideFor(const std::string& event);
 
   SchedulerState& state_;
   GangStarter& starter_;
   const Time now_;
   ClusterSurvey survey_;
   std::vector<double> displacement_cost_;
-  Room set_aside_;
+  AcceleratorsByWorker set_aside_;
   std::vector<Time> rack_ends_;
   // In use past the start of the reservation; kept up to date while placing.
-  Room outlasting_;
-  std::map<std::string, Room> aside_for_event_;
+  AcceleratorsByWorker outlasting_;
+  std::map<std::string, AcceleratorsByWorker> aside_for_event_;
 };
 
 }  // namespace thornplank
--- a/src/libs/scheduling/placement_search.cc
+++ b/src/libs/scheduling/placement_search.cc
@@ -30,7 +30,8 @@
 }
 
 std::vector<Candidate> CandidatesInRack(const ClusterModel& cluster, int rack,
-                                        const Shape& shape, const Room& room,
+                                        const Shape& shape,
+                                        const AcceleratorsByWorker& room,
                                         const PlacementCost& cost) {
   std::vector<Candidate> candidates;
   for (const WorkerIndex worker : cluster.rack(rack)) {
@@ -46,7 +47,7 @@
 
 // The share of at most `wanted` members that `rack` would take.
 RackOffer OfferOfRack(const ClusterModel& cluster, int rack, int wanted,
-                      const Shape& shape, const Room& room,
+                      const Shape& shape, const AcceleratorsByWorker& room,
                       const PlacementCost& cost) {
   std::vector<Candidate> candidates =
       CandidatesInRack(cluster, rack, shape, room, cost);
@@ -84,7 +85,8 @@
 // Fills racks from the cheapest on, whatever their number.
 std::optional<RackOffer> SpreadOffer(const ClusterModel& cluster,
                                      std::vector<RackOffer> offers,
-                                     const Shape& shape, const Room& room,
+                                     const Shape& shape,
+                                     const AcceleratorsByWorker& room,
                                      const PlacementCost& cost) {
   std::sort(offers.begin(), offers.end(), CheaperPerMember);
   RackOffer spread;
@@ -103,7 +105,8 @@
 }
 
 std::vector<RackOffer> Offers(const ClusterModel& cluster, const Shape& shape,
-                              const Room& room, const PlacementCost& cost) {
+                              const AcceleratorsByWorker& room,
+                              const PlacementCost& cost) {
   std::vector<RackOffer> offers;
   for (int rack = 0; rack < cluster.rack_count(); ++rack) {
     RackOffer offer =
@@ -129,12 +132,13 @@
 double NoPlacementCost::WorkerCost(WorkerIndex) const { return 0; }
 
 double NoPlacementCost::RackCost(int, const Placement&, int,
-                                 const Room&) const {
+                                 const AcceleratorsByWorker&) const {
   return 0;
 }
 
 std::optional<Placement> FindPlacement(const ClusterModel& cluster,
-                                       const Shape& shape, const Room& room,
+                                       const Shape& shape,
+                                       const AcceleratorsByWorker& room,
                                        const PlacementCost& cost) {
   if (shape.members <= 0 || shape.accelerators_per_member <= 0) {
     return std::nullopt;
@@ -152,7 +156,8 @@
   return whole && whole->cost <= spread->cost ? whole->share : spread->share;
 }
 
-bool Fits(const ClusterModel& cluster, const Shape& shape, const Room& room) {
+bool Fits(const ClusterModel& cluster, const Shape& shape,
+          const AcceleratorsByWorker& room) {
   const bool one_rack = shape.adjacency == Adjacency::kRack;
   int slots = 0;
   for (int rack = 0; rack < cluster.rack_count(); ++rack) {
--- a/src/libs/scheduling/placement_search.h
+++ b/src/libs/scheduling/placement_search.h
@@ -25,7 +25,7 @@
   // `room_after` in place of `room` on the workers of `share`.
   virtual double RackCost(int rack, const Placement& share,
                           int accelerators_per_member,
-                          const Room& room) const = 0;
+                          const AcceleratorsByWorker& room) const = 0;
 };
 
 // Nothing costs anything: plain best fit.
@@ -33,16 +33,18 @@
  public:
   double WorkerCost(WorkerIndex worker) const override;
   double RackCost(int rack, const Placement& share, int accelerators_per_member,
-                  const Room& room) const override;
+                  const AcceleratorsByWorker& room) const override;
 };
 
 // Workers for `shape` within `room` (by WorkerIndex), or nullopt.
 std::optional<Placement> FindPlacement(const ClusterModel& cluster,
-                                       const Shape& shape, const Room& room,
+                                       const Shape& shape,
+                                       const AcceleratorsByWorker& room,
                                        const PlacementCost& cost);
 
 // Whether `room` holds `shape` at all; cheaper than FindPlacement.
-bool Fits(const ClusterModel& cluster, const Shape& shape, const Room& room);
+bool Fits(const ClusterModel& cluster, const Shape& shape,
+          const AcceleratorsByWorker& room);
 
 // The worker of each member, in order.
 std::vector<WorkerIndex> MemberWorkers(const Placement& placement);
--- a/src/libs/scheduling/reclaimer.cc
+++ b/src/libs/scheduling/reclaimer.cc
@@ -111,7 +111,7 @@
 void Reclaimer::ClearForEvent(const EventReservation& event,
                               const ClusterSurvey& survey, Time now) {
   if (now < EventCalendar::ClearAt(event, state_.LongestLead())) return;
-  const Room aside = state_.witness.SetAsideFor(event.name);
+  const AcceleratorsByWorker aside = state_.witness.SetAsideFor(event.name);
   std::map<WorkerIndex, int> claimed = ClaimedBy(Claims::kGuaranteed);
   for (auto one = claimed.begin(); one != claimed.end();) {
     one = aside[one->first] > 0 ? std::next(one) : claimed.erase(one);
