--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -166,7 +166,7 @@
             });
   for (const JobEntry* entry : open) Submit(*entry, now);
   for (const JobEntry& entry : early_) {
-    if (!fold.jobs().Knows(entry.request.spec.id)) Submit(entry, now);
+    if (!fold.jobs().IsKnown(entry.request.spec.id)) Submit(entry, now);
   }
   early_.clear();
   std::map<std::string, AdoptedGang> gangs = FindGangs(now);
--- a/src/libs/jobs/job_manager_access.cc
+++ b/src/libs/jobs/job_manager_access.cc
@@ -32,7 +32,7 @@
     log_down = trouble != LogTrouble::kNone;
     if (!fold_.complete()) {
       result = NotRun("the job stream is not folded yet");
-    } else if (fold_.jobs().Knows(job.spec.id)) {
+    } else if (fold_.jobs().IsKnown(job.spec.id)) {
       result = SubmissionResult(fold_.jobs(), job);
     } else if (draining_) {
       result = NotRun("this entry is stopping");
@@ -208,7 +208,7 @@
 
 size_t JobManager::Impl::open_jobs() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return fold_.jobs().jobs().size() - fold_.jobs().final_jobs();
+  return fold_.jobs().jobs().size() - fold_.jobs().final_job_count();
 }
 
 Json JobManager::Impl::ProduceSnapshot() const {
@@ -269,7 +269,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!coordinator_ || verifying_) return false;
-    if (fold_.jobs().Knows(job.spec.id)) return true;
+    if (fold_.jobs().IsKnown(job.spec.id)) return true;
   }
   HoldUrgent(job);
   {
@@ -283,7 +283,7 @@
 void JobManager::Impl::HoldUrgent(const JobRequest& job) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (fold_.jobs().Knows(job.spec.id)) return;
+    if (fold_.jobs().IsKnown(job.spec.id)) return;
     if (!held_.emplace(job.spec.id, job).second) return;
   }
   writer_.Append(NewRecordId(), EncodeJobRecord(SubmittedRecord{job}),
--- a/src/libs/jobs/job_waiters.cc
+++ b/src/libs/jobs/job_waiters.cc
@@ -11,7 +11,7 @@
 
 bool Fulfilled(const JobTable& jobs, const JobWaiters::Waiter& waiter) {
   const std::string& id = waiter.job.spec.id;
-  if (!waiter.for_end) return jobs.Knows(id);
+  if (!waiter.for_end) return jobs.IsKnown(id);
   const JobEntry* entry = jobs.Find(id);
   return entry == nullptr || IsFinal(entry->phase);
 }
--- a/src/libs/state/job_table.cc
+++ b/src/libs/state/job_table.cc
@@ -10,7 +10,7 @@
                       WallTime time) {
   DropOld(time);
   const std::string& id = record.job.spec.id;
-  if (Knows(id)) return false;
+  if (IsKnown(id)) return false;
   JobEntry entry;
   entry.request = record.job;
   entry.request.spec.submitted_order = offset;
@@ -74,7 +74,7 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-bool JobTable::Knows(const std::string& id) const {
+bool JobTable::IsKnown(const std::string& id) const {
   return jobs_.count(id) > 0 || forgotten_.count(id) > 0;
 }
 
--- a/src/libs/state/job_table.h
+++ b/src/libs/state/job_table.h
@@ -64,9 +64,9 @@
 
   const JobEntry* Find(const std::string& id) const;
   // Whether a submission of `id` would be a repeat.
-  bool Knows(const std::string& id) const;
+  bool IsKnown(const std::string& id) const;
   const std::map<std::string, JobEntry>& jobs() const { return jobs_; }
-  size_t final_jobs() const { return final_order_.size(); }
+  size_t final_job_count() const { return final_order_.size(); }
 
   // For snapshots: final jobs in the order in which they ended, and dropped
   // ids from the oldest on.
