--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -221,7 +221,7 @@
   const CoordinatorEpoch& epoch = fold_.epochs().current();
   election_.SetEpoch(epoch, now);
   const bool ours =
-      fold_.epochs().HeldBy(settings_.name, settings_.incarnation) &&
+      fold_.epochs().IsHeldBy(settings_.name, settings_.incarnation) &&
       epoch.number != given_up_epoch_ && !draining_;
   if (coordinator_ && (!ours || coordinator_->epoch() != epoch.number)) {
     StepDown("epoch " + std::to_string(epoch.number) + " belongs to " +
--- a/src/libs/state/epoch_table.cc
+++ b/src/libs/state/epoch_table.cc
@@ -11,18 +11,18 @@
 }
 
 bool EpochTable::Resign(const ResignRecord& record) {
-  if (!InForce(record.epoch)) return false;
-  if (!HeldBy(record.holder, record.incarnation)) return false;
+  if (!IsInForce(record.epoch)) return false;
+  if (!IsHeldBy(record.holder, record.incarnation)) return false;
   current_.resigned = true;
   return true;
 }
 
-bool EpochTable::InForce(int64_t epoch) const {
+bool EpochTable::IsInForce(int64_t epoch) const {
   return epoch == current_.number && epoch > 0 && !current_.resigned;
 }
 
-bool EpochTable::HeldBy(const std::string& holder,
-                        const std::string& incarnation) const {
+bool EpochTable::IsHeldBy(const std::string& holder,
+                          const std::string& incarnation) const {
   return current_.number > 0 && !current_.resigned &&
          current_.holder == holder && current_.incarnation == incarnation;
 }
--- a/src/libs/state/epoch_table.h
+++ b/src/libs/state/epoch_table.h
@@ -34,8 +34,9 @@
   // True when the current holder gave its epoch up.
   bool Resign(const ResignRecord& record);
   // Whether a record written under `epoch` counts now.
-  bool InForce(int64_t epoch) const;
-  bool HeldBy(const std::string& holder, const std::string& incarnation) const;
+  bool IsInForce(int64_t epoch) const;
+  bool IsHeldBy(const std::string& holder,
+                const std::string& incarnation) const;
 
   const CoordinatorEpoch& current() const { return current_; }
   // For snapshots.
--- a/src/libs/state/job_stream_fold.cc
+++ b/src/libs/state/job_stream_fold.cc
@@ -84,12 +84,12 @@
                   cancelled->job);
   }
   if (const auto* placed = std::get_if<PlacedRecord>(&typed)) {
-    if (!epochs_.InForce(placed->epoch)) return {};
+    if (!epochs_.IsInForce(placed->epoch)) return {};
     return change(jobs_.Place(*placed, record.time), Kind::kPlaced,
                   placed->job);
   }
   if (const auto* phase = std::get_if<PhaseRecord>(&typed)) {
-    if (!epochs_.InForce(phase->epoch)) return {};
+    if (!epochs_.IsInForce(phase->epoch)) return {};
     return change(jobs_.ChangePhase(*phase, record.time), Kind::kPhase,
                   phase->job);
   }
