--- a/src/libs/scheduling/scheduler_actions.h
+++ b/src/libs/scheduling/scheduler_actions.h
@@ -31,7 +31,7 @@
 struct CheckpointGang {
   std::string job;
   std::string gang_id;
-  std::string why;
+  std::string reason;
 };
 
 // Stop every member that may still hold a lease, and release the lease.
@@ -40,7 +40,7 @@
 struct StopGang {
   std::string job;
   std::string gang_id;
-  std::string why;
+  std::string reason;
 };
 
 // Stop one lease that belongs to no gang of ours: of an older attempt, or
@@ -48,7 +48,7 @@
 struct StopLease {
   std::string worker;
   std::string lease_id;
-  std::string why;
+  std::string reason;
 };
 
 // The carrier appends it to the job stream.
@@ -71,7 +71,7 @@
 
 // A worker was taken out of placement for failing what others run, is being
 // probed with one gang, or was taken back.
-struct WorkerJudged {
+struct WorkerQuarantineChanged {
   enum class Verdict { kQuarantined, kProbed, kReleased };
   std::string worker;
   Verdict verdict = Verdict::kQuarantined;
@@ -80,7 +80,7 @@
 
 using SchedulerAction =
     std::variant<GrantGang, LiftThrottle, CheckpointGang, StopGang, StopLease,
-                 PhaseChanged, ReportShortfall, WorkerJudged>;
+                 PhaseChanged, ReportShortfall, WorkerQuarantineChanged>;
 using SchedulerActions = std::vector<SchedulerAction>;
 
 }  // namespace thornplank
