--- a/src/libs/coordination/advice_desk.cc
+++ b/src/libs/coordination/advice_requester.cc
@@ -1,5 +1,5 @@
 // Questions and answers.
-#include "coordination/advice_desk.h"
+#include "coordination/advice_requester.h"
 
 #include <utility>
 
@@ -22,13 +22,14 @@
 
 }  // namespace
 
-AdviceDesk::AdviceDesk(Advisor* advisor, std::function<void()> on_change)
+AdviceRequester::AdviceRequester(Advisor* advisor,
+                                 std::function<void()> on_change)
     : advisor_(advisor), on_change_(std::move(on_change)) {}
 
-AdviceDesk::~AdviceDesk() { *alive_ = false; }
+AdviceRequester::~AdviceRequester() { *alive_ = false; }
 
-void AdviceDesk::Want(const StepRef& step, const AdviceTerms& terms,
-                      const std::vector<std::string>& candidates) {
+void AdviceRequester::Want(const StepRef& step, const AdviceTerms& terms,
+                           const std::vector<std::string>& candidates) {
   if (advisor_ == nullptr || book_.questions_out() >= kMostQuestions) return;
   const Time now = Now();
   std::vector<std::string> question = book_.NextQuestion(step, candidates, now);
@@ -43,14 +44,14 @@
       });
 }
 
-void AdviceDesk::OnTicketRefused(const StepRef& step,
-                                 const std::string& worker) {
+void AdviceRequester::OnTicketRefused(const StepRef& step,
+                                      const std::string& worker) {
   book_.OnTicketRefused(step, worker);
 }
 
-void AdviceDesk::OnAnswer(const StepRef& step,
-                          const std::vector<std::string>& asked, Time sent,
-                          const Advice& advice) {
+void AdviceRequester::OnAnswer(const StepRef& step,
+                               const std::vector<std::string>& asked, Time sent,
+                               const Advice& advice) {
   const auto took =
       std::chrono::duration_cast<Milliseconds>(Now() - sent).count();
   if (!advice.answered) {
--- a/src/libs/coordination/advice_desk.h
+++ b/src/libs/coordination/advice_requester.h
@@ -1,6 +1,6 @@
 // Asks the advisor about steps that wait for it, a few questions at a time.
-#ifndef THORNPLANK_COORDINATION_ADVICE_DESK_H_
-#define THORNPLANK_COORDINATION_ADVICE_DESK_H_
+#ifndef THORNPLANK_COORDINATION_ADVICE_REQUESTER_H_
+#define THORNPLANK_COORDINATION_ADVICE_REQUESTER_H_
 
 #include <functional>
 #include <memory>
@@ -15,12 +15,12 @@
 
 namespace thornplank {
 
-class AdviceDesk {
+class AdviceRequester {
  public:
   // `advisor` may be null: then nothing is ever approved. `on_change` runs when
   // an answer may let tasks start.
-  AdviceDesk(Advisor* advisor, std::function<void()> on_change);
-  ~AdviceDesk();
+  AdviceRequester(Advisor* advisor, std::function<void()> on_change);
+  ~AdviceRequester();
 
   const AdviceBook& book() const { return book_; }
   // A step that waits, with the workers that might run it, best first.
@@ -43,4 +43,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_COORDINATION_ADVICE_DESK_H_
+#endif  // THORNPLANK_COORDINATION_ADVICE_REQUESTER_H_
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -54,7 +54,7 @@
       first_sequence_(FirstSequence(settings_.holder)),
       election_(LeaderElectionSettings(), settings_.holder, settings_.rank),
       planner_(PlanningFor(settings_)),
-      record_pace_(settings_.ends_gap),
+      progress_write_limiter_(settings_.ends_gap),
       metrics_(metrics),
       tick_timer_(io),
       planning_timer_(io),
@@ -300,8 +300,8 @@
   };
   fleet_ = std::make_unique<WorkerFleet>(calls_, formats_, fleet, handlers);
   fleet_->CloseDomains(dependencies_.closed_domains());
-  advice_ = std::make_unique<AdviceDesk>(dependencies_.advisor,
-                                         [this] { SchedulePlanning(); });
+  advice_ = std::make_unique<AdviceRequester>(dependencies_.advisor,
+                                              [this] { SchedulePlanning(); });
 
   phase_ = Phase::kLeading;
   ledger_ = JobLedger();
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -21,12 +21,12 @@
 
 #include "base/boot_clock.h"
 #include "base/time.h"
-#include "coordination/advice_desk.h"
+#include "coordination/advice_requester.h"
 #include "coordination/fenced_writer.h"
 #include "coordination/formats.h"
 #include "coordination/job_board.h"
 #include "coordination/leader_election.h"
-#include "coordination/record_pace.h"
+#include "coordination/progress_write_limiter.h"
 #include "coordination/record_tail.h"
 #include "coordination/scheduling_metrics.h"
 #include "coordination/stream_reachability.h"
@@ -161,7 +161,7 @@
   const int64_t first_sequence_;
   LeaderElection election_;
   Planner planner_;
-  RecordPace record_pace_;
+  ProgressWriteLimiter progress_write_limiter_;
   SchedulingMetrics metrics_;
   boost::asio::steady_timer tick_timer_;
   boost::asio::steady_timer planning_timer_;
@@ -187,7 +187,7 @@
   std::unique_ptr<WorkerFleet> fleet_;
   std::unique_ptr<RecordTail> directory_;
   StreamReachability directory_reachability_{"directory"};
-  std::unique_ptr<AdviceDesk> advice_;
+  std::unique_ptr<AdviceRequester> advice_;
   // Progress that has a record on the board.
   std::set<ProgressBlockRef> stored_blocks_;
   // Jobs that began and have not ended; told when their start is stored.
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -293,7 +293,7 @@
   PublishEnds();
   if (!progress_writer_->idle()) return;
   // The next tick looks again.
-  if (!record_pace_.IsDue(!pending_starts_.empty(), Now())) return;
+  if (!progress_write_limiter_.IsDue(!pending_starts_.empty(), Now())) return;
   std::vector<KeyedRecord> records;
   for (const ProgressBlockRef& ref : ledger_.TakeDirtyBlocks()) {
     const std::optional<ProgressBlock> block = ledger_.FindBlock(ref);
@@ -309,7 +309,7 @@
   std::vector<std::string> begun(begun_jobs.begin(), begun_jobs.end());
   std::map<std::string, EndMark> ends = std::exchange(unrecorded_ends_, {});
   if (records.empty()) return OnFlushed(begun, ends);
-  record_pace_.OnRecorded(Now());
+  progress_write_limiter_.OnRecorded(Now());
   std::vector<PendingStart> starts = std::exchange(pending_starts_, {});
   progress_writer_->Write(
       std::move(records), [this, begun = std::move(begun),
--- a/src/libs/coordination/pace_keeper.cc
+++ b/src/libs/coordination/filler_pace_controller.cc
@@ -1,5 +1,5 @@
 // Turns the pace that is due into calls.
-#include "coordination/pace_keeper.h"
+#include "coordination/filler_pace_controller.h"
 
 #include <utility>
 #include <vector>
@@ -8,16 +8,17 @@
 
 namespace thornplank {
 
-PaceKeeper::PaceKeeper(WorkerCalls& calls, int64_t epoch,
-                       Milliseconds call_timeout, Handlers handlers)
+FillerPaceController::FillerPaceController(WorkerCalls& calls, int64_t epoch,
+                                           Milliseconds call_timeout,
+                                           Handlers handlers)
     : calls_(calls),
       epoch_(epoch),
       call_timeout_(call_timeout),
       handlers_(std::move(handlers)) {}
 
-PaceKeeper::~PaceKeeper() { *alive_ = false; }
+FillerPaceController::~FillerPaceController() { *alive_ = false; }
 
-bool PaceKeeper::HasBoth(const WorkerTracker& tracker) {
+bool FillerPaceController::HasBoth(const WorkerTracker& tracker) {
   bool serves = false;
   bool fills = false;
   for (const auto& [task, run] : tracker.runs()) {
@@ -27,7 +28,7 @@
   return serves && fills;
 }
 
-void PaceKeeper::OnReport(WorkerTracker* tracker, Time now) {
+void FillerPaceController::OnReport(WorkerTracker* tracker, Time now) {
   std::vector<ServingTail> serving;
   bool fills = false;
   for (const auto& [task, run] : tracker->runs()) {
@@ -54,7 +55,8 @@
   }
 }
 
-void PaceKeeper::Send(WorkerTracker* tracker, TrackedRun* run, int percent) {
+void FillerPaceController::Send(WorkerTracker* tracker, TrackedRun* run,
+                                int percent) {
   run->pace_sending = true;
   const std::string& worker = tracker->id();
   const PaceOrder order{run->task, run->run, percent, epoch_};
--- a/src/libs/coordination/pace_keeper.h
+++ b/src/libs/coordination/filler_pace_controller.h
@@ -1,6 +1,6 @@
 // Keeps tasks that fill from disturbing the ones that serve, worker by worker.
-#ifndef THORNPLANK_COORDINATION_PACE_KEEPER_H_
-#define THORNPLANK_COORDINATION_PACE_KEEPER_H_
+#ifndef THORNPLANK_COORDINATION_FILLER_PACE_CONTROLLER_H_
+#define THORNPLANK_COORDINATION_FILLER_PACE_CONTROLLER_H_
 
 #include <cstdint>
 #include <functional>
@@ -15,7 +15,7 @@
 
 namespace thornplank {
 
-class PaceKeeper {
+class FillerPaceController {
  public:
   struct Handlers {
     // The tracker of a worker, null once it is forgotten.
@@ -24,9 +24,9 @@
     std::function<void()> on_fenced;
   };
 
-  PaceKeeper(WorkerCalls& calls, int64_t epoch, Milliseconds call_timeout,
-             Handlers handlers);
-  ~PaceKeeper();
+  FillerPaceController(WorkerCalls& calls, int64_t epoch,
+                       Milliseconds call_timeout, Handlers handlers);
+  ~FillerPaceController();
 
   // Whether tasks that fill and tasks that serve are on the worker, so that it
   // must be looked at often.
@@ -49,4 +49,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_COORDINATION_PACE_KEEPER_H_
+#endif  // THORNPLANK_COORDINATION_FILLER_PACE_CONTROLLER_H_
--- a/src/libs/coordination/record_pace.h
+++ b/src/libs/coordination/progress_write_limiter.h
@@ -4,16 +4,16 @@
 // a moment: workers keep them until they are recorded. Hundreds of tasks end
 // one by one every second, and each record is a call of the store, and one more
 // to read it back.
-#ifndef THORNPLANK_COORDINATION_RECORD_PACE_H_
-#define THORNPLANK_COORDINATION_RECORD_PACE_H_
+#ifndef THORNPLANK_COORDINATION_PROGRESS_WRITE_LIMITER_H_
+#define THORNPLANK_COORDINATION_PROGRESS_WRITE_LIMITER_H_
 
 #include "base/time.h"
 
 namespace thornplank {
 
-class RecordPace {
+class ProgressWriteLimiter {
  public:
-  explicit RecordPace(Milliseconds gap) : gap_(gap) {}
+  explicit ProgressWriteLimiter(Milliseconds gap) : gap_(gap) {}
 
   bool IsDue(bool starts_wait, Time now) const {
     return starts_wait || now - last_ >= gap_;
@@ -29,4 +29,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_COORDINATION_RECORD_PACE_H_
+#endif  // THORNPLANK_COORDINATION_PROGRESS_WRITE_LIMITER_H_
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -254,7 +254,7 @@
   // The end of a run that stops is told as it comes; one that never began there
   // has none, and is settled by the report that follows this one.
   if (waits && ending) wait = settings_.report_retry;
-  if (waits && PaceKeeper::HasBoth(*tracker)) {
+  if (waits && FillerPaceController::HasBoth(*tracker)) {
     wait = std::min(wait, settings_.pace_wait);
   }
   Report(id, wait, /*extra=*/false);
--- a/src/libs/coordination/worker_fleet.h
+++ b/src/libs/coordination/worker_fleet.h
@@ -13,8 +13,8 @@
 #include <string>
 
 #include "base/time.h"
+#include "coordination/filler_pace_controller.h"
 #include "coordination/formats.h"
-#include "coordination/pace_keeper.h"
 #include "coordination/refused_entries.h"
 #include "coordination/start_sender.h"
 #include "coordination/worker_calls.h"
@@ -173,7 +173,7 @@
   RunReview review_;
   GangReview gang_review_;
   StartSender starts_;
-  PaceKeeper paces_;
+  FillerPaceController paces_;
   // Callbacks of calls that outlive this object do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/tests/auto/coordination/tst_record_pace.cc
+++ b/tests/auto/coordination/tst_progress_write_limiter.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "../workload/workload_fixtures.h"
-#include "coordination/record_pace.h"
+#include "coordination/progress_write_limiter.h"
 
 namespace thornplank::testing {
 namespace {
@@ -29,7 +29,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    RecordPace pace(Milliseconds(100));
+    ProgressWriteLimiter pace(Milliseconds(100));
     int records = 0;
     for (int64_t now = 0; now < 10000; now += row.apart_ms) {
       if (!pace.IsDue(row.starts, At(now))) continue;
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE("a start is recorded at once, whatever was recorded a moment ago") {
-  RecordPace pace(Milliseconds(100));
+  ProgressWriteLimiter pace(Milliseconds(100));
   CHECK(pace.IsDue(/*starts_wait=*/false, At(0)));
   pace.OnRecorded(At(0));
   CHECK_FALSE(pace.IsDue(/*starts_wait=*/false, At(10)));
