--- a/src/libs/coordination/advice_requester.cc
+++ b/src/libs/coordination/advice_requester.cc
@@ -10,13 +10,13 @@
 
 // The service takes up one question of an instance after the other, and turns
 // away more than 32 in all; entries that lead one after the other share that.
-constexpr size_t kMostQuestions = 8;
+constexpr size_t kMaxOutstandingRequests = 8;
 // Beyond the time that the questions before it and it itself take.
-constexpr Milliseconds kAnswerSlack{1000};
+constexpr Milliseconds kResponseMargin{1000};
 
 Time Now() { return std::chrono::steady_clock::now(); }
 
-Milliseconds DurationOf(const AdviceTerms& terms, size_t workers) {
+Milliseconds DecisionTimeFor(const AdviceTerms& terms, size_t workers) {
   return terms.decision + terms.each * static_cast<int64_t>(workers);
 }
 
@@ -28,15 +28,16 @@
 
 AdviceRequester::~AdviceRequester() { *alive_ = false; }
 
-void AdviceRequester::Want(const StepRef& step, const AdviceTerms& terms,
-                           const std::vector<std::string>& candidates) {
-  if (advisor_ == nullptr || book_.questions_out() >= kMostQuestions) return;
+void AdviceRequester::Request(const StepRef& step, const AdviceTerms& terms,
+                              const std::vector<std::string>& candidates) {
+  if (advisor_ == nullptr || book_.questions_out() >= kMaxOutstandingRequests)
+    return;
   const Time now = Now();
   std::vector<std::string> question = book_.NextQuestion(step, candidates, now);
   if (question.empty()) return;
-  const Milliseconds timeout = DurationOf(terms, question.size()) *
+  const Milliseconds timeout = DecisionTimeFor(terms, question.size()) *
                                    static_cast<int64_t>(book_.questions_out()) +
-                               kAnswerSlack;
+                               kResponseMargin;
   advisor_->RequestAdvice(
       step, question, timeout,
       [this, alive = alive_, step, question, now](const Advice& advice) {
--- a/src/libs/coordination/advice_requester.h
+++ b/src/libs/coordination/advice_requester.h
@@ -24,11 +24,11 @@
 
   const AdviceBook& book() const { return book_; }
   // A step that waits, with the workers that might run it, best first.
-  void Want(const StepRef& step, const AdviceTerms& terms,
-            const std::vector<std::string>& candidates);
+  void Request(const StepRef& step, const AdviceTerms& terms,
+               const std::vector<std::string>& candidates);
   void OnTicketRefused(const StepRef& step, const std::string& worker);
   // Steps that are still open; the rest is forgotten.
-  void Keep(const std::set<StepRef>& steps) { book_.Keep(steps); }
+  void RetainOnly(const std::set<StepRef>& steps) { book_.Keep(steps); }
 
  private:
   void OnAnswer(const StepRef& step, const std::vector<std::string>& asked,
--- a/src/libs/coordination/caller_service.cc
+++ b/src/libs/coordination/caller_service.cc
@@ -32,17 +32,17 @@
     404, "wrong_id", "a job's id is 16 hexadecimal digits"};
 constexpr CallerService::Refusal kMalformed{400, "malformed",
                                             "the body cannot be read"};
-constexpr CallerService::Refusal kStoreAway{kUnavailable, "store_away",
-                                            "the store is away"};
+constexpr CallerService::Refusal kStoreUnavailable{kUnavailable, "store_away",
+                                                   "the store is away"};
 constexpr CallerService::Refusal kNotStored{kUnavailable, "not_stored",
                                             "the store took it not"};
 // May have been stored; the only one that does not say "it has not run".
-constexpr CallerService::Refusal kUndecided{504, "undecided",
-                                            "the store did not answer"};
+constexpr CallerService::Refusal kOutcomeUnknown{504, "undecided",
+                                                 "the store did not answer"};
 constexpr CallerService::Refusal kNoJob{410, "no_job", "no such job"};
 
 // A store that is slow is waited for longer, not taken for silent.
-constexpr int kLookLatencies = 2;
+constexpr int kRefreshLatencyFactor = 2;
 
 int64_t AgeInMilliseconds(BootTime since) {
   return std::chrono::duration_cast<Milliseconds>(BootClock::now() - since)
@@ -58,9 +58,9 @@
   std::string account;
   std::string job;
   int64_t configuration_version = 0;
-  Time begun{};
+  Time received{};
   // The caller waits no longer.
-  Time give_up = Time::max();
+  Time deadline = Time::max();
 };
 
 CallerService::CallerService(boost::asio::io_context& io, RecordStore& store,
@@ -87,7 +87,7 @@
 bool CallerService::IsStoreFresh() const {
   return dependencies_.board_tail->has_snapshot() &&
          BootClock::now() - dependencies_.board_tail->as_of() <
-             settings_.store_age;
+             settings_.max_store_age;
 }
 
 bool CallerService::ready() const {
@@ -95,15 +95,15 @@
          !dependencies_.served_elsewhere();
 }
 
-bool CallerService::RefuseForAnother(const std::shared_ptr<Call>& call) {
+bool CallerService::RefuseIfServedElsewhere(const std::shared_ptr<Call>& call) {
   if (!dependencies_.served_elsewhere()) return false;
-  Refuse(call, kStoreAway);
+  Refuse(call, kStoreUnavailable);
   return true;
 }
 
 void CallerService::Handle(HttpRequest request, HttpServer::Responder respond) {
   auto call = std::make_shared<Call>();
-  call->begun = std::chrono::steady_clock::now();
+  call->received = std::chrono::steady_clock::now();
   call->request = std::move(request);
   call->respond = std::move(respond);
   const ServingConfiguration* configuration = dependencies_.configuration();
@@ -114,7 +114,7 @@
   const std::string path = call->request.path();
   const CallerHeaders headers = formats_.ReadHeaders(call->request);
   if (headers.timeout.count() > 0) {
-    call->give_up = call->begun + headers.timeout;
+    call->deadline = call->received + headers.timeout;
   }
   const QueueConfiguration* queue =
       configuration->FindQueue(headers.host, path);
@@ -136,14 +136,14 @@
   }
   const std::string& method = call->request.method;
   if (call->job.empty()) {
-    if (method == "GET") return ShowQueue(call);
+    if (method == "GET") return AnswerQueueLength(call);
     return Refuse(call, kQueueIsReadOnly);
   }
   if (!IsJobId(call->job)) {
     return Refuse(call, kWrongId);
   }
   if (method == "POST") return Submit(call);
-  if (method == "GET") return ShowState(call, /*caught_up=*/false);
+  if (method == "GET") return AnswerState(call, /*caught_up=*/false);
   if (method == "DELETE") return Cancel(call, /*caught_up=*/false);
   Refuse(call, kWrongMethod);
 }
@@ -162,21 +162,21 @@
   job->accepted = std::chrono::system_clock::now();
   std::string reason;
   if (!IsValidJob(*job, &reason)) return Refuse(call, kMalformed, reason);
-  if (!IsStoreFresh()) return Refuse(call, kStoreAway);
-  if (RefuseForAnother(call)) return;
+  if (!IsStoreFresh()) return Refuse(call, kStoreUnavailable);
+  if (RefuseIfServedElsewhere(call)) return;
   // Jobs that recur are judged by each time that they are due, those that last
   // have no end.
   const bool ends_once = !job->scheduled() && !job->long_running();
   const Milliseconds objective =
       ends_once ? job->objective() : Milliseconds::zero();
-  Append(JobBoard::Submission(*job), call->give_up,
+  Append(JobBoard::Submission(*job), call->deadline,
          [this, call, objective](StoreOutcome outcome, const Error& error) {
            if (outcome != StoreOutcome::kStored) {
              return RefuseUnstored(call, outcome, error);
            }
            accepted_.Add();
            acknowledgement_time_.Observe(std::chrono::steady_clock::now() -
-                                         call->begun);
+                                         call->received);
            LogEvent(events::kJobAccepted,
                     {{"job", call->job},
                      {"account", call->account},
@@ -187,15 +187,15 @@
          });
 }
 
-void CallerService::ShowState(const std::shared_ptr<Call>& call,
-                              bool caught_up) {
+void CallerService::AnswerState(const std::shared_ptr<Call>& call,
+                                bool caught_up) {
   const BoardJob* job = dependencies_.board->Find(call->job);
   if (job == nullptr && !caught_up) {
-    return CatchUp(call, &CallerService::ShowState);
+    return CatchUp(call, &CallerService::AnswerState);
   }
   if (job == nullptr) return Refuse(call, kNoJob);
-  if (!caught_up && !IsTerminal(job->state()) && IsViewOld()) {
-    return LookAgain(call);
+  if (!caught_up && !IsTerminal(job->state()) && IsStateStale()) {
+    return RefreshState(call);
   }
   const JobState state = job->state();
   LogEvent(events::kStateAnswered,
@@ -211,8 +211,8 @@
   }
   if (job == nullptr) return Refuse(call, kNoJob);
   if (IsTerminal(job->state())) return Respond(call, HttpResponse());
-  if (RefuseForAnother(call)) return;
-  Append(JobBoard::Cancellation(call->job), call->give_up,
+  if (RefuseIfServedElsewhere(call)) return;
+  Append(JobBoard::Cancellation(call->job), call->deadline,
          [this, call](StoreOutcome outcome, const Error& error) {
            if (outcome != StoreOutcome::kStored) {
              return RefuseUnstored(call, outcome, error);
@@ -226,63 +226,63 @@
 void CallerService::CatchUp(
     const std::shared_ptr<Call>& call,
     void (CallerService::*then)(const std::shared_ptr<Call>&, bool)) {
-  if (RefuseForAnother(call)) return;
+  if (RefuseIfServedElsewhere(call)) return;
   dependencies_.board_tail->CatchUp(
       settings_.catch_up_timeout,
       [this, alive = alive_, call, then](bool caught_up) {
         if (!*alive) return;
         if (caught_up) return (this->*then)(call, true);
-        Refuse(call, kStoreAway);
+        Refuse(call, kStoreUnavailable);
       });
 }
 
-bool CallerService::IsViewOld() const {
+bool CallerService::IsStateStale() const {
   return BootClock::now() - dependencies_.board_tail->as_of() >
-         settings_.state_age;
+         settings_.max_state_age;
 }
 
 // Without an answer of the store a state that is not final is not told: another
 // entry may have shown the job's end already.
-void CallerService::LookAgain(const std::shared_ptr<Call>& call) {
-  if (RefuseForAnother(call)) return;
+void CallerService::RefreshState(const std::shared_ptr<Call>& call) {
+  if (RefuseIfServedElsewhere(call)) return;
   const Duration latency = dependencies_.board_tail->latency();
   const auto timeout =
-      settings_.look_timeout +
-      std::chrono::duration_cast<Milliseconds>(latency) * kLookLatencies;
+      settings_.refresh_timeout +
+      std::chrono::duration_cast<Milliseconds>(latency) * kRefreshLatencyFactor;
   dependencies_.board_tail->CatchUp(
       timeout, [this, alive = alive_, call](bool caught_up) {
         if (!*alive) return;
-        if (!caught_up) return Refuse(call, kStoreAway);
-        ShowState(call, /*caught_up=*/true);
+        if (!caught_up) return Refuse(call, kStoreUnavailable);
+        AnswerState(call, /*caught_up=*/true);
       });
 }
 
-void CallerService::ShowQueue(const std::shared_ptr<Call>& call) {
-  if (!IsStoreFresh()) return Refuse(call, kStoreAway);
+void CallerService::AnswerQueueLength(const std::shared_ptr<Call>& call) {
+  if (!IsStoreFresh()) return Refuse(call, kStoreUnavailable);
   Respond(call, formats_.QueueLengthResponse(dependencies_.board->WaitingJobs(
                     call->queue.policy.queue)));
 }
 
-void CallerService::Append(KeyedRecord record, Time give_up, AppendDone done) {
+void CallerService::Append(KeyedRecord record, Time deadline, AppendDone done) {
   auto request = std::make_shared<AppendRequest>();
   request->partition = settings_.board;
   request->records.push_back(std::move(record));
-  TryAppend(request, give_up, settings_.append_tries, /*may_be_stored=*/false,
-            std::move(done));
+  TryAppend(request, deadline, settings_.max_append_attempts,
+            /*may_be_stored=*/false, std::move(done));
 }
 
 void CallerService::TryAppend(const std::shared_ptr<AppendRequest>& request,
-                              Time give_up, int tries_left, bool may_be_stored,
-                              AppendDone done) {
-  const auto left = std::chrono::duration_cast<Milliseconds>(
-      give_up - std::chrono::steady_clock::now());
-  if (left < settings_.answer_margin * 2) tries_left = 1;
+                              Time deadline, int attempts_left,
+                              bool may_be_stored, AppendDone done) {
+  const auto time_left = std::chrono::duration_cast<Milliseconds>(
+      deadline - std::chrono::steady_clock::now());
+  if (time_left < settings_.response_margin * 2) attempts_left = 1;
   const Milliseconds timeout =
-      std::clamp(left - settings_.answer_margin, settings_.answer_margin,
-                 settings_.append_timeout);
+      std::clamp(time_left - settings_.response_margin,
+                 settings_.response_margin, settings_.append_timeout);
   store_.Append(
       *request, timeout,
-      [this, alive = alive_, request, give_up, tries_left, may_be_stored,
+      [this, alive = alive_, request, deadline, attempts_left, may_be_stored,
        done = std::move(done)](const AppendResult& result) mutable {
         if (!*alive) return;
         if (result.outcome == StoreOutcome::kStored) {
@@ -290,18 +290,18 @@
         }
         may_be_stored =
             may_be_stored || result.outcome == StoreOutcome::kUnknown;
-        if (tries_left <= 1) {
+        if (attempts_left <= 1) {
           return done(
               may_be_stored ? StoreOutcome::kUnknown : StoreOutcome::kRefused,
               result.error);
         }
         auto timer = std::make_shared<boost::asio::steady_timer>(
-            io_, settings_.append_retry);
-        timer->async_wait([this, alive, timer, request, give_up, tries_left,
+            io_, settings_.append_retry_delay);
+        timer->async_wait([this, alive, timer, request, deadline, attempts_left,
                            may_be_stored, done = std::move(done)](
                               const boost::system::error_code& code) mutable {
           if (code || !*alive) return;
-          TryAppend(request, give_up, tries_left - 1, may_be_stored,
+          TryAppend(request, deadline, attempts_left - 1, may_be_stored,
                     std::move(done));
         });
       });
@@ -310,13 +310,13 @@
 void CallerService::RefuseUnstored(const std::shared_ptr<Call>& call,
                                    StoreOutcome outcome, const Error& error) {
   const bool may_be_stored = outcome == StoreOutcome::kUnknown;
-  Refuse(call, may_be_stored ? kUndecided : kNotStored, error.ToString());
+  Refuse(call, may_be_stored ? kOutcomeUnknown : kNotStored, error.ToString());
 }
 
 void CallerService::Refuse(const std::shared_ptr<Call>& call,
                            const Refusal& refusal, const std::string& detail) {
   const std::string reason = detail.empty() ? refusal.text : detail;
-  const Event& event = refusal.status == kUndecided.status
+  const Event& event = refusal.status == kOutcomeUnknown.status
                            ? events::kJobUndecided
                            : events::kJobRefused;
   LogEvent(event, {{"job", call->job},
--- a/src/libs/coordination/caller_service.h
+++ b/src/libs/coordination/caller_service.h
@@ -29,20 +29,20 @@
   Milliseconds max_configuration_age{4200};
   // Without the store for this long a call is refused at once. The board is
   // read twice a second, and an answer of a slowed store takes 0.3 s.
-  Milliseconds store_age{1500};
+  Milliseconds max_store_age{1500};
   // One append. A lost answer is settled by repeating it, which is idempotent.
   Milliseconds append_timeout{650};
-  int append_tries = 2;
-  Milliseconds append_retry{40};
+  int max_append_attempts = 2;
+  Milliseconds append_retry_delay{40};
   // The answer is on its way this long before the caller gives up.
-  Milliseconds answer_margin{60};
+  Milliseconds response_margin{60};
   // The last look before a job is said not to exist.
   Milliseconds catch_up_timeout{500};
   // A job that has not ended is looked up again when the view is older: callers
   // wait for its end, and followers read the board only twice a second.
-  Milliseconds state_age{60};
+  Milliseconds max_state_age{60};
   // Beside the time that the store takes to answer.
-  Milliseconds look_timeout{300};
+  Milliseconds refresh_timeout{300};
   // When a refused caller may come back; at once where the store serves other
   // entries, since the next try reaches another one.
   std::chrono::seconds retry_after{1};
@@ -86,19 +86,19 @@
 
   bool IsStoreFresh() const;
   // Refuses the call when another entry would serve it.
-  bool RefuseForAnother(const std::shared_ptr<Call>& call);
+  bool RefuseIfServedElsewhere(const std::shared_ptr<Call>& call);
   void Submit(const std::shared_ptr<Call>& call);
-  void ShowState(const std::shared_ptr<Call>& call, bool caught_up);
-  bool IsViewOld() const;
-  void LookAgain(const std::shared_ptr<Call>& call);
+  void AnswerState(const std::shared_ptr<Call>& call, bool caught_up);
+  bool IsStateStale() const;
+  void RefreshState(const std::shared_ptr<Call>& call);
   void Cancel(const std::shared_ptr<Call>& call, bool caught_up);
-  void ShowQueue(const std::shared_ptr<Call>& call);
+  void AnswerQueueLength(const std::shared_ptr<Call>& call);
   void CatchUp(const std::shared_ptr<Call>& call,
                void (CallerService::*then)(const std::shared_ptr<Call>&, bool));
   // Stores one record; `done` gets kStored, kRefused (not stored) or kUnknown.
-  void Append(KeyedRecord record, Time give_up, AppendDone done);
-  void TryAppend(const std::shared_ptr<AppendRequest>& request, Time give_up,
-                 int tries_left, bool may_be_stored, AppendDone done);
+  void Append(KeyedRecord record, Time deadline, AppendDone done);
+  void TryAppend(const std::shared_ptr<AppendRequest>& request, Time deadline,
+                 int attempts_left, bool may_be_stored, AppendDone done);
   void RefuseUnstored(const std::shared_ptr<Call>& call, StoreOutcome outcome,
                       const Error& error);
   // `detail` stands for the refusal's own text where there is more to say.
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -16,7 +16,7 @@
 // Apart from the other, so that neither waits for the other's answers.
 constexpr char kProgressProducer[] = "progress";
 // Bounds the first sequence number, so that it never overflows.
-constexpr int64_t kSequenceSpan = int64_t{1} << 40;
+constexpr int64_t kSequenceRange = int64_t{1} << 40;
 // After a claim that did not succeed.
 constexpr Milliseconds kClaimRetry{200};
 constexpr Milliseconds kStoreRetry{120};
@@ -28,10 +28,10 @@
 // numbers of their own: the store keeps the first and refuses the others.
 int64_t FirstSequence(const std::string& holder) {
   return static_cast<int64_t>(std::hash<std::string>()(holder) %
-                              static_cast<uint64_t>(kSequenceSpan));
+                              static_cast<uint64_t>(kSequenceRange));
 }
 
-PlannerSettings PlanningFor(const ClusterCoordinatorSettings& settings) {
+PlannerSettings PlannerSettingsFor(const ClusterCoordinatorSettings& settings) {
   PlannerSettings planning;
   planning.bounds = settings.bounds;
   return planning;
@@ -53,8 +53,8 @@
       dependencies_(std::move(dependencies)),
       first_sequence_(FirstSequence(settings_.holder)),
       election_(LeaderElectionSettings(), settings_.holder, settings_.rank),
-      planner_(PlanningFor(settings_)),
-      progress_write_limiter_(settings_.ends_gap),
+      planner_(PlannerSettingsFor(settings_)),
+      progress_write_limiter_(settings_.end_record_interval),
       metrics_(metrics),
       tick_timer_(io),
       planning_timer_(io),
@@ -66,30 +66,31 @@
 
 void ClusterCoordinator::OnTick() {
   const Time now = Now();
-  if (phase_ == Phase::kFollowing && !released_ && now >= next_claim_ &&
+  if (phase_ == Phase::kFollowing && !released_ && now >= next_claim_time_ &&
       election_.ShouldClaim(dependencies_.board->leader(), now)) {
-    Claim();
+    BeginClaim();
   }
   if (phase_ == Phase::kLeading) {
     const BootTime written = BootClock::now();
-    const bool may_renew = written - lead_confirmed_ < settings_.lead_term;
+    const bool may_renew =
+        written - leadership_confirmed_ < settings_.leadership_timeout;
     fleet_->Tick(now, may_renew);
     StopOutdatedRuns();
-    const auto heartbeat = election_.settings().heartbeat;
+    const auto heartbeat = election_.settings().heartbeat_interval;
     if (board_writer_->idle() && now - last_heartbeat_ >= heartbeat) {
       WriteHeartbeat(/*released=*/false, nullptr);
     }
-    ForgetOldJobs();
+    DropExpiredRecords();
     SchedulePlanning();
   }
-  tick_timer_.expires_after(settings_.tick);
+  tick_timer_.expires_after(settings_.tick_interval);
   tick_timer_.async_wait([this](const boost::system::error_code& code) {
     if (!code) OnTick();
   });
 }
 
 void ClusterCoordinator::OnBoardCaughtUp(Duration latency) {
-  election_.OnContact(latency, Now());
+  election_.OnBoardCaughtUp(latency, Now());
 }
 
 void ClusterCoordinator::OnClosedDomainsChanged() {
@@ -107,11 +108,11 @@
     case BoardChange::Kind::kLeader: {
       const LeaderRecord& leader = dependencies_.board->leader();
       election_.OnLeaderRecord(leader, Now());
-      TellLeader(leader);
+      LogLeader(leader);
       const bool mine = leader.holder == settings_.holder;
       if (mine && leader.epoch == claimed_epoch_ && !leader.released &&
           (phase_ == Phase::kFollowing || phase_ == Phase::kClaiming)) {
-        BeginLead(leader.epoch);
+        BeginLeadership(leader.epoch);
       }
       if (!mine && phase_ != Phase::kFollowing && leader.epoch > epoch_ &&
           phase_ != Phase::kClaiming) {
@@ -122,7 +123,7 @@
     case BoardChange::Kind::kSubmitted:
     case BoardChange::Kind::kCancelled:
       if (phase_ != Phase::kLeading) return;
-      AdoptJob(change.job);
+      SyncJobFromBoard(change.job);
       if (change.kind == BoardChange::Kind::kCancelled) StopOutdatedRuns();
       return SchedulePlanning();
     case BoardChange::Kind::kState:
@@ -133,10 +134,10 @@
   }
 }
 
-void ClusterCoordinator::TellLeader(const LeaderRecord& leader) {
-  const bool known = leader.epoch == told_leader_.epoch &&
-                     leader.released == told_leader_.released;
-  told_leader_ = leader;
+void ClusterCoordinator::LogLeader(const LeaderRecord& leader) {
+  const bool known = leader.epoch == logged_leader_.epoch &&
+                     leader.released == logged_leader_.released;
+  logged_leader_ = leader;
   if (known) return;
   LogEvent(events::kLeaderSeen,
            {{"holder", leader.holder},
@@ -148,7 +149,7 @@
 // A claim is stored only if the board still ends where this entry has read to,
 // so that neither a word of the leader nor another claim is missed. Followers
 // read a busy board too seldom for that: the board is read just before.
-void ClusterCoordinator::Claim() {
+void ClusterCoordinator::BeginClaim() {
   phase_ = Phase::kClaiming;
   dependencies_.refresh_board([this, generation = generation_,
                                current = *generation_](bool current_view) {
@@ -158,7 +159,7 @@
         election_.ShouldClaim(dependencies_.board->leader(), Now());
     if (vacant) return SendClaim();
     phase_ = Phase::kFollowing;
-    if (!current_view) next_claim_ = Now() + kClaimRetry;
+    if (!current_view) next_claim_time_ = Now() + kClaimRetry;
   });
 }
 
@@ -175,29 +176,30 @@
   store_.Append(request, settings_.store_timeout,
                 [this, epoch, generation = generation_,
                  current = *generation_](const AppendResult& result) {
-                  if (*generation == current) OnClaimed(epoch, result);
+                  if (*generation == current) OnClaimResult(epoch, result);
                 });
 }
 
-void ClusterCoordinator::OnClaimed(int64_t epoch, const AppendResult& result) {
+void ClusterCoordinator::OnClaimResult(int64_t epoch,
+                                       const AppendResult& result) {
   if (phase_ != Phase::kClaiming) return;
-  if (result.outcome == StoreOutcome::kStored) return BeginLead(epoch);
+  if (result.outcome == StoreOutcome::kStored) return BeginLeadership(epoch);
   LogEvent(events::kLeadRefused, result.error, {{"epoch", epoch}});
   // A submission came between; the next look may show a leader.
-  if (result.outcome == StoreOutcome::kConflict) return Claim();
+  if (result.outcome == StoreOutcome::kConflict) return BeginClaim();
   phase_ = Phase::kFollowing;
   // An unknown claim that was stored shows in the board, and so does the one
   // that was faster.
-  next_claim_ = Now() + kClaimRetry;
+  next_claim_time_ = Now() + kClaimRetry;
   dependencies_.refresh_board([](bool) {});
 }
 
-void ClusterCoordinator::BeginLead(int64_t epoch) {
+void ClusterCoordinator::BeginLeadership(int64_t epoch) {
   phase_ = Phase::kFencing;
   // The claim has served: the same record must not begin a lead again.
   claimed_epoch_ = 0;
   epoch_ = epoch;
-  lead_confirmed_ = BootClock::now();
+  leadership_confirmed_ = BootClock::now();
   FenceProgress();
 }
 
@@ -220,8 +222,8 @@
                             result.outcome == StoreOutcome::kOutOfSequence;
         if (stored) {
           phase_ = Phase::kLoading;
-          loaded_.clear();
-          return LoadProgress(JobBoard::BeforeProgress());
+          loaded_progress_.clear();
+          return LoadProgress(JobBoard::ProgressKeyPrefix());
         }
         release_timer_.expires_after(kStoreRetry);
         release_timer_.async_wait([this](const boost::system::error_code& c) {
@@ -247,22 +249,22 @@
         for (const KeyedRecord& record : page.records) {
           if (!record.value) continue;
           Error error;
-          const auto ref = JobBoard::BlockOf(record.key);
+          const auto ref = JobBoard::ParseProgressKey(record.key);
           auto block = DecodeBlock(*record.value, &error);
           if (!ref || !block) {
             LogEvent(events::kRecordUnreadable, error, {{"key", record.key}});
             continue;
           }
-          loaded_[ref->step][ref->block] = std::move(*block);
+          loaded_progress_[ref->step][ref->block] = std::move(*block);
         }
         if (page.has_more && !page.records.empty()) {
           return LoadProgress(page.records.back().key);
         }
-        OnLoaded();
+        OnProgressLoaded();
       });
 }
 
-void ClusterCoordinator::OnLoaded() {
+void ClusterCoordinator::OnProgressLoaded() {
   const auto fenced = [this] { ScheduleStepDown("the store fenced it"); };
   FencedWriterSettings writer;
   writer.producer = kProducer;
@@ -285,8 +287,8 @@
     ledger_.Checkpoint(run.task, run.run, run.checkpoint);
   };
   handlers.profile_of = [this](const TaskRef& task) { return ProfileOf(task); };
-  handlers.is_known = [this](const std::string& service) {
-    // Before the first configuration nothing can be told a stray.
+  handlers.is_known_service = [this](const std::string& service) {
+    // Before the first configuration nothing can be logged a stray.
     const ServingConfiguration& configuration = dependencies_.configuration();
     return configuration.queues.empty() || configuration.KnowsService(service);
   };
@@ -305,17 +307,17 @@
 
   phase_ = Phase::kLeading;
   ledger_ = JobLedger();
-  planner_ = Planner(PlanningFor(settings_));
+  planner_ = Planner(PlannerSettingsFor(settings_));
   stored_blocks_.clear();
-  begun_jobs_.clear();
-  published_ends_.clear();
-  finished_.clear();
+  started_jobs_.clear();
+  published_ended_jobs_.clear();
+  finished_jobs_.clear();
   for (const auto& [id, job] : dependencies_.board->jobs()) {
-    AdoptJob(id);
+    SyncJobFromBoard(id);
   }
   const Time now = Now();
   size_t inherited = 0;
-  for (const auto& [ref, blocks] : loaded_) {
+  for (const auto& [ref, blocks] : loaded_progress_) {
     for (const auto& [number, block] : blocks) {
       stored_blocks_.insert({ref, number});
     }
@@ -331,14 +333,14 @@
     InheritRuns(ref, now);
     ++inherited;
   }
-  for (const auto& [ref, blocks] : loaded_) {
+  for (const auto& [ref, blocks] : loaded_progress_) {
     const BoardJob* job = dependencies_.board->Find(ref.job);
     if (job == nullptr) continue;
-    ledger_.AdoptState(ref.job, job->published);
+    ledger_.AdoptState(ref.job, job->published_state);
     if (job->cancelled) ledger_.Cancel(ref.job);
-    if (IsTerminal(job->published)) published_ends_.insert(ref.job);
+    if (IsTerminal(job->published_state)) published_ended_jobs_.insert(ref.job);
   }
-  loaded_.clear();
+  loaded_progress_.clear();
   LogEvent(events::kLeadTaken,
            {{"epoch", epoch_},
             {"board_next", dependencies_.board_next_offset()},
@@ -348,7 +350,7 @@
 
   RecordTailSettings tail;
   tail.partition = formats_.streams().workers;
-  tail.min_read_interval = settings_.directory_pace;
+  tail.min_read_interval = settings_.directory_read_interval;
   RecordTail::Handlers directory;
   directory.on_record = [this](const KeyedRecord& record) {
     fleet_->OnDirectoryRecord(record, Now());
@@ -359,7 +361,7 @@
   directory_reachability_ = StreamReachability("directory");
   directory.on_caught_up = [this] {
     directory_reachability_.OnReadSucceeded(directory_->next_offset());
-    fleet_->OnDirectoryContact(Now());
+    fleet_->OnDirectoryCaughtUp(Now());
   };
   directory.on_failure = [this](const Error& error) {
     directory_reachability_.OnReadFailed(error);
@@ -367,15 +369,16 @@
   directory_ = std::make_unique<RecordTail>(io_, store_, tail, directory);
   directory_->Start();
   StopOutdatedRuns();
-  Flush();
+  FlushProgress();
 }
 
 // Takes over from the board what it says of a job.
-void ClusterCoordinator::AdoptJob(const std::string& id) {
+void ClusterCoordinator::SyncJobFromBoard(const std::string& id) {
   const BoardJob* job = dependencies_.board->Find(id);
   if (job == nullptr) return;
   if (ledger_.Find(id) == nullptr) {
-    if (IsTerminal(job->published) || finished_.count(id) > 0) return;
+    if (IsTerminal(job->published_state) || finished_jobs_.count(id) > 0)
+      return;
     ledger_.Add(*job->spec, Now());
   }
   if (job->cancelled) ledger_.Cancel(id);
@@ -385,7 +388,7 @@
   const StepProgress* progress = ledger_.FindStep(ref);
   if (progress == nullptr) return;
   const Time lease_bound =
-      now + settings_.lead_term +
+      now + settings_.leadership_timeout +
       WorkerTracker::LongestLease(settings_.bounds.lease_term());
   for (size_t i = 0; i < progress->tasks.size(); ++i) {
     const TaskStatus& task = progress->tasks[i];
@@ -417,10 +420,10 @@
   progress_writer_.reset();
   ledger_ = JobLedger();
   pending_starts_.clear();
-  told_waits_.clear();
+  logged_waits_.clear();
   unrecorded_ends_.clear();
-  loaded_.clear();
-  next_claim_ = Now() + kClaimRetry;
+  loaded_progress_.clear();
+  next_claim_time_ = Now() + kClaimRetry;
 }
 
 void ClusterCoordinator::Release(Milliseconds timeout,
@@ -440,19 +443,20 @@
     if (!code) finish();
   });
   // What is decided and recorded goes out first.
-  Flush();
+  FlushProgress();
   WriteHeartbeat(/*released=*/true, finish);
 }
 
 void ClusterCoordinator::WriteHeartbeat(bool released,
-                                        FencedWriter::Stored stored) {
+                                        FencedWriter::StoredCallback stored) {
   last_heartbeat_ = Now();
   const BootTime begun = BootClock::now();
   board_writer_->Write({JobBoard::Leader({settings_.holder, epoch_, released})},
                        [this, begun, generation = generation_,
                         current = *generation_, stored = std::move(stored)] {
                          if (*generation != current) return;
-                         lead_confirmed_ = std::max(lead_confirmed_, begun);
+                         leadership_confirmed_ =
+                             std::max(leadership_confirmed_, begun);
                          if (stored) stored();
                        });
 }
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -38,7 +38,7 @@
 namespace thornplank {
 
 struct ClusterCoordinatorSettings {
-  // Instance and life: unique for ever.
+  // Instance and incarnation: unique for ever.
   std::string holder;
   // Where it stands among the entries: 0 should lead first, 1 last.
   double rank = 0;
@@ -46,17 +46,17 @@
   // A leader without the store for longer stops renewing leases; a successor
   // waits for that, and for a lease, where it cannot reach a worker itself.
   // With a lease of 6.5 s it outlasts outages of the store of 12 s.
-  Milliseconds lead_term{6000};
+  Milliseconds leadership_timeout{6000};
   // Collects events that come together into one round of placement.
   Milliseconds planning_delay{8};
   // Hundreds of workers renew their entries several times a second together; a
   // worker that leaves must get nothing new after 2 s.
-  Milliseconds directory_pace{200};
+  Milliseconds directory_read_interval{200};
   // How long an ended job is remembered.
   Milliseconds job_retention{150000};
-  Milliseconds tick{100};
+  Milliseconds tick_interval{100};
   // Between two records of ends alone.
-  Milliseconds ends_gap{100};
+  Milliseconds end_record_interval{100};
   // For one call of the store while taking the lead.
   Milliseconds store_timeout{900};
   WorkerBounds bounds;
@@ -73,7 +73,7 @@
     // Offset behind the last record of the board that was folded.
     std::function<int64_t()> board_next_offset;
     std::function<BootTime()> board_as_of;
-    // Reads the board at once, outside its pace; told whether its end was
+    // Reads the board at once, outside its pace; logged whether its end was
     // reached.
     std::function<void(std::function<void(bool)>)> refresh_board;
     // Null where no queue needs advice.
@@ -105,51 +105,52 @@
   const WorkerFleet* fleet() const { return fleet_.get(); }
 
  private:
-  // The last end of a worker's life, by its number.
-  struct EndMark {
-    int life = 0;
+  // The last end of a worker's incarnation, by its number.
+  struct LatestEnd {
+    int incarnation = 0;
     int64_t number = 0;
   };
   enum class Phase { kFollowing, kClaiming, kFencing, kLoading, kLeading };
 
   void OnTick();
   // Logs who leads, once for each change.
-  void TellLeader(const LeaderRecord& leader);
-  void Claim();
+  void LogLeader(const LeaderRecord& leader);
+  void BeginClaim();
   void SendClaim();
-  void OnClaimed(int64_t epoch, const AppendResult& result);
-  void BeginLead(int64_t epoch);
+  void OnClaimResult(int64_t epoch, const AppendResult& result);
+  void BeginLeadership(int64_t epoch);
   void FenceProgress();
   void LoadProgress(const std::string& after_key);
-  void OnLoaded();
-  void AdoptJob(const std::string& id);
+  void OnProgressLoaded();
+  void SyncJobFromBoard(const std::string& id);
   void InheritRuns(const StepRef& ref, Time now);
   void StepDown(const std::string& reason);
   void ScheduleStepDown(const std::string& reason);
 
   void SchedulePlanning();
-  void PlanRound();
+  void RunPlanningRound();
   void StopRestOfGang(const StopDecision& stop);
   void ApplyStart(const StartDecision& decision, Time now);
   // Logs why steps wait, once for each reason.
-  void TellWaits(const std::vector<WaitDecision>& waits);
+  void LogWaits(const std::vector<WaitDecision>& waits);
   // Asks about the workers that waiting steps may need.
-  void SeekAdvice(const std::vector<WaitDecision>& waits);
-  void MeasureWait(const StartDecision& decision, Time now);
+  void RequestAdvice(const std::vector<WaitDecision>& waits);
+  void RecordWaitMetrics(const StartDecision& decision, Time now);
   RunProfile ProfileOf(const TaskRef& task) const;
-  size_t WorkersLostUnder(const TaskRef& task) const;
+  size_t WorkersLostRunning(const TaskRef& task) const;
   // Logs it where the task is to be started no more.
-  void TellGivenUp(const TaskRef& task);
+  void LogIfGivenUp(const TaskRef& task);
   void OnRunEnd(const std::string& worker, const RunEndReport& end);
   void StopOutdatedRuns();
-  void Flush();
-  void PublishEnds();
-  void OnFlushed(const std::vector<std::string>& begun,
-                 const std::map<std::string, EndMark>& ends);
-  void Publish(const std::vector<std::string>& changed);
-  void DropRecords(const std::string& job, std::vector<KeyedRecord>* records);
-  void ForgetOldJobs();
-  void WriteHeartbeat(bool released, FencedWriter::Stored stored);
+  void FlushProgress();
+  void PublishEndedJobs();
+  void OnProgressStored(const std::vector<std::string>& begun,
+                        const std::map<std::string, LatestEnd>& ends);
+  void PublishJobStates(const std::vector<std::string>& changed);
+  void DropProgressRecords(const std::string& job,
+                           std::vector<KeyedRecord>* records);
+  void DropExpiredRecords();
+  void WriteHeartbeat(bool released, FencedWriter::StoredCallback stored);
 
   boost::asio::io_context& io_;
   RecordStore& store_;
@@ -173,15 +174,15 @@
   int64_t epoch_ = 0;
   // Of the last claim, answered or not.
   int64_t claimed_epoch_ = 0;
-  Time next_claim_{};
-  BootTime lead_confirmed_{};
-  LeaderRecord told_leader_;
+  Time next_claim_time_{};
+  BootTime leadership_confirmed_{};
+  LeaderRecord logged_leader_;
   Time last_heartbeat_{};
   Time last_cleanup_{};
 
   // Everything below lives while this entry leads.
   JobLedger ledger_;
-  std::map<StepRef, ProgressBlocks> loaded_;
+  std::map<StepRef, ProgressBlocks> loaded_progress_;
   std::unique_ptr<FencedWriter> board_writer_;
   std::unique_ptr<FencedWriter> progress_writer_;
   std::unique_ptr<WorkerFleet> fleet_;
@@ -190,15 +191,15 @@
   std::unique_ptr<AdviceRequester> advice_;
   // Progress that has a record on the board.
   std::set<ProgressBlockRef> stored_blocks_;
-  // Jobs that began and have not ended; told when their start is stored.
-  std::set<std::string> begun_jobs_;
+  // Jobs that began and have not ended; logged when their start is stored.
+  std::set<std::string> started_jobs_;
   // Jobs whose end is published, so that their records may go.
-  std::set<std::string> published_ends_;
+  std::set<std::string> published_ended_jobs_;
   // Jobs that ended under this lead and left the ledger; the board may learn
   // of it later and must not bring them back.
-  std::set<std::string> finished_;
+  std::set<std::string> finished_jobs_;
   // Ends that the next flush covers, by worker.
-  std::map<std::string, EndMark> unrecorded_ends_;
+  std::map<std::string, LatestEnd> unrecorded_ends_;
   struct PendingStart {
     std::string worker;
     TaskRef task;
@@ -207,8 +208,8 @@
     std::string ticket;
   };
   std::vector<PendingStart> pending_starts_;
-  // Steps that wait, with the reason that was told.
-  std::map<StepRef, WaitReason> told_waits_;
+  // Steps that wait, with the reason that was logged.
+  std::map<StepRef, WaitReason> logged_waits_;
 
   // Callbacks that outlive this object, or this lead, do nothing.
   std::shared_ptr<int64_t> generation_ = std::make_shared<int64_t>(0);
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -32,18 +32,18 @@
   planning_timer_.async_wait([this](const boost::system::error_code& code) {
     if (code || phase_ != Phase::kLeading) return;
     planning_scheduled_ = false;
-    PlanRound();
+    RunPlanningRound();
   });
 }
 
-void ClusterCoordinator::PlanRound() {
-  PublishEnds();
+void ClusterCoordinator::RunPlanningRound() {
+  PublishEndedJobs();
   // One record at a time: what is not stored cannot be started.
   if (!progress_writer_->idle()) return;
   const auto age = BootClock::now() - dependencies_.board_as_of();
-  const bool informed = age <= settings_.bounds.board_age() && !released_ &&
-                        directory_->has_snapshot();
-  if (informed) {
+  const bool is_up_to_date = age <= settings_.bounds.board_age() &&
+                             !released_ && directory_->has_snapshot();
+  if (is_up_to_date) {
     const Time now = Now();
     const Guarantees guarantees = dependencies_.configuration().guarantees();
     PlanInputs inputs;
@@ -61,13 +61,13 @@
       fleet_->RequestStop(stop.worker, stop.task, stop.run, stop.reason);
       StopRestOfGang(stop);
     }
-    TellWaits(plan.waits);
-    SeekAdvice(plan.waits);
+    LogWaits(plan.waits);
+    RequestAdvice(plan.waits);
   }
-  Flush();
+  FlushProgress();
 }
 
-// A gang that loses a member ends as a whole. A member that is told to stop
+// A gang that loses a member ends as a whole. A member that is logged to stop
 // saves its work, one that finds another gone does not, and its room is free
 // later.
 void ClusterCoordinator::StopRestOfGang(const StopDecision& stop) {
@@ -83,12 +83,12 @@
 }
 
 void ClusterCoordinator::ApplyStart(const StartDecision& decision, Time now) {
-  MeasureWait(decision, now);
+  RecordWaitMetrics(decision, now);
   const int run = ledger_.Start(decision.step, decision.assignments);
   const Job* job = ledger_.Find(decision.step.job);
   const StepSpec* spec = ledger_.FindStepSpec(decision.step);
   Json workers = Json::array();
-  int away = 0;
+  int away_from_data = 0;
   for (const JobLedger::Assignment& assignment : decision.assignments) {
     const TaskRef task{decision.step, assignment.index};
     fleet_->Add(assignment.worker, task, run, ProfileOf(task), now);
@@ -99,7 +99,7 @@
              .Ticket(decision.step, assignment.worker, now)
              .value_or("")});
     workers.push_back(Json::array({assignment.index, assignment.worker}));
-    if (!fleet_->IsNear(assignment.worker, spec->data_rack)) ++away;
+    if (!fleet_->IsOnRack(assignment.worker, spec->data_rack)) ++away_from_data;
   }
   LogEvent(events::kTasksPlaced,
            {{"job", decision.step.job},
@@ -109,7 +109,7 @@
             {"reason", decision.reason},
             {"priority", job->spec.policy.priority},
             {"data_rack", spec->data_rack},
-            {"away_from_data", away},
+            {"away_from_data", away_from_data},
             {"same_rack", spec->same_rack},
             {"accelerators", spec->need.accelerators},
             {"estimate_ms", spec->estimate.count()},
@@ -118,12 +118,13 @@
             {"configuration", dependencies_.configuration().version}});
 }
 
-void ClusterCoordinator::TellWaits(const std::vector<WaitDecision>& waits) {
-  std::map<StepRef, WaitReason> told;
+void ClusterCoordinator::LogWaits(const std::vector<WaitDecision>& waits) {
+  std::map<StepRef, WaitReason> logged;
   for (const WaitDecision& wait : waits) {
-    told[wait.step] = wait.reason;
-    const auto before = told_waits_.find(wait.step);
-    if (before != told_waits_.end() && before->second == wait.reason) continue;
+    logged[wait.step] = wait.reason;
+    const auto before = logged_waits_.find(wait.step);
+    if (before != logged_waits_.end() && before->second == wait.reason)
+      continue;
     const Job* job = ledger_.Find(wait.step.job);
     const StepProgress* progress = ledger_.FindStep(wait.step);
     LogEvent(events::kStepWaits,
@@ -135,22 +136,23 @@
               {"epoch", epoch_},
               {"board_next", dependencies_.board_next_offset()}});
   }
-  told_waits_ = std::move(told);
+  logged_waits_ = std::move(logged);
 }
 
-void ClusterCoordinator::SeekAdvice(const std::vector<WaitDecision>& waits) {
+void ClusterCoordinator::RequestAdvice(const std::vector<WaitDecision>& waits) {
   std::set<StepRef> open;
   for (const WaitDecision& wait : waits) {
     const Job* job = ledger_.Find(wait.step.job);
     if (!job->spec.policy.advice) continue;
     open.insert(wait.step);
     if (wait.candidates.empty()) continue;
-    advice_->Want(wait.step, *job->spec.policy.advice, wait.candidates);
+    advice_->Request(wait.step, *job->spec.policy.advice, wait.candidates);
   }
-  advice_->Keep(open);
+  advice_->RetainOnly(open);
 }
 
-void ClusterCoordinator::MeasureWait(const StartDecision& decision, Time now) {
+void ClusterCoordinator::RecordWaitMetrics(const StartDecision& decision,
+                                           Time now) {
   if (decision.room_taken) {
     metrics_.OnRoomReclaimed(now - *decision.room_taken);
   }
@@ -162,8 +164,8 @@
         return progress.done > 0 || progress.active() > 0;
       });
   if (!first) return;
-  metrics_.OnFirstPlaced(job->spec, std::chrono::system_clock::now() -
-                                        job->spec.begin(occurrence));
+  metrics_.OnFirstTaskPlaced(job->spec, std::chrono::system_clock::now() -
+                                            job->spec.begin(occurrence));
 }
 
 RunProfile ClusterCoordinator::ProfileOf(const TaskRef& task) const {
@@ -181,14 +183,14 @@
   profile.tail_target = spec->tail_target;
   profile.account = job->spec.account;
   profile.data_rack = spec->data_rack;
-  profile.on_probation = WorkersLostUnder(task) > 0;
+  profile.on_probation = WorkersLostRunning(task) > 0;
   return profile;
 }
 
 void ClusterCoordinator::OnRunEnd(const std::string& worker,
                                   const RunEndReport& end) {
-  const bool taken = ledger_.End(end.task, end.run, end.end, end.checkpoint,
-                                 ToLostRun(worker, end));
+  const bool in_force = ledger_.End(end.task, end.run, end.end, end.checkpoint,
+                                    ToLostRun(worker, end));
   const StepSpec* spec = ledger_.FindStepSpec(end.task.step);
   std::optional<Duration> lasted;
   if (end.began != Time{}) lasted = Now() - end.began;
@@ -205,18 +207,18 @@
                                {"number", end.number},
                                {"lasted_ms", lasted_ms},
                                {"kept_ms", kept_ms},
-                               {"in_force", taken},
-                               {"workers_lost", WorkersLostUnder(end.task)}});
-  if (taken) TellGivenUp(end.task);
+                               {"in_force", in_force},
+                               {"workers_lost", WorkersLostRunning(end.task)}});
+  if (in_force) LogIfGivenUp(end.task);
   if (end.number > 0) {
-    EndMark& mark = unrecorded_ends_[worker];
-    if (end.life != mark.life) mark = {end.life, 0};
-    mark.number = std::max(mark.number, end.number);
+    LatestEnd& latest = unrecorded_ends_[worker];
+    if (end.life != latest.incarnation) latest = {end.life, 0};
+    latest.number = std::max(latest.number, end.number);
   }
   SchedulePlanning();
 }
 
-void ClusterCoordinator::TellGivenUp(const TaskRef& task) {
+void ClusterCoordinator::LogIfGivenUp(const TaskRef& task) {
   const TaskStatus* status = ledger_.FindTask(task);
   if (status == nullptr || !status->crashes.IsToBlame()) return;
   LogEvent(events::kTaskGivenUp, {{"job", task.step.job},
@@ -226,7 +228,7 @@
   metrics_.OnTaskGivenUp();
 }
 
-size_t ClusterCoordinator::WorkersLostUnder(const TaskRef& task) const {
+size_t ClusterCoordinator::WorkersLostRunning(const TaskRef& task) const {
   const TaskStatus* status = ledger_.FindTask(task);
   return status == nullptr ? 0 : status->crashes.workers.size();
 }
@@ -267,30 +269,30 @@
   }
 }
 
-// The end of a job is told without waiting for the progress of its tasks to be
-// stored: once it is on the board a successor starts nothing of the job, and
+// The end of a job is logged without waiting for the progress of its tasks to
+// be stored: once it is on the board a successor starts nothing of the job, and
 // workers keep the ends of its runs until those are stored. It saves a call of
 // the store, 0.25 s where that is slow, and the wait for a partition that is
-// away by itself.
-void ClusterCoordinator::PublishEnds() {
+// away_from_data by itself.
+void ClusterCoordinator::PublishEndedJobs() {
   if (phase_ != Phase::kLeading) return;
   std::vector<std::string> ended;
   for (const std::string& id : ledger_.TakeChangedJobs()) {
     const Job* job = ledger_.Find(id);
     if (job == nullptr) continue;
     if (IsTerminal(job->state)) {
-      begun_jobs_.erase(id);
+      started_jobs_.erase(id);
       ended.push_back(id);
     } else {
-      begun_jobs_.insert(id);
+      started_jobs_.insert(id);
     }
   }
-  if (!ended.empty()) Publish(ended);
+  if (!ended.empty()) PublishJobStates(ended);
 }
 
-void ClusterCoordinator::Flush() {
+void ClusterCoordinator::FlushProgress() {
   if (phase_ != Phase::kLeading) return;
-  PublishEnds();
+  PublishEndedJobs();
   if (!progress_writer_->idle()) return;
   // The next tick looks again.
   if (!progress_write_limiter_.IsDue(!pending_starts_.empty(), Now())) return;
@@ -301,14 +303,14 @@
     records.push_back(JobBoard::Progress(ref, EncodeBlock(*block)));
     stored_blocks_.insert(ref);
   }
-  const std::set<std::string> published = published_ends_;
+  const std::set<std::string> published = published_ended_jobs_;
   for (const std::string& job : published) {
-    DropRecords(job, &records);
+    DropProgressRecords(job, &records);
   }
-  const std::set<std::string> begun_jobs = std::exchange(begun_jobs_, {});
-  std::vector<std::string> begun(begun_jobs.begin(), begun_jobs.end());
-  std::map<std::string, EndMark> ends = std::exchange(unrecorded_ends_, {});
-  if (records.empty()) return OnFlushed(begun, ends);
+  const std::set<std::string> started_jobs = std::exchange(started_jobs_, {});
+  std::vector<std::string> begun(started_jobs.begin(), started_jobs.end());
+  std::map<std::string, LatestEnd> ends = std::exchange(unrecorded_ends_, {});
+  if (records.empty()) return OnProgressStored(begun, ends);
   progress_write_limiter_.OnRecorded(Now());
   std::vector<PendingStart> starts = std::exchange(pending_starts_, {});
   progress_writer_->Write(
@@ -316,7 +318,7 @@
                            ends = std::move(ends), starts = std::move(starts),
                            generation = generation_, current = *generation_] {
         if (*generation != current) return;
-        OnFlushed(begun, ends);
+        OnProgressStored(begun, ends);
         for (const PendingStart& start : starts) {
           const Job* job = ledger_.Find(start.task.step.job);
           if (job == nullptr) continue;
@@ -328,22 +330,24 @@
       });
 }
 
-void ClusterCoordinator::OnFlushed(const std::vector<std::string>& begun,
-                                   const std::map<std::string, EndMark>& ends) {
-  for (const auto& [worker, mark] : ends) {
-    fleet_->OnEndsRecorded(worker, mark.life, mark.number);
+void ClusterCoordinator::OnProgressStored(
+    const std::vector<std::string>& begun,
+    const std::map<std::string, LatestEnd>& ends) {
+  for (const auto& [worker, latest] : ends) {
+    fleet_->OnEndsRecorded(worker, latest.incarnation, latest.number);
   }
-  // Those that have ended meanwhile are told already.
+  // Those that have ended meanwhile are logged already.
   std::vector<std::string> running;
   for (const std::string& id : begun) {
     const Job* job = ledger_.Find(id);
     if (job == nullptr || IsTerminal(job->state)) continue;
     running.push_back(id);
   }
-  if (!running.empty()) Publish(running);
+  if (!running.empty()) PublishJobStates(running);
 }
 
-void ClusterCoordinator::Publish(const std::vector<std::string>& changed) {
+void ClusterCoordinator::PublishJobStates(
+    const std::vector<std::string>& changed) {
   std::vector<KeyedRecord> records;
   std::vector<std::string> ended;
   const WallTime now = std::chrono::system_clock::now();
@@ -365,19 +369,19 @@
   last_heartbeat_ = Now();
   records.push_back(JobBoard::Leader({settings_.holder, epoch_, released_}));
   const BootTime begun = BootClock::now();
-  board_writer_->Write(std::move(records),
-                       [this, begun, ended = std::move(ended),
-                        generation = generation_, current = *generation_] {
-                         if (*generation != current) return;
-                         lead_confirmed_ = std::max(lead_confirmed_, begun);
-                         published_ends_.insert(ended.begin(), ended.end());
-                       });
+  board_writer_->Write(
+      std::move(records), [this, begun, ended = std::move(ended),
+                           generation = generation_, current = *generation_] {
+        if (*generation != current) return;
+        leadership_confirmed_ = std::max(leadership_confirmed_, begun);
+        published_ended_jobs_.insert(ended.begin(), ended.end());
+      });
 }
 
 // Once an end is published and no run is left, the records of a job's steps
 // have served.
-void ClusterCoordinator::DropRecords(const std::string& id,
-                                     std::vector<KeyedRecord>* records) {
+void ClusterCoordinator::DropProgressRecords(
+    const std::string& id, std::vector<KeyedRecord>* records) {
   const Job* job = ledger_.Find(id);
   if (job != nullptr) {
     for (const auto& steps : job->occurrences) {
@@ -391,21 +395,21 @@
     records->push_back(JobBoard::Progress(*it, std::nullopt));
     it = stored_blocks_.erase(it);
   }
-  published_ends_.erase(id);
+  published_ended_jobs_.erase(id);
   ledger_.Remove(id);
-  finished_.insert(id);
+  finished_jobs_.insert(id);
 }
 
-void ClusterCoordinator::ForgetOldJobs() {
+void ClusterCoordinator::DropExpiredRecords() {
   const Time now = Now();
   if (now - last_cleanup_ < kCleanupInterval) return;
   last_cleanup_ = now;
   const WallTime wall_now = std::chrono::system_clock::now();
   std::vector<KeyedRecord> records;
   for (const auto& [id, job] : dependencies_.board->jobs()) {
-    if (!IsTerminal(job.published)) continue;
-    if (wall_now - job.ended < settings_.job_retention) continue;
-    for (KeyedRecord& record : JobBoard::Drop(id, job)) {
+    if (!IsTerminal(job.published_state)) continue;
+    if (wall_now - job.published_at < settings_.job_retention) continue;
+    for (KeyedRecord& record : JobBoard::Tombstones(id, job)) {
       records.push_back(std::move(record));
     }
   }
--- a/src/libs/coordination/entry_registration.cc
+++ b/src/libs/coordination/entry_registration.cc
@@ -16,38 +16,39 @@
       timer_(io) {}
 
 void EntryRegistration::OnBoardCaughtUp() {
-  if (started_ || settings_.address.empty()) return;
-  started_ = true;
+  if (checks_started_ || settings_.address.empty()) return;
+  checks_started_ = true;
   std::mt19937 random(settings_.seed);
-  std::uniform_int_distribution<int64_t> delay(0, settings_.spread.count());
-  LookAfter(Milliseconds(delay(random)));
+  std::uniform_int_distribution<int64_t> delay(
+      0, settings_.max_initial_delay.count());
+  ScheduleCheck(Milliseconds(delay(random)));
 }
 
-void EntryRegistration::LookAfter(Milliseconds delay) {
+void EntryRegistration::ScheduleCheck(Milliseconds delay) {
   timer_.expires_after(delay);
   timer_.async_wait([this](const boost::system::error_code& code) {
-    if (!code) Look();
+    if (!code) CheckRecord();
   });
 }
 
-bool EntryRegistration::IsRecorded() const {
+bool EntryRegistration::IsRecordCurrent() const {
   const auto record = board_.entries().find(settings_.instance);
   if (record == board_.entries().end()) return false;
   if (record->second.address != settings_.address) return false;
   const auto age = std::chrono::system_clock::now() - record->second.written;
-  return age < settings_.refresh && age > -settings_.refresh;
+  return age < settings_.refresh_interval && age > -settings_.refresh_interval;
 }
 
-void EntryRegistration::Look() {
-  LookAfter(settings_.interval);
-  if (IsRecorded()) return;
+void EntryRegistration::CheckRecord() {
+  ScheduleCheck(settings_.check_interval);
+  if (IsRecordCurrent()) return;
   AppendRequest request;
   request.partition = settings_.board;
   request.records = {JobBoard::Entry(
       settings_.instance,
       EntryRecord{settings_.address, std::chrono::system_clock::now()})};
   // Without an answer the next look shows whether it was stored.
-  store_.Append(request, settings_.timeout, [](const AppendResult&) {});
+  store_.Append(request, settings_.append_timeout, [](const AppendResult&) {});
 }
 
 std::vector<std::string> EntryRegistration::PeerAddresses() const {
--- a/src/libs/coordination/entry_registration.h
+++ b/src/libs/coordination/entry_registration.h
@@ -26,15 +26,15 @@
   std::string instance;
   std::string address;
   // Between two looks whether the record is there.
-  Milliseconds interval{2000};
+  Milliseconds check_interval{2000};
   // The first look comes within this time, drawn with `seed`: 1,000 entries
   // that start together would fill a partition, 500 appends a second, for two.
-  Milliseconds spread{4000};
+  Milliseconds max_initial_delay{4000};
   uint32_t seed = 0;
   // A record that is older is written anew: once in some minutes costs 100
   // entries one append in three seconds together.
-  std::chrono::minutes refresh{5};
-  Milliseconds timeout{900};
+  std::chrono::minutes refresh_interval{5};
+  Milliseconds append_timeout{900};
 };
 
 // A record that is older is its instance's last.
@@ -53,15 +53,15 @@
   std::vector<std::string> PeerAddresses() const;
 
  private:
-  void LookAfter(Milliseconds delay);
-  void Look();
-  bool IsRecorded() const;
+  void ScheduleCheck(Milliseconds delay);
+  void CheckRecord();
+  bool IsRecordCurrent() const;
 
   RecordStore& store_;
   const JobBoard& board_;
   const EntryRegistrationSettings settings_;
   boost::asio::steady_timer timer_;
-  bool started_ = false;
+  bool checks_started_ = false;
 };
 
 }  // namespace thornplank
--- a/src/libs/coordination/fenced_writer.cc
+++ b/src/libs/coordination/fenced_writer.cc
@@ -17,7 +17,7 @@
         sequence_(settings_.first_sequence),
         timer_(io) {}
 
-  void Write(std::vector<KeyedRecord> records, Stored stored) {
+  void Write(std::vector<KeyedRecord> records, StoredCallback stored) {
     if (closed_) return;
     queue_.push_back({std::move(records), std::move(stored)});
     if (!sending_) SendNext();
@@ -34,22 +34,22 @@
  private:
   struct Batch {
     std::vector<KeyedRecord> records;
-    Stored stored;
+    StoredCallback stored;
   };
 
   void SendNext() {
     if (queue_.empty()) return;
     sending_ = true;
-    first_try_ = true;
+    first_attempt_ = true;
     request_ = AppendRequest();
     request_.partition = settings_.partition;
     size_t bytes = 0;
-    while (!queue_.empty() && bytes < settings_.max_bytes) {
+    while (!queue_.empty() && bytes < settings_.max_append_bytes) {
       for (KeyedRecord& record : queue_.front().records) {
         bytes += record.key.size() + (record.value ? record.value->size() : 0);
         request_.records.push_back(std::move(record));
       }
-      under_way_.push_back(std::move(queue_.front().stored));
+      in_flight_callbacks_.push_back(std::move(queue_.front().stored));
       queue_.pop_front();
     }
     if (request_.records.empty()) return OnStored();
@@ -59,7 +59,7 @@
   void Send() {
     request_.producer =
         ProducerPosition{settings_.producer, settings_.epoch, sequence_};
-    store_.Append(request_, settings_.timeout,
+    store_.Append(request_, settings_.append_timeout,
                   [self = shared_from_this()](const AppendResult& result) {
                     if (!self->closed_) self->OnResult(result);
                   });
@@ -81,8 +81,8 @@
       case StoreOutcome::kUnknown:
         break;
     }
-    if (result.outcome == StoreOutcome::kUnknown) first_try_ = false;
-    timer_.expires_after(settings_.retry);
+    if (result.outcome == StoreOutcome::kUnknown) first_attempt_ = false;
+    timer_.expires_after(settings_.retry_delay);
     timer_.async_wait(
         [self = shared_from_this()](const boost::system::error_code& code) {
           if (!code && !self->closed_) self->Send();
@@ -91,7 +91,7 @@
 
   void OnOutOfSequence(int64_t expected) {
     // A repeat that comes too late to be recognized was stored before.
-    if (!first_try_ && expected == sequence_ + 1) {
+    if (!first_attempt_ && expected == sequence_ + 1) {
       sequence_ = expected;
       last_stored_ = std::chrono::steady_clock::now();
       return OnStored();
@@ -102,8 +102,9 @@
 
   void OnStored() {
     sending_ = false;
-    const std::vector<Stored> stored = std::exchange(under_way_, {});
-    for (const Stored& callback : stored) {
+    const std::vector<StoredCallback> stored =
+        std::exchange(in_flight_callbacks_, {});
+    for (const StoredCallback& callback : stored) {
       if (callback) callback();
     }
     if (!sending_ && !closed_) SendNext();
@@ -116,12 +117,13 @@
   int64_t sequence_;
   boost::asio::steady_timer timer_;
   std::deque<Batch> queue_;
-  // Invariant: while sending_, request_ and under_way_ belong together.
+  // Invariant: while sending_, request_ and in_flight_callbacks_ belong
+  // together.
   bool sending_ = false;
   // No earlier try of this append can have been stored.
-  bool first_try_ = true;
+  bool first_attempt_ = true;
   AppendRequest request_;
-  std::vector<Stored> under_way_;
+  std::vector<StoredCallback> in_flight_callbacks_;
   bool closed_ = false;
   Time last_stored_{};
 };
@@ -132,7 +134,8 @@
     : impl_(std::make_shared<Impl>(io, store, std::move(settings),
                                    std::move(on_fenced))) {}
 FencedWriter::~FencedWriter() { impl_->Close(); }
-void FencedWriter::Write(std::vector<KeyedRecord> records, Stored stored) {
+void FencedWriter::Write(std::vector<KeyedRecord> records,
+                         StoredCallback stored) {
   impl_->Write(std::move(records), std::move(stored));
 }
 bool FencedWriter::idle() const { return impl_->idle(); }
--- a/src/libs/coordination/fenced_writer.h
+++ b/src/libs/coordination/fenced_writer.h
@@ -22,16 +22,16 @@
   // Of the first append.
   int64_t first_sequence = 1;
   // One append; a store slowed 60 times answers within 500 ms.
-  Milliseconds timeout{800};
+  Milliseconds append_timeout{800};
   // After a refusal or a lost answer.
-  Milliseconds retry{100};
+  Milliseconds retry_delay{100};
   // What one append holds at most.
-  size_t max_bytes = 1024 * 1024;
+  size_t max_append_bytes = 1024 * 1024;
 };
 
 class FencedWriter {
  public:
-  using Stored = std::function<void()>;
+  using StoredCallback = std::function<void()>;
 
   // `on_fenced` runs once: nothing that was not stored will be.
   FencedWriter(boost::asio::io_context& io, RecordStore& store,
@@ -39,7 +39,7 @@
   ~FencedWriter();
 
   // Writes queue behind each other; those that wait go out together.
-  void Write(std::vector<KeyedRecord> records, Stored stored);
+  void Write(std::vector<KeyedRecord> records, StoredCallback stored);
   // Nothing waits and nothing is under way.
   bool idle() const;
   // When the last append was stored; the default before the first.
--- a/src/libs/coordination/filler_pace_controller.cc
+++ b/src/libs/coordination/filler_pace_controller.cc
@@ -18,7 +18,7 @@
 
 FillerPaceController::~FillerPaceController() { *alive_ = false; }
 
-bool FillerPaceController::HasBoth(const WorkerTracker& tracker) {
+bool FillerPaceController::HasFillersAndServing(const WorkerTracker& tracker) {
   bool serves = false;
   bool fills = false;
   for (const auto& [task, run] : tracker.runs()) {
@@ -38,7 +38,7 @@
     serving.push_back({Milliseconds(run.load), run.profile.tail_target});
   }
   if (!fills) return Forget(tracker->id());
-  PaceControl& control = controls_[tracker->id()];
+  PaceControl& control = pace_controls_[tracker->id()];
   const int before = control.pace();
   control.Observe(serving, now);
   if (control.pace() != before) {
@@ -75,7 +75,7 @@
                                {"worker", worker},
                                {"percent", order.percent}});
                    }
-                   WorkerTracker* tracker = handlers_.find(worker);
+                   WorkerTracker* tracker = handlers_.find_tracker(worker);
                    TrackedRun* run =
                        tracker == nullptr ? nullptr : tracker->Find(order.task);
                    if (run == nullptr || run->run != order.run) return;
--- a/src/libs/coordination/filler_pace_controller.h
+++ b/src/libs/coordination/filler_pace_controller.h
@@ -19,7 +19,7 @@
  public:
   struct Handlers {
     // The tracker of a worker, null once it is forgotten.
-    std::function<WorkerTracker*(const std::string&)> find;
+    std::function<WorkerTracker*(const std::string&)> find_tracker;
     // A worker obeys a higher epoch.
     std::function<void()> on_fenced;
   };
@@ -30,10 +30,10 @@
 
   // Whether tasks that fill and tasks that serve are on the worker, so that it
   // must be looked at often.
-  static bool HasBoth(const WorkerTracker& tracker);
+  static bool HasFillersAndServing(const WorkerTracker& tracker);
   // After the tracker took a report in.
   void OnReport(WorkerTracker* tracker, Time now);
-  void Forget(const std::string& worker) { controls_.erase(worker); }
+  void Forget(const std::string& worker) { pace_controls_.erase(worker); }
 
  private:
   void Send(WorkerTracker* tracker, TrackedRun* run, int percent);
@@ -42,7 +42,7 @@
   const int64_t epoch_;
   const Milliseconds call_timeout_;
   const Handlers handlers_;
-  std::map<std::string, PaceControl> controls_;
+  std::map<std::string, PaceControl> pace_controls_;
   // Callbacks of calls that outlive this object do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/libs/coordination/fleet_orders.cc
+++ b/src/libs/coordination/fleet_orders.cc
@@ -24,7 +24,7 @@
                                       {"worker", worker},
                                       {"reason", reason}});
     // Never sent: settled without a call.
-    return Deliver(
+    return DeliverEnds(
         worker, tracker->OnStartAnswer(task, run, StartOutcome::kRefused, now));
   }
   StartOrder order;
@@ -38,14 +38,14 @@
   tracked->resumed = !fields.checkpoint.empty();
   tracker->OnStartSent(task, run, order.deadline, now);
   StartSender::Handlers handlers;
-  handlers.may_repeat = [this, worker, task, run] {
-    return MayRepeatStart(worker, task, run);
+  handlers.may_resend = [this, worker, task, run] {
+    return MayResendStart(worker, task, run);
   };
   handlers.done = [this, worker, task, run](const StartResult& result) {
     OnStartResult(worker, task, run, result);
   };
-  starts_.Send({worker, tracker->registration().address}, order,
-               std::move(handlers));
+  start_sender_.Send({worker, tracker->registration().address}, order,
+                     std::move(handlers));
 }
 
 // Between the decision and the order, and between copies of the order, all of
@@ -62,7 +62,7 @@
 }
 
 // Nothing of the run is known, and it is still wanted.
-bool WorkerFleet::MayRepeatStart(const std::string& worker, const TaskRef& task,
+bool WorkerFleet::MayResendStart(const std::string& worker, const TaskRef& task,
                                  int run) {
   WorkerTracker* tracker = Find(worker);
   const TrackedRun* tracked =
@@ -85,17 +85,18 @@
   }
   if (result.last_answer == StartOutcome::kFenced) handlers_.on_fenced();
   if (result.outcome == StartOutcome::kOtherLife) {
-    return Bury(worker, LifeEnd::kCrashed);
+    return OnIncarnationOver(worker, LifeEnd::kCrashed);
   }
-  Deliver(worker, tracker->OnStartAnswer(task, run, result.outcome, now));
-  Link& link = links_[worker];
+  DeliverEnds(worker, tracker->OnStartAnswer(task, run, result.outcome, now));
+  CallState& state = call_states_[worker];
   // The report that is under way may answer only when half of the lease is
   // gone.
-  const Milliseconds thin = settings_.bounds.lease_term() / 2;
-  if (link.reporting && link.leased_until < now + thin && !link.extra_report) {
-    return Report(worker, Milliseconds(0), /*extra=*/true);
+  const Milliseconds half_lease = settings_.bounds.lease_term() / 2;
+  if (state.report_pending && state.leased_until < now + half_lease &&
+      !state.extra_report_pending) {
+    return RequestReport(worker, Milliseconds(0), /*extra=*/true);
   }
-  Drive(worker, now);
+  RequestReportIfDue(worker, now);
 }
 
 void WorkerFleet::RequestStop(const std::string& worker, const TaskRef& task,
@@ -116,14 +117,14 @@
 void WorkerFleet::SendStops(const std::string& id, Time now) {
   WorkerTracker* tracker = Find(id);
   const WorkerAddress address{id, tracker->registration().address};
-  if (address.address.empty() || now < links_[id].next_stop) return;
+  if (address.address.empty() || now < call_states_[id].next_stop_time) return;
   for (auto& [task, run] : tracker->runs()) {
     if (!run.stop_wanted || run.stop_sending) continue;
     if (run.stage == RunStage::kRecording) continue;
-    const bool ending =
+    const bool stopping =
         run.stop_acknowledged &&
         now - *run.stop_acknowledged < settings_.bounds.stop_patience();
-    if (ending) continue;
+    if (stopping) continue;
     run.stop_sending = true;
     const StopOrder order{task, run.run, settings_.epoch};
     calls_.Stop(address, order, settings_.call_timeout,
@@ -136,10 +137,11 @@
                     return handlers_.on_fenced();
                   }
                   if (outcome == CallOutcome::kOtherIncarnation) {
-                    return Bury(id, LifeEnd::kCrashed);
+                    return OnIncarnationOver(id, LifeEnd::kCrashed);
                   }
                   if (outcome != CallOutcome::kOk) {
-                    links_[id].next_stop = Now() + settings_.report_retry;
+                    call_states_[id].next_stop_time =
+                        Now() + settings_.report_retry_delay;
                     LogEvent(events::kStopUndecided, error,
                              {{"task", order.task.ToString()},
                               {"run", order.run},
@@ -147,7 +149,7 @@
                   }
                   tracker->OnStopAnswer(order.task, order.run,
                                         outcome == CallOutcome::kOk, Now());
-                  Drive(id, Now());
+                  RequestReportIfDue(id, Now());
                 });
   }
 }
--- a/src/libs/coordination/job_board.cc
+++ b/src/libs/coordination/job_board.cc
@@ -20,17 +20,17 @@
 // Above all others: a new leader reads from here to the end.
 constexpr char kProgressKey = 't';
 // A record needs a value, or it would drop its key.
-constexpr char kPresent[] = "1";
+constexpr char kPlaceholderValue[] = "1";
 
-std::string Key(char kind, const std::string& job) { return kind + job; }
+std::string MakeKey(char kind, const std::string& job) { return kind + job; }
 
-std::string ToBytes(const Json& value) {
+std::string EncodeCbor(const Json& value) {
   std::string bytes;
   Json::to_cbor(value, bytes);
   return bytes;
 }
 
-Json FromBytes(const std::string& bytes) {
+Json DecodeCbor(const std::string& bytes) {
   return ParseCbor(bytes).value_or(Json());
 }
 
@@ -77,7 +77,7 @@
 BoardChange JobBoard::ApplyState(const std::string& id,
                                  const KeyedRecord& record) {
   if (!record.value) return {};
-  const Json fields = FromBytes(*record.value);
+  const Json fields = DecodeCbor(*record.value);
   if (!fields.is_array() || fields.size() != 2 || !fields[0].is_string() ||
       !fields[1].is_number_integer()) {
     return {};
@@ -85,15 +85,15 @@
   const auto state = JobStateFromText(fields[0].get<std::string>());
   if (!state) return {};
   BoardJob& job = jobs_[id];
-  if (IsTerminal(job.published)) return {};
-  job.published = *state;
-  job.ended = FromUnixMilliseconds(fields[1].get<int64_t>());
+  if (IsTerminal(job.published_state)) return {};
+  job.published_state = *state;
+  job.published_at = FromUnixMilliseconds(fields[1].get<int64_t>());
   return {BoardChange::Kind::kState, id};
 }
 
 BoardChange JobBoard::ApplyLeader(const KeyedRecord& record) {
   if (!record.value) return {};
-  const Json fields = FromBytes(*record.value);
+  const Json fields = DecodeCbor(*record.value);
   if (!fields.is_array() || fields.size() != 3 || !fields[0].is_string() ||
       !fields[1].is_number_integer() || !fields[2].is_boolean()) {
     return {};
@@ -114,7 +114,7 @@
     entries_.erase(instance);
     return change;
   }
-  const Json fields = FromBytes(*record.value);
+  const Json fields = DecodeCbor(*record.value);
   if (!fields.is_array() || fields.size() != 2 || !fields[0].is_string() ||
       !fields[1].is_number_integer()) {
     return {};
@@ -139,61 +139,64 @@
 }
 
 KeyedRecord JobBoard::Submission(const JobDefinition& job) {
-  return {Key(kSubmissionKey, job.id), EncodeJob(job), 0};
+  return {MakeKey(kSubmissionKey, job.id), EncodeJob(job), 0};
 }
 
 KeyedRecord JobBoard::Cancellation(const std::string& job) {
-  return {Key(kCancellationKey, job), kPresent, 0};
+  return {MakeKey(kCancellationKey, job), kPlaceholderValue, 0};
 }
 
 KeyedRecord JobBoard::State(const std::string& job, JobState state,
                             WallTime when) {
   const Json fields =
       Json::array({std::string(ToText(state)), ToUnixMilliseconds(when)});
-  return {Key(kStateKey, job), ToBytes(fields), 0};
+  return {MakeKey(kStateKey, job), EncodeCbor(fields), 0};
 }
 
 KeyedRecord JobBoard::Failure(const std::string& job,
                               const std::string& reason) {
-  return {Key(kFailureKey, job), reason, 0};
+  return {MakeKey(kFailureKey, job), reason, 0};
 }
 
 KeyedRecord JobBoard::Leader(const LeaderRecord& leader) {
   const Json fields =
       Json::array({leader.holder, leader.epoch, leader.released});
-  return {kLeaderKey, ToBytes(fields), 0};
+  return {kLeaderKey, EncodeCbor(fields), 0};
 }
 
 KeyedRecord JobBoard::Entry(const std::string& instance,
                             const std::optional<EntryRecord>& entry) {
-  if (!entry) return {Key(kEntryKey, instance), std::nullopt, 0};
+  if (!entry) return {MakeKey(kEntryKey, instance), std::nullopt, 0};
   const Json fields =
       Json::array({entry->address, ToUnixMilliseconds(entry->written)});
-  return {Key(kEntryKey, instance), ToBytes(fields), 0};
+  return {MakeKey(kEntryKey, instance), EncodeCbor(fields), 0};
 }
 
 KeyedRecord JobBoard::Progress(const ProgressBlockRef& block,
                                std::optional<std::string> value) {
-  return {Key(kProgressKey, block.ToString()), std::move(value), 0};
+  return {MakeKey(kProgressKey, block.ToString()), std::move(value), 0};
 }
 
-std::optional<ProgressBlockRef> JobBoard::BlockOf(const std::string& key) {
+std::optional<ProgressBlockRef> JobBoard::ParseProgressKey(
+    const std::string& key) {
   if (key.empty() || key[0] != kProgressKey) return std::nullopt;
   std::string_view name = key;
   name.remove_prefix(1);
   return ParseProgressBlockRef(name);
 }
 
-std::string JobBoard::BeforeProgress() { return std::string(1, kProgressKey); }
+std::string JobBoard::ProgressKeyPrefix() {
+  return std::string(1, kProgressKey);
+}
 
-std::vector<KeyedRecord> JobBoard::Drop(const std::string& id,
-                                        const BoardJob& job) {
+std::vector<KeyedRecord> JobBoard::Tombstones(const std::string& id,
+                                              const BoardJob& job) {
   std::vector<KeyedRecord> records = {
-      {Key(kStateKey, id), std::nullopt, 0},
-      {Key(kCancellationKey, id), std::nullopt, 0},
-      {Key(kSubmissionKey, id), std::nullopt, 0}};
+      {MakeKey(kStateKey, id), std::nullopt, 0},
+      {MakeKey(kCancellationKey, id), std::nullopt, 0},
+      {MakeKey(kSubmissionKey, id), std::nullopt, 0}};
   if (!job.failure.empty()) {
-    records.push_back({Key(kFailureKey, id), std::nullopt, 0});
+    records.push_back({MakeKey(kFailureKey, id), std::nullopt, 0});
   }
   return records;
 }
--- a/src/libs/coordination/job_board.h
+++ b/src/libs/coordination/job_board.h
@@ -29,15 +29,15 @@
   // Null when a state or a cancellation came before the submission.
   std::shared_ptr<const JobDefinition> spec;
   bool cancelled = false;
-  JobState published = JobState::kQueued;
+  JobState published_state = JobState::kQueued;
   // When its end was published.
-  WallTime ended{};
+  WallTime published_at{};
   // Where it has failed: why.
   std::string failure;
 
   JobState state() const {
-    if (IsTerminal(published)) return published;
-    return cancelled ? JobState::kCancelled : published;
+    if (IsTerminal(published_state)) return published_state;
+    return cancelled ? JobState::kCancelled : published_state;
   }
 };
 
@@ -102,12 +102,13 @@
   static KeyedRecord Progress(const ProgressBlockRef& block,
                               std::optional<std::string> value);
   // The block of progress that the key names; nullopt for any other key.
-  static std::optional<ProgressBlockRef> BlockOf(const std::string& key);
+  static std::optional<ProgressBlockRef> ParseProgressKey(
+      const std::string& key);
   // Of all keys just those of progress come after it.
-  static std::string BeforeProgress();
+  static std::string ProgressKeyPrefix();
   // Records that drop all keys of a job but those of its progress.
-  static std::vector<KeyedRecord> Drop(const std::string& id,
-                                       const BoardJob& job);
+  static std::vector<KeyedRecord> Tombstones(const std::string& id,
+                                             const BoardJob& job);
 
  private:
   BoardChange ApplySubmission(const std::string& id, const KeyedRecord& record);
--- a/src/libs/coordination/leader_election.h
+++ b/src/libs/coordination/leader_election.h
@@ -15,19 +15,19 @@
 
 struct LeaderElectionSettings {
   // A leader writes at least this often.
-  Milliseconds heartbeat{350};
+  Milliseconds heartbeat_interval{350};
   // Silence after which it is replaced while the store answers at once: two
   // heartbeats and a follower's pace of reading. Urgent jobs wait for it.
-  Milliseconds silence{1300};
+  Milliseconds max_silence{1300};
   // How much longer for each millisecond that the store takes to answer: the
-  // leader's append, the heartbeat behind it, and the follower's read.
+  // leader's append, the heartbeat_interval behind it, and the follower's read.
   int silence_per_latency = 4;
   // Contact with the store that is broken for longer proves nothing about the
   // leader: its silence counts anew.
-  Milliseconds contact_gap{1600};
+  Milliseconds max_read_gap{1600};
   // Entries wait apart, the largest first. More than a follower's pace, so that
   // a small one that reads early is still behind a large one that reads late.
-  Milliseconds spread{800};
+  Milliseconds max_rank_delay{800};
 };
 
 class LeaderElection {
@@ -38,7 +38,7 @@
                  double rank);
 
   // The stream was read up to its end by a store that takes `latency`.
-  void OnContact(Duration latency, Time now);
+  void OnBoardCaughtUp(Duration latency, Time now);
   void OnLeaderRecord(const LeaderRecord& leader, Time now);
 
   bool ShouldClaim(const LeaderRecord& leader, Time now) const;
@@ -46,16 +46,16 @@
 
  private:
   // Whether the leader is an earlier life of this instance, and so over.
-  bool IsFormerSelf(const LeaderRecord& leader) const;
+  bool IsPreviousIncarnation(const LeaderRecord& leader) const;
 
   const LeaderElectionSettings settings_;
   const std::string holder_;
-  const Milliseconds delay_;
+  const Milliseconds rank_delay_;
   // Since when the leader, or the lack of one, has been observed in silence.
-  Time quiet_since_{};
-  Time contact_{};
-  Duration latency_{};
-  bool has_contact_ = false;
+  Time silent_since_{};
+  Time last_read_{};
+  Duration store_latency_{};
+  bool has_read_ = false;
 };
 
 }  // namespace thornplank
--- a/src/libs/coordination/progress_write_limiter.h
+++ b/src/libs/coordination/progress_write_limiter.h
@@ -13,18 +13,19 @@
 
 class ProgressWriteLimiter {
  public:
-  explicit ProgressWriteLimiter(Milliseconds gap) : gap_(gap) {}
+  explicit ProgressWriteLimiter(Milliseconds min_interval)
+      : min_interval_(min_interval) {}
 
   bool IsDue(bool starts_wait, Time now) const {
-    return starts_wait || now - last_ >= gap_;
+    return starts_wait || now - last_recorded_ >= min_interval_;
   }
-  void OnRecorded(Time now) { last_ = now; }
+  void OnRecorded(Time now) { last_recorded_ = now; }
 
  private:
   // Between two records of ends alone.
-  const Milliseconds gap_;
+  const Milliseconds min_interval_;
   // The clock's epoch before the first.
-  Time last_{};
+  Time last_recorded_{};
 };
 
 }  // namespace thornplank
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -28,19 +28,19 @@
 
   void CatchUp(Milliseconds timeout, std::function<void(bool)> done) {
     if (!has_snapshot_ || stopped_) return done(false);
-    const BootTime begun = BootClock::now();
+    const BootTime started = BootClock::now();
     store_.Read(settings_.partition, next_offset_, Milliseconds(0), timeout,
-                [self = shared_from_this(), begun,
+                [self = shared_from_this(), started,
                  done = std::move(done)](const ReadResult& result) {
                   if (self->stopped_) return done(false);
                   const bool read = result.outcome == ReadOutcome::kRead;
-                  if (read) self->Take(result, begun);
+                  if (read) self->HandleRecords(result, started);
                   done(read && self->next_offset_ >= result.end);
                 });
   }
 
   void RetryIfLost(Milliseconds timeout) {
-    if (lost_) CatchUp(timeout, [](bool) {});
+    if (last_read_failed_) CatchUp(timeout, [](bool) {});
   }
 
   bool has_snapshot() const { return has_snapshot_; }
@@ -58,11 +58,11 @@
   void BeginSnapshot() {
     snapshot_keys_.clear();
     snapshot_end_.reset();
-    snapshot_begun_ = BootClock::now();
-    NextPage("");
+    snapshot_started_ = BootClock::now();
+    ReadPage("");
   }
 
-  void NextPage(const std::string& after_key) {
+  void ReadPage(const std::string& after_key) {
     store_.ReadNewest(settings_.partition, after_key,
                       settings_.long_poll_wait + settings_.response_timeout,
                       [self = shared_from_this()](const NewestPage& page) {
@@ -73,7 +73,7 @@
   void OnPage(const NewestPage& page) {
     if (!page.ok) {
       handlers_.on_failure(page.error);
-      return After(NextRetry(), [this] { BeginSnapshot(); });
+      return RunAfter(NextRetryDelay(), [this] { BeginSnapshot(); });
     }
     // Pages are no snapshot: what came behind the first end is read again.
     if (!snapshot_end_) snapshot_end_ = page.end;
@@ -82,19 +82,19 @@
       handlers_.on_record(record);
     }
     if (page.has_more && !page.records.empty()) {
-      return NextPage(page.records.back().key);
+      return ReadPage(page.records.back().key);
     }
     next_offset_ = *snapshot_end_;
-    as_of_ = std::max(as_of_, snapshot_begun_);
+    as_of_ = std::max(as_of_, snapshot_started_);
     has_snapshot_ = true;
-    lost_ = false;
+    last_read_failed_ = false;
     handlers_.on_snapshot(snapshot_keys_);
     handlers_.on_caught_up();
     Poll();
   }
 
   // One read: how long it waits for a record, and when it began.
-  struct PollBegin {
+  struct PollStart {
     Milliseconds wait{0};
     BootTime boot{};
     Time steady{};
@@ -103,67 +103,68 @@
   // After a failure a read does not wait: what is asked is whether the store is
   // back, and an idle stream would tell only a whole wait later.
   void Poll() {
-    const PollBegin begin{lost_ ? Milliseconds(0) : settings_.long_poll_wait,
-                          BootClock::now(), std::chrono::steady_clock::now()};
-    store_.Read(settings_.partition, next_offset_, begin.wait,
-                begin.wait + settings_.response_timeout,
-                [self = shared_from_this(), begin](const ReadResult& result) {
-                  if (!self->stopped_) self->OnPolled(result, begin);
+    const PollStart start{
+        last_read_failed_ ? Milliseconds(0) : settings_.long_poll_wait,
+        BootClock::now(), std::chrono::steady_clock::now()};
+    store_.Read(settings_.partition, next_offset_, start.wait,
+                start.wait + settings_.response_timeout,
+                [self = shared_from_this(), start](const ReadResult& result) {
+                  if (!self->stopped_) self->OnPolled(result, start);
                 });
   }
 
-  void OnPolled(const ReadResult& result, const PollBegin& begin) {
+  void OnPolled(const ReadResult& result, const PollStart& start) {
     if (result.outcome == ReadOutcome::kTrimmed) return BeginSnapshot();
     if (result.outcome == ReadOutcome::kFailed) {
       handlers_.on_failure(result.error);
-      return After(NextRetry(), [this] { Poll(); });
+      return RunAfter(NextRetryDelay(), [this] { Poll(); });
     }
-    const auto used = std::chrono::duration_cast<Milliseconds>(
-        std::chrono::steady_clock::now() - begin.steady);
-    NoteLatency(used, result.records.empty(), begin.wait);
-    Take(result, begin.boot);
-    if (used >= settings_.min_read_interval) return Poll();
-    After(settings_.min_read_interval - used, [this] { Poll(); });
+    const auto elapsed = std::chrono::duration_cast<Milliseconds>(
+        std::chrono::steady_clock::now() - start.steady);
+    UpdateLatency(elapsed, result.records.empty(), start.wait);
+    HandleRecords(result, start.boot);
+    if (elapsed >= settings_.min_read_interval) return Poll();
+    RunAfter(settings_.min_read_interval - elapsed, [this] { Poll(); });
   }
 
   // A read that brought a record may have waited for it, so it tells only that
   // the store takes no longer.
-  void NoteLatency(Duration used, bool waited, Milliseconds wait) {
+  void UpdateLatency(Duration elapsed, bool waited, Milliseconds wait) {
     if (waited) {
-      latency_ = std::max(used - wait, Duration::zero());
+      latency_ = std::max(elapsed - wait, Duration::zero());
     } else {
-      latency_ = std::min(latency_, used);
+      latency_ = std::min(latency_, elapsed);
     }
   }
 
   // Reads may overlap: records behind `next_offset_` only.
-  void Take(const ReadResult& result, BootTime begun) {
+  void HandleRecords(const ReadResult& result, BootTime started) {
     for (const KeyedRecord& record : result.records) {
       if (record.offset < next_offset_) continue;
       next_offset_ = record.offset + 1;
       handlers_.on_record(record);
     }
-    lost_ = false;
+    last_read_failed_ = false;
     if (next_offset_ < result.end) return;
-    as_of_ = std::max(as_of_, begun);
+    as_of_ = std::max(as_of_, started);
     handlers_.on_caught_up();
   }
 
   // A read has failed: how long to wait before the next.
-  Milliseconds NextRetry() {
+  Milliseconds NextRetryDelay() {
     constexpr double kJitter = 0.25;
-    if (!lost_) backoff_ = settings_.initial_retry_delay;
-    lost_ = true;
+    if (!last_read_failed_) retry_delay_ = settings_.initial_retry_delay;
+    last_read_failed_ = true;
     const Milliseconds longest =
         std::max(settings_.initial_retry_delay, settings_.max_retry_delay);
-    const Milliseconds delay = std::min(backoff_, longest);
-    backoff_ = std::min(backoff_ * 2, longest);
+    const Milliseconds delay = std::min(retry_delay_, longest);
+    retry_delay_ = std::min(retry_delay_ * 2, longest);
     std::uniform_real_distribution<double> factor(1 - kJitter, 1 + kJitter);
     return Milliseconds(static_cast<int64_t>(
         std::lround(static_cast<double>(delay.count()) * factor(random_))));
   }
 
-  void After(Milliseconds delay, std::function<void()> action) {
+  void RunAfter(Milliseconds delay, std::function<void()> action) {
     timer_.expires_after(delay);
     timer_.async_wait([self = shared_from_this(), action = std::move(action)](
                           const boost::system::error_code& code) {
@@ -179,15 +180,15 @@
   bool has_snapshot_ = false;
   std::mt19937 random_;
   // The last read failed.
-  bool lost_ = false;
+  bool last_read_failed_ = false;
   // After the next failure in a row.
-  Milliseconds backoff_{0};
+  Milliseconds retry_delay_{0};
   int64_t next_offset_ = 0;
   BootTime as_of_{};
   Duration latency_{};
   std::set<std::string> snapshot_keys_;
   std::optional<int64_t> snapshot_end_;
-  BootTime snapshot_begun_{};
+  BootTime snapshot_started_{};
 };
 
 RecordTail::RecordTail(boost::asio::io_context& io, RecordStore& store,
--- a/src/libs/coordination/refused_entries.h
+++ b/src/libs/coordination/refused_entries.h
@@ -19,11 +19,11 @@
 class RefusedEntries {
  public:
   // True when the fault was told.
-  bool Note(const std::string& key, const Error& fault);
+  bool LogIfNew(const std::string& key, const Error& fault);
   // The entry can be read, or is gone.
   void Forget(const std::string& key) { entries_.erase(key); }
   // The directory was read anew and lists just these.
-  void Keep(const std::set<std::string>& keys);
+  void RetainOnly(const std::set<std::string>& keys);
 
   size_t size() const { return entries_.size(); }
 
@@ -31,7 +31,7 @@
   struct Entry {
     // As it was told.
     std::string reason;
-    int64_t untold_repeats = 0;
+    int64_t suppressed_repeats = 0;
   };
 
   std::map<std::string, Entry> entries_;
--- a/src/libs/coordination/scheduling_metrics.cc
+++ b/src/libs/coordination/scheduling_metrics.cc
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-void SchedulingMetrics::OnFirstPlaced(const JobDefinition& job,
-                                      Duration waited) {
+void SchedulingMetrics::OnFirstTaskPlaced(const JobDefinition& job,
+                                          Duration waited) {
   metrics_
       .histogram("thornplank_wait_seconds",
                  "From the acceptance of a job, or the due time of an "
--- a/src/libs/coordination/scheduling_metrics.h
+++ b/src/libs/coordination/scheduling_metrics.h
@@ -17,7 +17,7 @@
   explicit SchedulingMetrics(MetricsRegistry& metrics) : metrics_(metrics) {}
 
   // The first task of an occurrence is placed, this long after its turn came.
-  void OnFirstPlaced(const JobDefinition& job, Duration waited);
+  void OnFirstTaskPlaced(const JobDefinition& job, Duration waited);
   // An urgent step is placed in room that was taken from others.
   void OnRoomReclaimed(Duration waited);
   // A run has ended, `lasted` after it was first seen at work; short ones are
--- a/src/libs/coordination/start_sender.cc
+++ b/src/libs/coordination/start_sender.cc
@@ -10,7 +10,7 @@
 
 // Of one order. Where a third of all orders gets no answer, one in 30 gets none
 // three times.
-constexpr int kMostCopies = 3;
+constexpr int kMaxCopies = 3;
 
 bool IsRefusal(StartOutcome outcome) {
   return outcome == StartOutcome::kRefused ||
@@ -27,53 +27,54 @@
 
 void StartSender::Send(const WorkerAddress& worker, const StartOrder& order,
                        Handlers handlers) {
-  auto sent = std::make_shared<Sent>();
-  sent->worker = worker;
-  sent->order = order;
-  sent->handlers = std::move(handlers);
-  sent->first = std::chrono::steady_clock::now();
-  SendCopy(sent);
+  auto pending = std::make_shared<PendingOrder>();
+  pending->worker = worker;
+  pending->order = order;
+  pending->handlers = std::move(handlers);
+  pending->first_sent = std::chrono::steady_clock::now();
+  SendCopy(pending);
 }
 
-void StartSender::SendCopy(const std::shared_ptr<Sent>& sent) {
-  ++sent->copies;
-  calls_.Start(sent->worker, sent->order, settings_.timeout,
-               [this, alive = alive_, sent](const StartAnswer& answer) {
-                 if (*alive) OnAnswer(sent, answer);
+void StartSender::SendCopy(const std::shared_ptr<PendingOrder>& pending) {
+  ++pending->copies;
+  calls_.Start(pending->worker, pending->order, settings_.copy_timeout,
+               [this, alive = alive_, pending](const StartAnswer& answer) {
+                 if (*alive) OnAnswer(pending, answer);
                });
 }
 
-bool StartSender::MayRepeat(const Sent& sent) const {
-  const Duration gone = std::chrono::steady_clock::now() - sent.first;
-  return sent.copies < kMostCopies && gone < settings_.repeats_for &&
-         sent.handlers.may_repeat();
+bool StartSender::MayResend(const PendingOrder& pending) const {
+  const Duration elapsed =
+      std::chrono::steady_clock::now() - pending.first_sent;
+  return pending.copies < kMaxCopies && elapsed < settings_.resend_period &&
+         pending.handlers.may_resend();
 }
 
-void StartSender::Tell(const Event& event, const Sent& sent,
-                       const Error& error) {
+void StartSender::LogOutcome(const Event& event, const PendingOrder& pending,
+                             const Error& error) {
   LogEvent(event, error,
-           {{"task", sent.order.task.ToString()},
-            {"run", sent.order.run},
-            {"worker", sent.worker.id},
-            {"copies", sent.copies}});
+           {{"task", pending.order.task.ToString()},
+            {"run", pending.order.run},
+            {"worker", pending.worker.id},
+            {"copies", pending.copies}});
 }
 
-void StartSender::OnAnswer(const std::shared_ptr<Sent>& sent,
+void StartSender::OnAnswer(const std::shared_ptr<PendingOrder>& pending,
                            const StartAnswer& answer) {
-  if (answer.outcome == StartOutcome::kNoAnswer && MayRepeat(*sent)) {
-    Tell(events::kStartRepeated, *sent, answer.error);
-    return SendCopy(sent);
+  if (answer.outcome == StartOutcome::kNoAnswer && MayResend(*pending)) {
+    LogOutcome(events::kStartRepeated, *pending, answer.error);
+    return SendCopy(pending);
   }
   StartResult result{answer.outcome, answer.outcome};
-  if (sent->copies > 1 && IsRefusal(answer.outcome)) {
+  if (pending->copies > 1 && IsRefusal(answer.outcome)) {
     result.outcome = StartOutcome::kNoAnswer;
   }
   if (result.outcome == StartOutcome::kNoAnswer) {
-    Tell(events::kStartUndecided, *sent, answer.error);
+    LogOutcome(events::kStartUndecided, *pending, answer.error);
   } else if (result.outcome != StartOutcome::kAccepted) {
-    Tell(events::kStartRefused, *sent, answer.error);
+    LogOutcome(events::kStartRefused, *pending, answer.error);
   }
-  sent->handlers.done(result);
+  pending->handlers.done(result);
 }
 
 }  // namespace thornplank
--- a/src/libs/coordination/start_sender.h
+++ b/src/libs/coordination/start_sender.h
@@ -1,7 +1,7 @@
 // Sends start orders, again where a worker leaves one without an answer.
 //
 // A worker begins a run once, however many orders for it arrive, and none after
-// the deadline that all of them carry. So an order without an answer is sent
+// the deadline that all of them carry. So an order without an answer is pending
 // again, and what is said of a later copy settles nothing of the first.
 #ifndef THORNPLANK_COORDINATION_START_SENDER_H_
 #define THORNPLANK_COORDINATION_START_SENDER_H_
@@ -19,10 +19,10 @@
   // A copy that is not answered by then is followed by another. Answers take
   // 2 ms in a zone and 0.1 s between regions; a gang of which one member has
   // not begun loses 2 s.
-  Milliseconds timeout{250};
-  // No copy is sent later than this after the first: the lease that an order
+  Milliseconds copy_timeout{250};
+  // No copy is pending later than this after the first: the lease that an order
   // brings must outlast the way to the first report.
-  Milliseconds repeats_for{750};
+  Milliseconds resend_period{750};
 };
 
 // How the copies of one order ended.
@@ -37,7 +37,7 @@
  public:
   struct Handlers {
     // Whether the order is still wanted and nothing is known of the run.
-    std::function<bool()> may_repeat;
+    std::function<bool()> may_resend;
     // Runs once.
     std::function<void(const StartResult&)> done;
   };
@@ -49,18 +49,20 @@
             Handlers handlers);
 
  private:
-  struct Sent {
+  struct PendingOrder {
     WorkerAddress worker;
     StartOrder order;
     Handlers handlers;
-    Time first{};
+    Time first_sent{};
     int copies = 0;
   };
 
-  void SendCopy(const std::shared_ptr<Sent>& sent);
-  void OnAnswer(const std::shared_ptr<Sent>& sent, const StartAnswer& answer);
-  bool MayRepeat(const Sent& sent) const;
-  static void Tell(const Event& event, const Sent& sent, const Error& error);
+  void SendCopy(const std::shared_ptr<PendingOrder>& pending);
+  void OnAnswer(const std::shared_ptr<PendingOrder>& pending,
+                const StartAnswer& answer);
+  bool MayResend(const PendingOrder& pending) const;
+  static void LogOutcome(const Event& event, const PendingOrder& pending,
+                         const Error& error);
 
   WorkerCalls& calls_;
   const StartSenderSettings settings_;
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -11,15 +11,15 @@
 namespace {
 
 // Time between two reads of the directory that counts as an outage.
-constexpr Milliseconds kContactGap{2500};
+constexpr Milliseconds kMaxDirectoryReadGap{2500};
 
-StartSenderSettings SenderFor(const WorkerBounds& bounds) {
+StartSenderSettings StartSenderSettingsFor(const WorkerBounds& bounds) {
   StartSenderSettings settings;
-  settings.repeats_for = bounds.start_term() / 2;
+  settings.resend_period = bounds.start_term() / 2;
   return settings;
 }
 
-GangReviewSettings GangReviewFor(const WorkerBounds& bounds) {
+GangReviewSettings GangReviewSettingsFor(const WorkerBounds& bounds) {
   GangReviewSettings settings;
   settings.bounds = bounds;
   return settings;
@@ -47,12 +47,12 @@
       formats_(formats),
       settings_(settings),
       handlers_(std::move(handlers)),
-      review_({settings.bounds}),
-      gang_review_(GangReviewFor(settings.bounds)),
-      starts_(calls, SenderFor(settings.bounds)),
-      paces_(calls, settings.epoch, settings.call_timeout,
-             {[this](const std::string& id) { return Find(id); },
-              [this] { handlers_.on_fenced(); }}) {}
+      run_review_({settings.bounds}),
+      gang_review_(GangReviewSettingsFor(settings.bounds)),
+      start_sender_(calls, StartSenderSettingsFor(settings.bounds)),
+      pace_controller_(calls, settings.epoch, settings.call_timeout,
+                       {[this](const std::string& id) { return Find(id); },
+                        [this] { handlers_.on_fenced(); }}) {}
 
 WorkerFleet::~WorkerFleet() { *alive_ = false; }
 
@@ -67,35 +67,35 @@
   std::optional<WorkerRegistration> registration =
       formats_.ReadWorker(record, &error);
   if (!registration) {
-    refused_.Note(record.key, error);
+    refused_.LogIfNew(record.key, error);
     return OnEntryUnreadable(record.key, now);
   }
   refused_.Forget(record.key);
   const std::string id = registration->id;
-  const auto dead = dead_.find(id);
-  if (dead != dead_.end()) {
-    if (dead->second == registration->birth.born) return;
-    dead_.erase(dead);
+  const auto ended = ended_incarnations_.find(id);
+  if (ended != ended_incarnations_.end()) {
+    if (ended->second == registration->birth.born) return;
+    ended_incarnations_.erase(ended);
   }
-  TellBirthFault(id, registration->birth);
+  LogBirthFault(id, registration->birth);
   WorkerTracker* tracker = Find(id);
-  Link& link = links_[id];
-  link.missing_since.reset();
-  link.departure.OnEntry(*registration, contact_, now);
+  CallState& state = call_states_[id];
+  state.missing_since.reset();
+  state.departure.OnEntry(*registration, last_directory_read_, now);
   if (tracker == nullptr) {
     LogEvent(events::kWorkerSeen, {{"worker", id},
                                    {"address", registration->address},
                                    {"rack", registration->rack},
                                    {"offset", record.offset}});
-    WorkerTracker fresh(*registration);
-    fresh.Update(std::move(*registration), now);
-    fresh.set_domain_closed(IsClosed(fresh));
-    trackers_.emplace(id, std::move(fresh));
-    return Drive(id, now);
+    WorkerTracker new_tracker(*registration);
+    new_tracker.Update(std::move(*registration), now);
+    new_tracker.set_domain_closed(IsClosed(new_tracker));
+    trackers_.emplace(id, std::move(new_tracker));
+    return RequestReportIfDue(id, now);
   }
-  const bool leaves =
+  const bool starts_draining =
       registration->draining && !tracker->registration().draining;
-  if (leaves) {
+  if (starts_draining) {
     LogEvent(events::kWorkerLeaving,
              {{"worker", id},
               {"left_ms", registration->drain_left.count()},
@@ -106,20 +106,21 @@
       registration->capacity != tracker->registration().capacity;
   tracker->Update(std::move(*registration), now);
   tracker->set_domain_closed(IsClosed(*tracker));
-  if (resized) TellCapacity(*tracker, record.offset);
-  link.look_again = !tracker->reachable();
-  if (!tracker->synchronized() || link.look_again) Drive(id, now);
+  if (resized) LogCapacity(*tracker, record.offset);
+  state.check_again = !tracker->reachable();
+  if (!tracker->synchronized() || state.check_again)
+    RequestReportIfDue(id, now);
 }
 
 // Where no worker says it, one line tells as much as one for each.
-void WorkerFleet::TellBirthFault(const std::string& id,
-                                 const BirthMark& birth) {
-  if (birth.fault.empty() || !birth_faults_.insert(birth.fault).second) return;
+void WorkerFleet::LogBirthFault(const std::string& id, const BirthMark& birth) {
+  if (birth.fault.empty() || !logged_birth_faults_.insert(birth.fault).second)
+    return;
   LogEvent(events::kBirthUnreadable, {{"worker", id}, {"reason", birth.fault}});
 }
 
-void WorkerFleet::TellCapacity(const WorkerTracker& worker,
-                               int64_t offset) const {
+void WorkerFleet::LogCapacity(const WorkerTracker& worker,
+                              int64_t offset) const {
   const Resources& capacity = worker.registration().capacity;
   LogEvent(events::kWorkerResized, {{"worker", worker.id()},
                                     {"cpu_millis", capacity.cpu_millis},
@@ -133,11 +134,11 @@
 void WorkerFleet::OnEntryRemoved(const std::string& id, Time now) {
   refused_.Forget(id);
   if (Find(id) == nullptr) return;
-  Link& link = links_[id];
-  link.missing_since = now;
+  CallState& state = call_states_[id];
+  state.missing_since = now;
   const Milliseconds heartbeat = settings_.bounds.heartbeat;
-  if (link.departure.IsDeparture(heartbeat, contact_, now)) {
-    Bury(id, LifeEnd::kLeft);
+  if (state.departure.IsDeparture(heartbeat, last_directory_read_, now)) {
+    OnIncarnationOver(id, LifeEnd::kLeft);
   }
 }
 
@@ -147,23 +148,24 @@
   WorkerTracker* tracker = Find(id);
   if (tracker == nullptr) return;
   tracker->MarkMissing(now);
-  Link& link = links_[id];
-  if (!link.missing_since) link.missing_since = now;
+  CallState& state = call_states_[id];
+  if (!state.missing_since) state.missing_since = now;
 }
 
 void WorkerFleet::OnDirectorySnapshot(const std::set<std::string>& ids,
                                       Time now) {
-  refused_.Keep(ids);
+  refused_.RetainOnly(ids);
   for (const auto& [id, tracker] : trackers_) {
     if (ids.count(id) > 0) continue;
-    Link& link = links_[id];
-    if (!link.missing_since) link.missing_since = now;
+    CallState& state = call_states_[id];
+    if (!state.missing_since) state.missing_since = now;
   }
 }
 
-void WorkerFleet::OnDirectoryContact(Time now) {
-  if (now - contact_ > kContactGap) contact_since_ = now;
-  contact_ = now;
+void WorkerFleet::OnDirectoryCaughtUp(Time now) {
+  if (now - last_directory_read_ > kMaxDirectoryReadGap)
+    directory_read_since_ = now;
+  last_directory_read_ = now;
 }
 
 void WorkerFleet::CloseDomains(const std::set<std::string>& domains) {
@@ -185,7 +187,7 @@
     WorkerRegistration unknown;
     unknown.id = worker;
     tracker = &trackers_.emplace(worker, WorkerTracker(unknown)).first->second;
-    links_[worker].missing_since = now;
+    call_states_[worker].missing_since = now;
   }
   tracker->Inherit(task, run, profile, now, lease_bound);
 }
@@ -201,7 +203,7 @@
   WorkerTracker* tracker = Find(worker);
   if (tracker == nullptr) return;
   tracker->OnEndsRecorded(life, number);
-  Drive(worker, Now());
+  RequestReportIfDue(worker, Now());
 }
 
 void WorkerFleet::Tick(Time now, bool may_renew) {
@@ -211,71 +213,80 @@
   for (const auto& [id, tracker] : trackers_) {
     ids.push_back(id);
   }
-  review_.Forget(now);
-  JudgeGangs(now);
+  run_review_.Forget(now);
+  ReviewGangs(now);
   for (const std::string& id : ids) {
-    Judge(id, now);
+    ReviewWorker(id, now);
     if (Find(id) == nullptr) continue;
     SendStops(id, now);
-    Drive(id, now);
+    RequestReportIfDue(id, now);
   }
 }
 
 // A worker is asked while it has something to tell, and until it has heard
 // that its ends are recorded.
-void WorkerFleet::Drive(const std::string& id, Time now) {
+void WorkerFleet::RequestReportIfDue(const std::string& id, Time now) {
   WorkerTracker* tracker = Find(id);
-  Link& link = links_[id];
-  if (tracker == nullptr || link.reporting || now < link.next_report) return;
+  CallState& state = call_states_[id];
+  if (tracker == nullptr || state.report_pending ||
+      now < state.next_report_time)
+    return;
   if (tracker->registration().address.empty()) return;
   const bool unrecorded = tracker->processed_ends() > tracker->recorded_ends();
-  const bool untold = tracker->recorded_ends() > link.told_ends;
+  const bool unacknowledged =
+      tracker->recorded_ends() > state.acknowledged_ends;
   const bool has_runs = !tracker->runs().empty();
-  const bool needless = tracker->synchronized() && !has_runs && !untold;
-  if (needless && !link.look_again) return;
-  const bool stray = !handlers_.is_known(tracker->registration().service);
-  if (stray && !has_runs) return;
-  bool settling = !tracker->synchronized() || !tracker->reachable();
-  bool young = false;
-  bool ending = false;
+  const bool nothing_to_ask =
+      tracker->synchronized() && !has_runs && !unacknowledged;
+  if (nothing_to_ask && !state.check_again) return;
+  const bool unknown_service =
+      !handlers_.is_known_service(tracker->registration().service);
+  if (unknown_service && !has_runs) return;
+  bool uncertain = !tracker->synchronized() || !tracker->reachable();
+  bool no_progress_yet = false;
+  bool stopping = false;
   for (const auto& [task, run] : tracker->runs()) {
-    settling = settling || run.stage == RunStage::kUnknown;
-    ending = ending || run.stop_acknowledged.has_value();
-    young = young || (run.stage == RunStage::kRunning && run.percent == 0);
+    uncertain = uncertain || run.stage == RunStage::kUnknown;
+    stopping = stopping || run.stop_acknowledged.has_value();
+    no_progress_yet = no_progress_yet ||
+                      (run.stage == RunStage::kRunning && run.percent == 0);
   }
   // With ends that are not recorded a report would come back at once.
-  const bool calm = has_runs && !settling && !unrecorded;
-  if (!calm) link.next_report = now + settings_.report_retry;
+  const bool stable = has_runs && !uncertain && !unrecorded;
+  if (!stable) state.next_report_time = now + settings_.report_retry_delay;
   // A worker that has restarted unnoticed would forget by these numbers what
-  // ends there while it waits.
-  const bool waits = calm && EndsToTell(*tracker, link) == 0;
+  // ends there while it can_wait.
+  const bool can_wait = stable && EndsToAcknowledge(*tracker, state) == 0;
   Milliseconds wait{0};
-  if (waits) wait = young ? settings_.first_report : settings_.report_wait;
+  if (can_wait)
+    wait =
+        no_progress_yet ? settings_.first_report_wait : settings_.report_wait;
   // The end of a run that stops is told as it comes; one that never began there
   // has none, and is settled by the report that follows this one.
-  if (waits && ending) wait = settings_.report_retry;
-  if (waits && FillerPaceController::HasBoth(*tracker)) {
-    wait = std::min(wait, settings_.pace_wait);
+  if (can_wait && stopping) wait = settings_.report_retry_delay;
+  if (can_wait && FillerPaceController::HasFillersAndServing(*tracker)) {
+    wait = std::min(wait, settings_.paced_report_wait);
   }
-  Report(id, wait, /*extra=*/false);
+  RequestReport(id, wait, /*extra=*/false);
 }
 
 // Nothing that it knows already, and nothing after a silence: a worker that has
 // restarted meanwhile would forget ends of its new life by the numbers of the
 // old one.
-int64_t WorkerFleet::EndsToTell(const WorkerTracker& tracker,
-                                const Link& link) const {
-  const bool news = tracker.recorded_ends() > link.told_ends;
+int64_t WorkerFleet::EndsToAcknowledge(const WorkerTracker& tracker,
+                                       const CallState& state) const {
+  const bool news = tracker.recorded_ends() > state.acknowledged_ends;
   return news && tracker.reachable() ? tracker.recorded_ends() : 0;
 }
 
-void WorkerFleet::Report(const std::string& id, Milliseconds wait, bool extra) {
+void WorkerFleet::RequestReport(const std::string& id, Milliseconds wait,
+                                bool extra) {
   WorkerTracker* tracker = Find(id);
-  Link& link = links_[id];
+  CallState& state = call_states_[id];
   const Time now = Now();
   StatusQuery query;
   query.epoch = settings_.epoch;
-  query.recorded_ends = EndsToTell(*tracker, link);
+  query.recorded_ends = EndsToAcknowledge(*tracker, state);
   query.wait = wait;
   // A worker that does not answer is not renewed: its leases must end.
   const bool renew = may_renew_ && tracker->synchronized() &&
@@ -283,8 +294,8 @@
   if (renew) {
     query.lease_until = tracker->DeadlineIn(settings_.bounds.lease_term(), now);
   }
-  link.look_again = false;
-  (extra ? link.extra_report : link.reporting) = true;
+  state.check_again = false;
+  (extra ? state.extra_report_pending : state.report_pending) = true;
   const WorkerAddress address{id, tracker->registration().address};
   const int64_t recorded = query.recorded_ends;
   calls_.Status(address, query, settings_.call_timeout + wait,
@@ -298,8 +309,8 @@
 void WorkerFleet::OnStatus(const std::string& id, const StatusAnswer& answer,
                            Time sent, int64_t recorded, bool renewed,
                            bool extra) {
-  Link& link = links_[id];
-  (extra ? link.extra_report : link.reporting) = false;
+  CallState& state = call_states_[id];
+  (extra ? state.extra_report_pending : state.report_pending) = false;
   WorkerTracker* tracker = Find(id);
   if (tracker == nullptr) return;
   const Time now = Now();
@@ -309,9 +320,9 @@
     case CallOutcome::kFenced:
       return handlers_.on_fenced();
     case CallOutcome::kOtherIncarnation:
-      return Bury(id, LifeEnd::kCrashed);
+      return OnIncarnationOver(id, LifeEnd::kCrashed);
     case CallOutcome::kConnectionRefused:
-      link.departure.OnNobodyThere(now);
+      state.departure.OnNobodyThere(now);
       [[fallthrough]];
     case CallOutcome::kRefused:
     case CallOutcome::kNoAnswer:
@@ -320,7 +331,7 @@
                  {{"worker", id}, {"runs", tracker->runs().size()}});
       }
       tracker->OnNoReport(now);
-      link.next_report = now + settings_.report_retry;
+      state.next_report_time = now + settings_.report_retry_delay;
       return;
   }
   if (!tracker->reachable()) {
@@ -331,12 +342,13 @@
               {"clock_before_ms", tracker->clock().count()},
               {"ends_before", tracker->processed_ends()}});
   }
-  TellBirthFault(id, answer.report.birth);
-  if (tracker->IsOfFormerLife(answer.report, sent)) return Drive(id, now);
-  link.departure.OnAnswer();
+  LogBirthFault(id, answer.report.birth);
+  if (tracker->IsOfFormerLife(answer.report, sent))
+    return RequestReportIfDue(id, now);
+  state.departure.OnAnswer();
   const bool first = !tracker->synchronized();
-  link.told_ends = std::max(link.told_ends, recorded);
-  if (renewed) link.leased_until = sent + settings_.bounds.lease_term();
+  state.acknowledged_ends = std::max(state.acknowledged_ends, recorded);
+  if (renewed) state.leased_until = sent + settings_.bounds.lease_term();
   const int life = tracker->life();
   std::vector<RunReport> unexpected;
   const std::vector<RunEndReport> ends =
@@ -353,20 +365,20 @@
     tracker->Find(run.task)->stage = RunStage::kRunning;
     RequestStop(id, run.task, run.run, "not in force");
   }
-  review_.Observe(tracker, now);
-  paces_.OnReport(tracker, now);
-  Deliver(id, ends);
+  run_review_.Observe(tracker, now);
+  pace_controller_.OnReport(tracker, now);
+  DeliverEnds(id, ends);
   if (first || !ends.empty()) handlers_.on_change();
-  Drive(id, now);
+  RequestReportIfDue(id, now);
 }
 
 void WorkerFleet::OnRestart(const std::string& id,
                             const std::vector<RunEndReport>& ends, Time now) {
   WorkerTracker* tracker = Find(id);
-  Link& link = links_[id];
-  link.told_ends = 0;
-  link.leased_until = Time{};
-  link.departure = DepartureWatch();
+  CallState& state = call_states_[id];
+  state.acknowledged_ends = 0;
+  state.leased_until = Time{};
+  state.departure = DepartureWatch();
   LogEvent(events::kWorkerRestarted,
            {{"worker", id},
             {"born_ms", ToUnixMilliseconds(*tracker->born())},
@@ -385,8 +397,8 @@
   }
 }
 
-void WorkerFleet::Deliver(const std::string& id,
-                          const std::vector<RunEndReport>& ends) {
+void WorkerFleet::DeliverEnds(const std::string& id,
+                              const std::vector<RunEndReport>& ends) {
   for (const RunEndReport& end : ends) {
     WorkerTracker* tracker = Find(id);
     if (tracker != nullptr) {
@@ -399,71 +411,71 @@
   }
 }
 
-void WorkerFleet::JudgeGangs(Time now) {
+void WorkerFleet::ReviewGangs(Time now) {
   for (const GangVerdict& verdict :
-       gang_review_.Judge(trackers_, review_.speeds(), now)) {
+       gang_review_.Judge(trackers_, run_review_.speeds(), now)) {
     RequestStop(verdict.worker, verdict.task, verdict.run, verdict.reason);
     if (verdict.stalled) Find(verdict.worker)->trust().OnRunStalled(now);
   }
 }
 
-void WorkerFleet::Judge(const std::string& id, Time now) {
+void WorkerFleet::ReviewWorker(const std::string& id, Time now) {
   WorkerTracker* tracker = Find(id);
-  Link& link = links_[id];
+  CallState& state = call_states_[id];
   const bool unreachable =
       !tracker->reachable() || tracker->registration().address.empty();
-  if (unreachable &&
-      link.departure.HasLeft(settings_.bounds.heartbeat, contact_, now)) {
-    return Bury(id, LifeEnd::kLeft);
+  if (unreachable && state.departure.HasLeft(settings_.bounds.heartbeat,
+                                             last_directory_read_, now)) {
+    return OnIncarnationOver(id, LifeEnd::kLeft);
   }
   if (unreachable && !tracker->runs().empty() && tracker->LeasesOver(now)) {
-    if (Lose(id, LifeEnd::kSilent)) return;
+    if (EndRunsOfLostWorker(id, LifeEnd::kSilent)) return;
   }
-  const bool listed_long_ago =
-      link.missing_since && now - *link.missing_since > settings_.missing_grace;
-  if (listed_long_ago && now - contact_since_ > settings_.missing_grace) {
+  const bool long_unlisted = state.missing_since && now - *state.missing_since >
+                                                        settings_.missing_grace;
+  if (long_unlisted && now - directory_read_since_ > settings_.missing_grace) {
     tracker->MarkMissing(now);
     if (tracker->runs().empty()) {
       LogEvent(events::kWorkerGone,
                {{"worker", id}, {"reason", "no longer listed"}});
       trackers_.erase(id);
-      links_.erase(id);
-      paces_.Forget(id);
+      call_states_.erase(id);
+      pace_controller_.Forget(id);
       return;
     }
   }
-  for (const RunVerdict& verdict : review_.Judge(tracker, now)) {
+  for (const RunVerdict& verdict : run_review_.Judge(tracker, now)) {
     RequestStop(id, verdict.task, verdict.run, verdict.reason);
   }
 }
 
-bool WorkerFleet::IsNear(const std::string& worker,
-                         const std::string& rack) const {
+bool WorkerFleet::IsOnRack(const std::string& worker,
+                           const std::string& rack) const {
   if (rack.empty()) return true;
   const auto it = trackers_.find(worker);
   return it != trackers_.end() && it->second.registration().rack == rack;
 }
 
-void WorkerFleet::Bury(const std::string& id, LifeEnd end) {
+void WorkerFleet::OnIncarnationOver(const std::string& id, LifeEnd end) {
   const std::optional<WallTime>& born = Find(id)->registration().birth.born;
-  if (!dead_.emplace(id, born).second) return;
-  links_[id].missing_since = Now();
-  Lose(id, end);
+  if (!ended_incarnations_.emplace(id, born).second) return;
+  call_states_[id].missing_since = Now();
+  EndRunsOfLostWorker(id, end);
 }
 
 // True when the worker itself was forgotten.
-bool WorkerFleet::Lose(const std::string& id, LifeEnd end) {
+bool WorkerFleet::EndRunsOfLostWorker(const std::string& id, LifeEnd end) {
   WorkerTracker* tracker = Find(id);
   const std::vector<RunEndReport> ends = tracker->OnGone(end, Now());
   LogEvent(events::kWorkerGone,
            {{"worker", id}, {"reason", ToReason(end)}, {"runs", ends.size()}});
-  const bool forget = links_[id].missing_since.has_value();
+  const bool forget = call_states_[id].missing_since.has_value();
   if (forget) {
     trackers_.erase(id);
-    links_.erase(id);
-    paces_.Forget(id);
+    call_states_.erase(id);
+    pace_controller_.Forget(id);
   }
-  Deliver(id, ends);
+  DeliverEnds(id, ends);
   handlers_.on_change();
   return forget;
 }
--- a/src/libs/coordination/worker_fleet.h
+++ b/src/libs/coordination/worker_fleet.h
@@ -30,19 +30,19 @@
   int64_t epoch = 0;
   WorkerBounds bounds;
   Milliseconds call_timeout{900};
-  // How long a report waits for an end; workers allow 2 s at most.
+  // How long a report can_wait for an end; workers allow 2 s at most.
   Milliseconds report_wait{1900};
   // The same where tasks that fill may disturb tasks that serve: their tails
   // are figures of the last half second.
-  Milliseconds pace_wait{500};
+  Milliseconds paced_report_wait{500};
   // Between reports that don't wait.
-  Milliseconds report_retry{250};
+  Milliseconds report_retry_delay{250};
   // A worker that is not listed any more, while the store answered all along,
   // is gone: entries that lapsed with the store are back within 2 s.
   Milliseconds missing_grace{2600};
   // The first report after a start: early enough to move an urgent task off a
   // slow worker in time, late enough for a few percent of progress.
-  Milliseconds first_report{700};
+  Milliseconds first_report_wait{700};
 };
 
 class WorkerFleet {
@@ -54,7 +54,7 @@
     std::function<RunProfile(const TaskRef&)> profile_of;
     // Whether the configuration knows the service. Entries of others are not
     // even looked at.
-    std::function<bool(const std::string& service)> is_known;
+    std::function<bool(const std::string& service)> is_known_service;
     // A worker did not take the ticket of a start.
     std::function<void(const StepRef&, const std::string& worker)>
         on_ticket_refused;
@@ -72,7 +72,7 @@
   // The directory was read anew and lists just these.
   void OnDirectorySnapshot(const std::set<std::string>& ids, Time now);
   // The directory was read up to its end.
-  void OnDirectoryContact(Time now);
+  void OnDirectoryCaughtUp(Time now);
   // Failure domains that take no new work from now on.
   void CloseDomains(const std::set<std::string>& domains);
 
@@ -84,7 +84,7 @@
   size_t refused_entries() const { return refused_.size(); }
 
   // Whether the worker stands on that rack; true for no rack.
-  bool IsNear(const std::string& worker, const std::string& rack) const;
+  bool IsOnRack(const std::string& worker, const std::string& rack) const;
 
   // A run that a predecessor recorded.
   void Inherit(const std::string& worker, const TaskRef& task, int run,
@@ -110,47 +110,49 @@
   void Tick(Time now, bool may_renew);
 
  private:
-  struct Link {
-    bool reporting = false;
-    bool extra_report = false;
+  struct CallState {
+    bool report_pending = false;
+    bool extra_report_pending = false;
     // It is silent and has nothing to tell, but its entry was written anew.
-    bool look_again = false;
-    Time next_report{};
+    bool check_again = false;
+    Time next_report_time{};
     // The worker's lease surely lasts until then.
     Time leased_until{};
-    int64_t told_ends = 0;
+    int64_t acknowledged_ends = 0;
     // A stop that was not confirmed is repeated then.
-    Time next_stop{};
+    Time next_stop_time{};
     std::optional<Time> missing_since;
     DepartureWatch departure;
   };
 
   bool IsClosed(const WorkerTracker& tracker) const;
-  void TellCapacity(const WorkerTracker& worker, int64_t offset) const;
+  void LogCapacity(const WorkerTracker& worker, int64_t offset) const;
   const char* ReasonToWithhold(const WorkerTracker& worker,
                                const TrackedRun& run) const;
-  bool MayRepeatStart(const std::string& worker, const TaskRef& task, int run);
+  bool MayResendStart(const std::string& worker, const TaskRef& task, int run);
   void OnStartResult(const std::string& worker, const TaskRef& task, int run,
                      const StartResult& result);
   void OnEntryRemoved(const std::string& id, Time now);
   void OnEntryUnreadable(const std::string& id, Time now);
-  void Drive(const std::string& id, Time now);
-  void Report(const std::string& id, Milliseconds wait, bool extra);
+  void RequestReportIfDue(const std::string& id, Time now);
+  void RequestReport(const std::string& id, Milliseconds wait, bool extra);
   void OnStatus(const std::string& id, const StatusAnswer& answer, Time sent,
                 int64_t recorded, bool renewed, bool extra);
   // The worker has restarted under its id; `ends` are those of the life before.
   void OnRestart(const std::string& id, const std::vector<RunEndReport>& ends,
                  Time now);
-  void TellBirthFault(const std::string& id, const BirthMark& birth);
+  void LogBirthFault(const std::string& id, const BirthMark& birth);
   // What a report may tell the worker to forget.
-  int64_t EndsToTell(const WorkerTracker& tracker, const Link& link) const;
+  int64_t EndsToAcknowledge(const WorkerTracker& tracker,
+                            const CallState& state) const;
   void SendStops(const std::string& id, Time now);
-  void Deliver(const std::string& id, const std::vector<RunEndReport>& ends);
-  void Judge(const std::string& id, Time now);
-  void JudgeGangs(Time now);
+  void DeliverEnds(const std::string& id,
+                   const std::vector<RunEndReport>& ends);
+  void ReviewWorker(const std::string& id, Time now);
+  void ReviewGangs(Time now);
   // The life is proved to be over for good.
-  void Bury(const std::string& id, LifeEnd end);
-  bool Lose(const std::string& id, LifeEnd end);
+  void OnIncarnationOver(const std::string& id, LifeEnd end);
+  bool EndRunsOfLostWorker(const std::string& id, LifeEnd end);
   WorkerTracker* Find(const std::string& id);
 
   WorkerCalls& calls_;
@@ -158,22 +160,22 @@
   const WorkerFleetSettings settings_;
   const Handlers handlers_;
   std::map<std::string, WorkerTracker> trackers_;
-  std::map<std::string, Link> links_;
+  std::map<std::string, CallState> call_states_;
   // Lives that are proved to be over, by the worker's id, with what they said
   // of their birth; the directory may list them for a while.
-  std::map<std::string, std::optional<WallTime>> dead_;
+  std::map<std::string, std::optional<WallTime>> ended_incarnations_;
   RefusedEntries refused_;
   // Why births cannot be read, as far as it was told.
-  std::set<std::string> birth_faults_;
+  std::set<std::string> logged_birth_faults_;
   std::set<std::string> closed_domains_;
   bool may_renew_ = true;
   // Since when the directory has answered without a gap.
-  Time contact_since_{};
-  Time contact_{};
-  RunReview review_;
+  Time directory_read_since_{};
+  Time last_directory_read_{};
+  RunReview run_review_;
   GangReview gang_review_;
-  StartSender starts_;
-  FillerPaceController paces_;
+  StartSender start_sender_;
+  FillerPaceController pace_controller_;
   // Callbacks of calls that outlive this object do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/tests/auto/coordination/tst_fenced_writer.cc
+++ b/tests/auto/coordination/tst_fenced_writer.cc
@@ -17,7 +17,7 @@
   settings.partition = kPartition;
   settings.producer = "leader";
   settings.epoch = epoch;
-  settings.retry = Milliseconds(5);
+  settings.retry_delay = Milliseconds(5);
   return settings;
 }
 
--- a/tests/auto/coordination/tst_job_board.cc
+++ b/tests/auto/coordination/tst_job_board.cc
@@ -109,7 +109,8 @@
 TEST_CASE("a dropped job is forgotten") {
   JobBoard board;
   board.Apply(JobBoard::Submission(Definition()));
-  for (const KeyedRecord& record : JobBoard::Drop(kJob, *board.Find(kJob))) {
+  for (const KeyedRecord& record :
+       JobBoard::Tombstones(kJob, *board.Find(kJob))) {
     board.Apply(record);
   }
   CHECK(board.jobs().empty());
@@ -123,13 +124,14 @@
   REQUIRE(board.Find(kJob) != nullptr);
   CHECK(board.Find(kJob)->state() == JobState::kFailed);
   CHECK(board.Find(kJob)->failure == "why");
-  for (const KeyedRecord& record : JobBoard::Drop(kJob, *board.Find(kJob))) {
+  for (const KeyedRecord& record :
+       JobBoard::Tombstones(kJob, *board.Find(kJob))) {
     CHECK_FALSE(record.value.has_value());
     board.Apply(record);
   }
   CHECK(board.jobs().empty());
   // A job that has not failed has no such record to drop.
-  CHECK(JobBoard::Drop(kJob, BoardJob()).size() == 3);
+  CHECK(JobBoard::Tombstones(kJob, BoardJob()).size() == 3);
 }
 
 TEST_CASE("an older leader's record changes nothing") {
@@ -146,10 +148,10 @@
 TEST_CASE("progress lies behind all other keys and changes no board") {
   const ProgressBlockRef block{{"0123456789abcdef", 2, 7}, 3};
   const KeyedRecord progress = JobBoard::Progress(block, "any bytes");
-  CHECK(JobBoard::BlockOf(progress.key) == block);
+  CHECK(JobBoard::ParseProgressKey(progress.key) == block);
   CHECK(progress.value == "any bytes");
   CHECK_FALSE(JobBoard::Progress(block, std::nullopt).value.has_value());
-  CHECK(progress.key > JobBoard::BeforeProgress());
+  CHECK(progress.key > JobBoard::ProgressKeyPrefix());
   JobBoard board;
   CHECK(board.Apply(progress).kind == BoardChange::Kind::kNone);
   CHECK(board.jobs().empty());
@@ -161,19 +163,20 @@
       JobBoard::Cancellation("ffffffffffffffff"),
       JobBoard::State("ffffffffffffffff", JobState::kRunning, WallTime()),
       JobBoard::Leader({"a", 3, false})};
-  for (const KeyedRecord& record : JobBoard::Drop("ffffffffffffffff", failed)) {
+  for (const KeyedRecord& record :
+       JobBoard::Tombstones("ffffffffffffffff", failed)) {
     others.push_back(record);
   }
   for (const KeyedRecord& record : others) {
     CAPTURE(record.key);
-    CHECK(record.key < JobBoard::BeforeProgress());
-    CHECK_FALSE(JobBoard::BlockOf(record.key).has_value());
+    CHECK(record.key < JobBoard::ProgressKeyPrefix());
+    CHECK_FALSE(JobBoard::ParseProgressKey(record.key).has_value());
   }
   for (const char* key : {"", "t", "t0123456789abcdef", "0123456789abcdef.0.0",
                           "t0123456789abcdef.0.0#", "t0123456789abcdef.0.0#x",
                           "t0123456789abcdef.0.0#-1"}) {
     CAPTURE(key);
-    CHECK_FALSE(JobBoard::BlockOf(key).has_value());
+    CHECK_FALSE(JobBoard::ParseProgressKey(key).has_value());
   }
 }
 
--- a/tests/auto/coordination/tst_leader_election.cc
+++ b/tests/auto/coordination/tst_leader_election.cc
@@ -13,8 +13,8 @@
 const LeaderRecord kNobody;
 const LeaderRecord kHeld{"a", 3, false};
 const LeaderRecord kReleased{"a", 3, true};
-const LeaderRecord kFormerSelf{"me/1", 3, false};
-const LeaderRecord kLikeNamed{"me-too/1", 3, false};
+const LeaderRecord kPreviousIncarnation{"me/1", 3, false};
+const LeaderRecord kSimilarName{"me-too/1", 3, false};
 
 TEST_CASE("a claim waits for a silence that was observed") {
   struct Row {
@@ -22,7 +22,7 @@
     LeaderRecord leader;
     double rank;
     // Times of contact with the store, in order.
-    std::vector<int64_t> contacts;
+    std::vector<int64_t> read_times;
     int64_t leader_heard;
     int64_t now;
     bool claims;
@@ -65,8 +65,14 @@
        true,
        250},
       {"the lead was given back", kReleased, 0, {0, 1000}, 1000, 1001, true},
-      {"an earlier life of its own led", kFormerSelf, 1, {0}, -1, 10, true},
-      {"one of a like name leads", kLikeNamed, 0, {0}, -1, 10, false},
+      {"an earlier life of its own led",
+       kPreviousIncarnation,
+       1,
+       {0},
+       -1,
+       10,
+       true},
+      {"one of a like name leads", kSimilarName, 0, {0}, -1, 10, false},
       {"the store was away as long", kHeld, 0, {0, 2400}, 0, 2450, false},
       {"the store is away now", kHeld, 0, {0, 1000}, 0, 4000, false},
   };
@@ -74,16 +80,17 @@
     CAPTURE(row.name);
     LeaderElection election(LeaderElectionSettings(), "me/2", row.rank);
     size_t next = 0;
-    const auto contact_until = [&](int64_t time) {
-      while (next < row.contacts.size() && row.contacts[next] <= time) {
-        election.OnContact(Milliseconds(row.latency), At(row.contacts[next++]));
+    const auto read_until = [&](int64_t time) {
+      while (next < row.read_times.size() && row.read_times[next] <= time) {
+        election.OnBoardCaughtUp(Milliseconds(row.latency),
+                                 At(row.read_times[next++]));
       }
     };
     if (row.leader_heard >= 0) {
-      contact_until(row.leader_heard);
+      read_until(row.leader_heard);
       election.OnLeaderRecord(row.leader, At(row.leader_heard));
     }
-    contact_until(row.now);
+    read_until(row.now);
     CHECK(election.ShouldClaim(row.leader, At(row.now)) == row.claims);
   }
 }
--- a/tests/auto/coordination/tst_refused_entries.cc
+++ b/tests/auto/coordination/tst_refused_entries.cc
@@ -29,7 +29,7 @@
     RefusedEntries refused;
     int told = 0;
     for (const std::string& reason : row.reasons) {
-      told += refused.Note("w", Fault(reason)) ? 1 : 0;
+      told += refused.LogIfNew("w", Fault(reason)) ? 1 : 0;
     }
     CHECK(told == row.told);
     CHECK(refused.size() == 1);
@@ -38,15 +38,15 @@
 
 TEST_CASE("an entry that was mended or removed is told anew") {
   RefusedEntries refused;
-  REQUIRE(refused.Note("w", Fault("no zone")));
+  REQUIRE(refused.LogIfNew("w", Fault("no zone")));
   refused.Forget("w");
   CHECK(refused.size() == 0);
-  CHECK(refused.Note("w", Fault("no zone")));
-  refused.Keep({"other"});
+  CHECK(refused.LogIfNew("w", Fault("no zone")));
+  refused.RetainOnly({"other"});
   CHECK(refused.size() == 0);
-  CHECK(refused.Note("w", Fault("no zone")));
-  refused.Keep({"w", "other"});
-  CHECK_FALSE(refused.Note("w", Fault("no zone")));
+  CHECK(refused.LogIfNew("w", Fault("no zone")));
+  refused.RetainOnly({"w", "other"});
+  CHECK_FALSE(refused.LogIfNew("w", Fault("no zone")));
 }
 
 }  // namespace
--- a/tests/auto/coordination/tst_worker_fleet_lives.cc
+++ b/tests/auto/coordination/tst_worker_fleet_lives.cc
@@ -156,11 +156,11 @@
     Fixture fixture;
     fixture.Start();
     Time now = Fixture::Now();
-    fixture.fleet.OnDirectoryContact(now);
+    fixture.fleet.OnDirectoryCaughtUp(now);
     fixture.fleet.OnDirectoryRecord({"w1", announced ? kLeaving : "listed", 1},
                                     now);
     now += Milliseconds(300);
-    fixture.fleet.OnDirectoryContact(now);
+    fixture.fleet.OnDirectoryCaughtUp(now);
     fixture.fleet.OnDirectoryRecord({"w1", std::nullopt, 2}, now);
     REQUIRE(fixture.ends.size() == (announced ? 1 : 0));
     if (announced) CHECK(fixture.ends[0] == RunEnd::kWorkerLeft);
@@ -177,14 +177,14 @@
     Fixture fixture;
     fixture.Start();
     Time now = Fixture::Now();
-    fixture.fleet.OnDirectoryContact(now);
+    fixture.fleet.OnDirectoryCaughtUp(now);
     fixture.fleet.OnDirectoryRecord({"w1", announced ? kLeaving : "listed", 1},
                                     now);
     fixture.calls.status = CallOutcome::kConnectionRefused;
     fixture.calls.answers_waiting = true;
     for (int i = 0; i < 24; ++i) {
       now += Milliseconds(100);
-      fixture.fleet.OnDirectoryContact(now);
+      fixture.fleet.OnDirectoryCaughtUp(now);
       fixture.fleet.Tick(now, /*may_renew=*/true);
     }
     REQUIRE(fixture.ends.size() == (announced ? 1 : 0));
--- a/tests/auto/coordination/worker_fleet_fixture.h
+++ b/tests/auto/coordination/worker_fleet_fixture.h
@@ -117,7 +117,7 @@
     };
     handlers.on_progress = [](const RunReport&) {};
     handlers.profile_of = [](const TaskRef&) { return RunProfile(); };
-    handlers.is_known = [](const std::string& service) {
+    handlers.is_known_service = [](const std::string& service) {
       return service != kStray;
     };
     handlers.on_ticket_refused = [](const StepRef&, const std::string&) {};
