--- a/src/libs/coordination/advice_requester.cc
+++ b/src/libs/coordination/advice_requester.cc
@@ -1,4 +1,4 @@
-// Questions and answers.
+// Requests to the advisor and the handling of their answers.
 #include "coordination/advice_requester.h"
 
 #include <utility>
@@ -8,10 +8,11 @@
 namespace thornplank {
 namespace {
 
-// The service takes up one question of an instance after the other, and turns
-// away more than 32 in all; entries that lead one after the other share that.
+// The advisor handles the requests of one instance sequentially and rejects
+// more than 32 in total. Successive leaders share that limit.
 constexpr size_t kMaxOutstandingRequests = 8;
-// Beyond the time that the questions before it and it itself take.
+// Added to the time that the advisor needs for the request and for those queued
+// before it.
 constexpr Milliseconds kResponseMargin{1000};
 
 Time Now() { return std::chrono::steady_clock::now(); }
--- a/src/libs/coordination/advice_requester.h
+++ b/src/libs/coordination/advice_requester.h
@@ -1,4 +1,7 @@
-// Asks the advisor about steps that wait for it, a few questions at a time.
+// Requests placement advice for waiting steps from the advisor, with a bounded
+// number of outstanding requests, and keeps the answers in an AdviceBook.
+//
+// Used on the loop of the scheduler only.
 #ifndef THORNPLANK_COORDINATION_ADVICE_REQUESTER_H_
 #define THORNPLANK_COORDINATION_ADVICE_REQUESTER_H_
 
@@ -17,17 +20,18 @@
 
 class AdviceRequester {
  public:
-  // `advisor` may be null: then nothing is ever approved. `on_change` runs when
-  // an answer may let tasks start.
+  // `advisor` may be null, in which case no worker is ever approved.
+  // `on_change` runs when an answer may allow tasks to start.
   AdviceRequester(Advisor* advisor, std::function<void()> on_change);
   ~AdviceRequester();
 
   const AdviceBook& book() const { return book_; }
-  // A step that waits, with the workers that might run it, best first.
+  // Requests advice for a waiting step. `candidates` are the workers that could
+  // run it, best first.
   void Request(const StepRef& step, const AdviceTerms& terms,
                const std::vector<std::string>& candidates);
   void OnTicketRefused(const StepRef& step, const std::string& worker);
-  // Steps that are still open; the rest is forgotten.
+  // `steps` are those that still wait; what is known of all others is dropped.
   void RetainOnly(const std::set<StepRef>& steps) { book_.Keep(steps); }
 
  private:
@@ -37,7 +41,7 @@
   Advisor* const advisor_;
   const std::function<void()> on_change_;
   AdviceBook book_;
-  // Callbacks that outlive this object do nothing.
+  // False once this object is destroyed; pending callbacks then do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/libs/coordination/advisor.h
+++ b/src/libs/coordination/advisor.h
@@ -1,4 +1,4 @@
-// The outside service that says which workers may run a step.
+// Interface to the external service that approves workers for a step.
 #ifndef THORNPLANK_COORDINATION_ADVISOR_H_
 #define THORNPLANK_COORDINATION_ADVISOR_H_
 
@@ -13,12 +13,14 @@
 
 namespace thornplank {
 
+// The answer to one request.
 struct Advice {
   bool answered = false;
-  // Of the workers that were named; the others are turned down.
+  // Those of the requested workers that are approved; all others are rejected.
   std::vector<ApprovedWorker> approved;
-  // From the question on.
+  // How long the approval holds, counted from the request.
   Milliseconds validity{0};
+  // Set when `answered` is false.
   Error error;
 };
 
@@ -26,7 +28,7 @@
  public:
   virtual ~Advisor() = default;
 
-  // The callback runs once, on the loop that the scheduler runs on.
+  // `done` runs exactly once, on the loop of the scheduler.
   virtual void RequestAdvice(const StepRef& step,
                              const std::vector<std::string>& workers,
                              Milliseconds timeout,
--- a/src/libs/coordination/caller_service.cc
+++ b/src/libs/coordination/caller_service.cc
@@ -1,4 +1,4 @@
-// Routes a caller's request and answers it.
+// Routing, checking and answering of the requests of callers.
 #include "coordination/caller_service.h"
 
 #include <algorithm>
@@ -14,8 +14,7 @@
 
 constexpr int kUnavailable = 503;
 
-// Why a call is not served: the cause is a label of metrics, the text is for
-// the caller and the log.
+// Reasons for not serving a call.
 constexpr CallerService::Refusal kNotConfigured{kUnavailable, "not_configured",
                                                 "no configuration yet"};
 constexpr CallerService::Refusal kNoQueue{404, "no_queue", "no such queue"};
@@ -36,12 +35,14 @@
                                                    "the store is away"};
 constexpr CallerService::Refusal kNotStored{kUnavailable, "not_stored",
                                             "the store took it not"};
-// May have been stored; the only one that does not say "it has not run".
+// The only refusal after which the record may be stored; all others guarantee
+// that it is not, so that the job has not run.
 constexpr CallerService::Refusal kOutcomeUnknown{504, "undecided",
                                                  "the store did not answer"};
 constexpr CallerService::Refusal kNoJob{410, "no_job", "no such job"};
 
-// A store that is slow is waited for longer, not taken for silent.
+// The time-out of a read grows with the latency of the store, so that a slow
+// store is not taken for one that does not answer.
 constexpr int kRefreshLatencyFactor = 2;
 
 int64_t AgeInMilliseconds(BootTime since) {
@@ -59,7 +60,7 @@
   std::string job;
   int64_t configuration_version = 0;
   Time received{};
-  // The caller waits no longer.
+  // When the caller's own time-out expires.
   Time deadline = Time::max();
 };
 
@@ -164,8 +165,8 @@
   if (!IsValidJob(*job, &reason)) return Refuse(call, kMalformed, reason);
   if (!IsStoreFresh()) return Refuse(call, kStoreUnavailable);
   if (RefuseIfServedElsewhere(call)) return;
-  // Jobs that recur are judged by each time that they are due, those that last
-  // have no end.
+  // A scheduled job has an objective for each occurrence and a long-running job
+  // has none, so only the objective of other jobs is logged.
   const bool ends_once = !job->scheduled() && !job->long_running();
   const Milliseconds objective =
       ends_once ? job->objective() : Milliseconds::zero();
@@ -241,8 +242,8 @@
          settings_.max_state_age;
 }
 
-// Without an answer of the store a state that is not final is not told: another
-// entry may have shown the job's end already.
+// If the store does not answer, a state that is not final is not returned:
+// another entry may already have returned the final state.
 void CallerService::RefreshState(const std::shared_ptr<Call>& call) {
   if (RefuseIfServedElsewhere(call)) return;
   const Duration latency = dependencies_.board_tail->latency();
--- a/src/libs/coordination/caller_service.h
+++ b/src/libs/coordination/caller_service.h
@@ -1,7 +1,11 @@
-// Answers callers: submissions, states, cancellations, queue lengths.
+// Serves the job API: submission, state and cancellation of jobs, and the
+// lengths of queues. A caller is a client of this API.
 //
-// A submission is accepted once it is stored in the board; who leads does not
-// matter for it. A refusal is said only of what was certainly not stored.
+// A submission is accepted once it is stored on the board, whichever entry
+// leads. A submission or cancellation is refused only if it was certainly not
+// stored; otherwise the answer says that the outcome is unknown (504).
+//
+// Used on one loop only.
 #ifndef THORNPLANK_COORDINATION_CALLER_SERVICE_H_
 #define THORNPLANK_COORDINATION_CALLER_SERVICE_H_
 
@@ -24,46 +28,52 @@
 
 struct CallerServiceSettings {
   Partition board;
-  // A configuration that was confirmed longer ago may have lost keys since, so
-  // calls with a key are refused. Below the bound on revocation (5 s).
+  // With an older configuration calls that need a key are refused, since keys
+  // may have been revoked meanwhile. Below the bound on revocation (5 s).
   Milliseconds max_configuration_age{4200};
-  // Without the store for this long a call is refused at once. The board is
-  // read twice a second, and an answer of a slowed store takes 0.3 s.
+  // If the board was last read longer ago, calls that need the store are
+  // refused at once. The board is read twice a second, and a slow store takes
+  // 0.3 s to answer.
   Milliseconds max_store_age{1500};
-  // One append. A lost answer is settled by repeating it, which is idempotent.
+  // For one append attempt. After a lost answer the append is repeated, which
+  // is idempotent.
   Milliseconds append_timeout{650};
   int max_append_attempts = 2;
   Milliseconds append_retry_delay{40};
-  // The answer is on its way this long before the caller gives up.
+  // The response is sent this long before the caller's time-out.
   Milliseconds response_margin{60};
-  // The last look before a job is said not to exist.
+  // For the read of the board that precedes the answer that a job is unknown.
   Milliseconds catch_up_timeout{500};
-  // A job that has not ended is looked up again when the view is older: callers
-  // wait for its end, and followers read the board only twice a second.
+  // If the board was last read longer ago, it is read again before the state of
+  // an unfinished job is returned: callers poll for the end of a job, and
+  // followers read the board only twice a second.
   Milliseconds max_state_age{60};
-  // Beside the time that the store takes to answer.
+  // For that read, in addition to a multiple of the latency of the store.
   Milliseconds refresh_timeout{300};
-  // When a refused caller may come back; at once where the store serves other
-  // entries, since the next try reaches another one.
+  // Value of Retry-After. It is 0 when other entries can reach the store, since
+  // the next attempt may go to one of them.
   std::chrono::seconds retry_after{1};
 };
 
 class CallerService {
  public:
   struct Dependencies {
-    // Null before the first configuration.
+    // Returns null before the first configuration.
     std::function<const ServingConfiguration*()> configuration;
     std::function<BootTime()> configuration_as_of;
     const JobBoard* board = nullptr;
     RecordTail* board_tail = nullptr;
-    // Whether this entry has lost the store and another one is served by it.
+    // Whether this entry has lost the store while another entry can reach it.
     std::function<bool()> served_elsewhere;
   };
 
-  // A final answer to a call that is not served.
+  // The response to a call that is not served.
   struct Refusal {
+    // Of HTTP.
     int status = 0;
+    // Label of the metric.
     const char* cause = "";
+    // For the caller and the log.
     const char* text = "";
   };
 
@@ -73,11 +83,11 @@
   ~CallerService();
 
   void Handle(HttpRequest request, HttpServer::Responder respond);
-  // Of CallerServiceSettings, for calls from now on.
+  // Changes CallerServiceSettings::max_configuration_age for later calls.
   void set_max_configuration_age(Milliseconds age) {
     settings_.max_configuration_age = age;
   }
-  // Whether callers should be sent here.
+  // Whether callers should be routed to this entry.
   bool ready() const;
 
  private:
@@ -85,7 +95,7 @@
   using AppendDone = std::function<void(StoreOutcome, const Error&)>;
 
   bool IsStoreFresh() const;
-  // Refuses the call when another entry would serve it.
+  // Refuses the call and returns true if only another entry can serve it.
   bool RefuseIfServedElsewhere(const std::shared_ptr<Call>& call);
   void Submit(const std::shared_ptr<Call>& call);
   void AnswerState(const std::shared_ptr<Call>& call, bool caught_up);
@@ -95,13 +105,14 @@
   void AnswerQueueLength(const std::shared_ptr<Call>& call);
   void CatchUp(const std::shared_ptr<Call>& call,
                void (CallerService::*then)(const std::shared_ptr<Call>&, bool));
-  // Stores one record; `done` gets kStored, kRefused (not stored) or kUnknown.
+  // Stores one record. `done` gets kStored, kRefused (certainly not stored) or
+  // kUnknown.
   void Append(KeyedRecord record, Time deadline, AppendDone done);
   void TryAppend(const std::shared_ptr<AppendRequest>& request, Time deadline,
                  int attempts_left, bool may_be_stored, AppendDone done);
   void RefuseUnstored(const std::shared_ptr<Call>& call, StoreOutcome outcome,
                       const Error& error);
-  // `detail` stands for the refusal's own text where there is more to say.
+  // `detail` replaces the text of the refusal unless it is empty.
   void Refuse(const std::shared_ptr<Call>& call, const Refusal& refusal,
               const std::string& detail = "");
   void Respond(const std::shared_ptr<Call>& call, HttpResponse response);
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -1,4 +1,4 @@
-// Taking, keeping and giving back the lead.
+// Taking, keeping and releasing leadership.
 #include "coordination/cluster_coordinator.h"
 
 #include <algorithm>
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr char kProducer[] = "leader";
-// Apart from the other, so that neither waits for the other's answers.
+// A producer of its own, so that neither writer waits for the appends of the
+// other.
 constexpr char kProgressProducer[] = "progress";
 // Bounds the first sequence number, so that it never overflows.
 constexpr int64_t kSequenceRange = int64_t{1} << 40;
@@ -23,9 +24,10 @@
 
 Time Now() { return std::chrono::steady_clock::now(); }
 
-// The store takes two appends with the same producer, epoch and sequence for
-// one, answered twice. Claimants of the same epoch therefore begin at sequence
-// numbers of their own: the store keeps the first and refuses the others.
+// The store takes two appends with the same producer, epoch and sequence number
+// for duplicates and acknowledges both. Entries that claim the same epoch
+// therefore start at different sequence numbers: the store accepts the first
+// claim and rejects the others.
 int64_t FirstSequence(const std::string& holder) {
   return static_cast<int64_t>(std::hash<std::string>()(holder) %
                               static_cast<uint64_t>(kSequenceRange));
@@ -147,8 +149,8 @@
 }
 
 // A claim is stored only if the board still ends where this entry has read to,
-// so that neither a word of the leader nor another claim is missed. Followers
-// read a busy board too seldom for that: the board is read just before.
+// so that it misses neither a record of the leader nor another claim. Followers
+// read a busy board too rarely for that, so the board is read just before.
 void ClusterCoordinator::BeginClaim() {
   phase_ = Phase::kClaiming;
   dependencies_.refresh_board([this, generation = generation_,
@@ -185,26 +187,26 @@
   if (phase_ != Phase::kClaiming) return;
   if (result.outcome == StoreOutcome::kStored) return BeginLeadership(epoch);
   LogEvent(events::kLeadRefused, result.error, {{"epoch", epoch}});
-  // A submission came between; the next look may show a leader.
+  // Another record was appended meanwhile; the next read may show a leader.
   if (result.outcome == StoreOutcome::kConflict) return BeginClaim();
   phase_ = Phase::kFollowing;
-  // An unknown claim that was stored shows in the board, and so does the one
-  // that was faster.
+  // If the outcome is unknown, the board shows whether this claim or a
+  // competing one was stored.
   next_claim_time_ = Now() + kClaimRetry;
   dependencies_.refresh_board([](bool) {});
 }
 
 void ClusterCoordinator::BeginLeadership(int64_t epoch) {
   phase_ = Phase::kFencing;
-  // The claim has served: the same record must not begin a lead again.
+  // The record of the same claim must not start leadership a second time.
   claimed_epoch_ = 0;
   epoch_ = epoch;
   leadership_confirmed_ = BootClock::now();
   FenceProgress();
 }
 
-// From here on no progress of a predecessor is stored, so that what is read
-// next is its last state.
+// Once the new epoch is stored, the store rejects progress writes of a
+// predecessor, so that the progress read afterwards is final.
 void ClusterCoordinator::FenceProgress() {
   AppendRequest request;
   request.partition = settings_.board;
@@ -216,7 +218,7 @@
        current = *generation_](const AppendResult& result) {
         if (*generation != current || phase_ != Phase::kFencing) return;
         if (result.outcome == StoreOutcome::kFenced) {
-          return StepDown("fenced while taking the lead");
+          return StepDown("fenced while taking leadership");
         }
         const bool stored = result.outcome == StoreOutcome::kStored ||
                             result.outcome == StoreOutcome::kOutOfSequence;
@@ -265,7 +267,7 @@
 }
 
 void ClusterCoordinator::OnProgressLoaded() {
-  const auto fenced = [this] { ScheduleStepDown("the store fenced it"); };
+  const auto fenced = [this] { ScheduleStepDown("fenced by the store"); };
   FencedWriterSettings writer;
   writer.producer = kProducer;
   writer.epoch = epoch_;
@@ -288,7 +290,7 @@
   };
   handlers.profile_of = [this](const TaskRef& task) { return ProfileOf(task); };
   handlers.is_known_service = [this](const std::string& service) {
-    // Before the first configuration nothing can be logged a stray.
+    // Before the first configuration every service counts as known.
     const ServingConfiguration& configuration = dependencies_.configuration();
     return configuration.queues.empty() || configuration.KnowsService(service);
   };
@@ -298,7 +300,7 @@
   };
   handlers.on_change = [this] { SchedulePlanning(); };
   handlers.on_fenced = [this] {
-    ScheduleStepDown("a worker obeys a higher epoch");
+    ScheduleStepDown("a worker has accepted a higher epoch");
   };
   fleet_ = std::make_unique<WorkerFleet>(calls_, formats_, fleet, handlers);
   fleet_->CloseDomains(dependencies_.closed_domains());
@@ -321,13 +323,13 @@
     for (const auto& [number, block] : blocks) {
       stored_blocks_.insert({ref, number});
     }
-    // An ended job whose runs are not settled is still needed for them.
+    // A job that has ended is still needed while some of its runs have not.
     const BoardJob* job = dependencies_.board->Find(ref.job);
     if (job == nullptr) continue;
     if (ledger_.Find(ref.job) == nullptr) ledger_.Add(*job->spec, now);
     if (!ledger_.Restore(ref, blocks)) {
       LogEvent(events::kRecordUnreadable,
-               {"restore progress", "store", "it has another number of tasks"},
+               {"restore progress", "store", "number of tasks does not match"},
                {{"key", ref.ToString()}});
     }
     InheritRuns(ref, now);
@@ -372,7 +374,8 @@
   FlushProgress();
 }
 
-// Takes over from the board what it says of a job.
+// Adds a job of the board to the ledger, and cancels it there if it was
+// cancelled.
 void ClusterCoordinator::SyncJobFromBoard(const std::string& id) {
   const BoardJob* job = dependencies_.board->Find(id);
   if (job == nullptr) return;
@@ -442,7 +445,7 @@
   release_timer_.async_wait([finish](const boost::system::error_code& code) {
     if (!code) finish();
   });
-  // What is decided and recorded goes out first.
+  // Decisions made so far are recorded before the release.
   FlushProgress();
   WriteHeartbeat(/*released=*/true, finish);
 }
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -1,11 +1,15 @@
-// One entry's part in scheduling: it claims the lead when that is vacant, and
-// while it leads it places tasks and orders workers.
+// Scheduling on one entry: claims leadership when it is vacant, and while this
+// entry leads, places tasks and sends orders to workers.
 //
-// One partition, the board, holds what must last. Every entry writes
-// submissions and cancellations; the leader alone writes who leads, the states
-// of jobs, and the progress of their steps: which run of a task is where. A
-// start is recorded before it is sent, and an end before the worker may forget
-// it. The leader's epoch fences what it writes, and every worker.
+// An entry is a process of the system that serves callers; one entry at a time
+// leads. All durable state is in one partition, the board. Every entry writes
+// submissions and cancellations. Only the leader writes the leader record, the
+// states of jobs and the progress of their steps, that is, which run of a task
+// is on which worker. A start is recorded before the order is sent, and an end
+// is recorded before the worker may forget it. The epoch of the leader fences
+// its writes and its calls to workers.
+//
+// Used on the loop of `io` only.
 #ifndef THORNPLANK_COORDINATION_CLUSTER_COORDINATOR_H_
 #define THORNPLANK_COORDINATION_CLUSTER_COORDINATOR_H_
 
@@ -38,45 +42,49 @@
 namespace thornplank {
 
 struct ClusterCoordinatorSettings {
-  // Instance and incarnation: unique for ever.
+  // "instance/incarnation" of this entry; never used again by another process.
   std::string holder;
-  // Where it stands among the entries: 0 should lead first, 1 last.
+  // Preference of this entry for leadership: 0 is first, 1 is last.
   double rank = 0;
   Partition board;
-  // A leader without the store for longer stops renewing leases; a successor
-  // waits for that, and for a lease, where it cannot reach a worker itself.
-  // With a lease of 6.5 s it outlasts outages of the store of 12 s.
+  // A leader whose last stored heartbeat is older stops renewing leases. A
+  // successor that cannot reach a worker waits for this time and for a lease
+  // before it takes the runs there as ended. With a lease of 6.5 s, runs
+  // survive outages of the store of 12 s.
   Milliseconds leadership_timeout{6000};
-  // Collects events that come together into one round of placement.
+  // From an event to the planning round, so that events that come together are
+  // handled in one round.
   Milliseconds planning_delay{8};
-  // Hundreds of workers renew their entries several times a second together; a
-  // worker that leaves must get nothing new after 2 s.
+  // Least time between two reads of the directory of workers. Hundreds of
+  // workers together rewrite their records several times a second; a worker
+  // that leaves must get no new task after 2 s.
   Milliseconds directory_read_interval{200};
-  // How long an ended job is remembered.
+  // How long the records of an ended job are kept on the board.
   Milliseconds job_retention{150000};
   Milliseconds tick_interval{100};
-  // Between two records of ends alone.
+  // Least time between two progress writes that contain no start.
   Milliseconds end_record_interval{100};
-  // For one call of the store while taking the lead.
+  // For one call to the store while leadership is being taken.
   Milliseconds store_timeout{900};
   WorkerBounds bounds;
 };
 
 class ClusterCoordinator {
  public:
-  // What it needs of the entry that it runs in.
+  // Provided by the owner; all must outlive the coordinator.
   struct Dependencies {
     const JobBoard* board = nullptr;
     std::function<const ServingConfiguration&()> configuration;
-    // Failure domains that take no new work.
+    // Failure domains that are closed for new work.
     std::function<const std::set<std::string>&()> closed_domains;
-    // Offset behind the last record of the board that was folded.
+    // Offset after the last record that was applied to `board`.
     std::function<int64_t()> board_next_offset;
+    // When the last read of the board that reached its end began.
     std::function<BootTime()> board_as_of;
-    // Reads the board at once, outside its pace; logged whether its end was
-    // reached.
+    // Reads the board at once, regardless of its read interval. The callback
+    // gets whether the end was reached.
     std::function<void(std::function<void(bool)>)> refresh_board;
-    // Null where no queue needs advice.
+    // Null if no advisor is configured.
     Advisor* advisor = nullptr;
   };
 
@@ -87,33 +95,40 @@
   ~ClusterCoordinator();
 
   void Start();
-  // After the board has folded a record.
+  // To be called after a record was applied to the board.
   void OnBoardChange(const BoardChange& change);
-  // The board was read up to its end by a store that takes `latency`.
+  // The board was read up to its end. `latency` is that of the store.
   void OnBoardCaughtUp(Duration latency);
-  // Another set of failure domains takes no new work.
+  // The set of closed failure domains has changed.
   void OnClosedDomainsChanged();
-  // A stream of the store could be read again after a loss.
+  // A stream of the store could be read again after failed reads.
   void OnStoreRecovered();
-  // Gives the lead back, if it is held; `done` runs when that is stored or
-  // `timeout` has passed. It takes no lead afterwards.
+  // Gives up leadership if this entry leads, and never claims it again. `done`
+  // runs when the release is stored or `timeout` has passed.
   void Release(Milliseconds timeout, std::function<void()> done);
 
   bool leading() const { return phase_ == Phase::kLeading; }
+  // The last epoch in which this entry led; 0 before the first.
   int64_t epoch() const { return epoch_; }
+  // Empty unless this entry leads.
   const JobLedger& ledger() const { return ledger_; }
+  // Null unless this entry leads.
   const WorkerFleet* fleet() const { return fleet_.get(); }
 
  private:
-  // The last end of a worker's incarnation, by its number.
+  // The highest number of an end that an incarnation of a worker has reported.
   struct LatestEnd {
     int incarnation = 0;
     int64_t number = 0;
   };
+  // Leadership is taken in three phases: append the leader record (kClaiming),
+  // fence the progress writes of the predecessor (kFencing), read the progress
+  // (kLoading). A refused claim or a higher epoch leads back to kFollowing;
+  // other failures are retried.
   enum class Phase { kFollowing, kClaiming, kFencing, kLoading, kLeading };
 
   void OnTick();
-  // Logs who leads, once for each change.
+  // Logs the leader if it has changed.
   void LogLeader(const LeaderRecord& leader);
   void BeginClaim();
   void SendClaim();
@@ -131,14 +146,14 @@
   void RunPlanningRound();
   void StopRestOfGang(const StopDecision& stop);
   void ApplyStart(const StartDecision& decision, Time now);
-  // Logs why steps wait, once for each reason.
+  // Logs why steps wait, once for each change of the reason.
   void LogWaits(const std::vector<WaitDecision>& waits);
-  // Asks about the workers that waiting steps may need.
+  // Requests advice on the candidate workers of waiting steps.
   void RequestAdvice(const std::vector<WaitDecision>& waits);
   void RecordWaitMetrics(const StartDecision& decision, Time now);
   RunProfile ProfileOf(const TaskRef& task) const;
   size_t WorkersLostRunning(const TaskRef& task) const;
-  // Logs it where the task is to be started no more.
+  // Logs the task if it will not be started again.
   void LogIfGivenUp(const TaskRef& task);
   void OnRunEnd(const std::string& worker, const RunEndReport& end);
   void StopOutdatedRuns();
@@ -158,7 +173,7 @@
   const Formats& formats_;
   const ClusterCoordinatorSettings settings_;
   const Dependencies dependencies_;
-  // Of a claim; the writers go on behind it.
+  // Sequence number of the claim; the writers continue after it.
   const int64_t first_sequence_;
   LeaderElection election_;
   Planner planner_;
@@ -166,22 +181,28 @@
   SchedulingMetrics metrics_;
   boost::asio::steady_timer tick_timer_;
   boost::asio::steady_timer planning_timer_;
+  // Time-out of Release; before that, delays retries while leadership is taken.
   boost::asio::steady_timer release_timer_;
 
   Phase phase_ = Phase::kFollowing;
+  // Release was called.
   bool released_ = false;
   bool planning_scheduled_ = false;
   int64_t epoch_ = 0;
-  // Of the last claim, answered or not.
+  // Epoch of the last claim, answered or not; 0 once it has been used.
   int64_t claimed_epoch_ = 0;
   Time next_claim_time_{};
+  // When the claim was stored; later, when the last leader record that is known
+  // to be stored was sent.
   BootTime leadership_confirmed_{};
   LeaderRecord logged_leader_;
   Time last_heartbeat_{};
   Time last_cleanup_{};
 
-  // Everything below lives while this entry leads.
+  // The members below are in use only while this entry leads or takes
+  // leadership.
   JobLedger ledger_;
+  // Progress read from the board; empty outside of kLoading.
   std::map<StepRef, ProgressBlocks> loaded_progress_;
   std::unique_ptr<FencedWriter> board_writer_;
   std::unique_ptr<FencedWriter> progress_writer_;
@@ -189,17 +210,20 @@
   std::unique_ptr<RecordTail> directory_;
   StreamReachability directory_reachability_{"directory"};
   std::unique_ptr<AdviceRequester> advice_;
-  // Progress that has a record on the board.
+  // Blocks of progress that have a record on the board.
   std::set<ProgressBlockRef> stored_blocks_;
-  // Jobs that began and have not ended; logged when their start is stored.
+  // Jobs that have started and not ended, to be published once the next
+  // progress write is stored.
   std::set<std::string> started_jobs_;
-  // Jobs whose end is published, so that their records may go.
+  // Jobs whose end is published, so that the records of their steps may be
+  // dropped.
   std::set<std::string> published_ended_jobs_;
-  // Jobs that ended under this lead and left the ledger; the board may learn
-  // of it later and must not bring them back.
+  // Jobs that ended in this epoch and were removed from the ledger. The board
+  // may still show them as unfinished and must not bring them back.
   std::set<std::string> finished_jobs_;
-  // Ends that the next flush covers, by worker.
+  // Ends that the next flush will record, by worker.
   std::map<std::string, LatestEnd> unrecorded_ends_;
+  // A start that is decided and not yet recorded.
   struct PendingStart {
     std::string worker;
     TaskRef task;
@@ -208,10 +232,11 @@
     std::string ticket;
   };
   std::vector<PendingStart> pending_starts_;
-  // Steps that wait, with the reason that was logged.
+  // Waiting steps, each with the reason that was last logged.
   std::map<StepRef, WaitReason> logged_waits_;
 
-  // Callbacks that outlive this object, or this lead, do nothing.
+  // Incremented on each loss of leadership and on destruction. Callbacks that
+  // captured another value do nothing.
   std::shared_ptr<int64_t> generation_ = std::make_shared<int64_t>(0);
 };
 
--- a/src/libs/coordination/cluster_gauges.cc
+++ b/src/libs/coordination/cluster_gauges.cc
@@ -1,4 +1,4 @@
-// Gauges are worked out when they are read.
+// The values are computed when the metrics are scraped.
 #include "coordination/cluster_gauges.h"
 
 #include <map>
--- a/src/libs/coordination/cluster_gauges.h
+++ b/src/libs/coordination/cluster_gauges.h
@@ -1,4 +1,5 @@
-// Gauges of what an entry believes: who leads, jobs, tasks, capacity.
+// Gauges of the state of the cluster as this entry knows it: leadership, jobs,
+// tasks and capacity.
 #ifndef THORNPLANK_COORDINATION_CLUSTER_GAUGES_H_
 #define THORNPLANK_COORDINATION_CLUSTER_GAUGES_H_
 
@@ -9,8 +10,8 @@
 class ClusterCoordinator;
 class JobBoard;
 
-// All outlive `metrics`. Tasks and capacity are known to the leader only and
-// are zero elsewhere.
+// `board` and `coordinator` must outlive `metrics`. Tasks and capacity are
+// known to the leader only; other entries report zero.
 void AddClusterGauges(const JobBoard& board,
                       const ClusterCoordinator& coordinator,
                       MetricsRegistry& metrics);
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -1,4 +1,5 @@
-// What the leader does with events: rounds of placement, records, ends.
+// Work of the leader: planning rounds, progress writes and the ends of runs and
+// jobs.
 #include <algorithm>
 #include <utility>
 
@@ -9,7 +10,7 @@
 namespace thornplank {
 namespace {
 
-// Between two looks for jobs that nobody needs to ask for any more.
+// Between two checks for records that have expired.
 constexpr std::chrono::seconds kCleanupInterval{5};
 
 Time Now() { return std::chrono::steady_clock::now(); }
@@ -38,7 +39,8 @@
 
 void ClusterCoordinator::RunPlanningRound() {
   PublishEndedJobs();
-  // One record at a time: what is not stored cannot be started.
+  // Only one progress write is in flight at a time, and a task is started only
+  // after its start was stored.
   if (!progress_writer_->idle()) return;
   const auto age = BootClock::now() - dependencies_.board_as_of();
   const bool is_up_to_date = age <= settings_.bounds.board_age() &&
@@ -67,9 +69,9 @@
   FlushProgress();
 }
 
-// A gang that loses a member ends as a whole. A member that is logged to stop
-// saves its work, one that finds another gone does not, and its room is free
-// later.
+// If one member of a gang ends, the whole gang ends. A member that is ordered
+// to stop saves its work; a member that is ended by the loss of another one
+// does not, and frees its resources later.
 void ClusterCoordinator::StopRestOfGang(const StopDecision& stop) {
   const StepSpec* spec = ledger_.FindStepSpec(stop.task.step);
   if (spec == nullptr || !spec->gang) return;
@@ -233,8 +235,8 @@
   return status == nullptr ? 0 : status->crashes.workers.size();
 }
 
-// Runs that the ledger does not count on are stopped: of cancelled or failed
-// jobs, of gangs that lost a member, of tasks that are done.
+// Stops the runs that are not current in the ledger: those of cancelled or
+// failed jobs, of gangs that lost a member, and of finished tasks.
 void ClusterCoordinator::StopOutdatedRuns() {
   struct Outdated {
     std::string worker;
@@ -269,11 +271,11 @@
   }
 }
 
-// The end of a job is logged without waiting for the progress of its tasks to
-// be stored: once it is on the board a successor starts nothing of the job, and
-// workers keep the ends of its runs until those are stored. It saves a call of
-// the store, 0.25 s where that is slow, and the wait for a partition that is
-// away_from_data by itself.
+// Publishes the end of a job without waiting for the progress of its tasks to
+// be stored. This is safe: once the end is on the board, a successor starts no
+// task of the job, and workers keep the ends of its runs until they are
+// recorded. It saves a call to the store, 0.25 s when that is slow, and the end
+// of a job is not held up while only progress writes fail.
 void ClusterCoordinator::PublishEndedJobs() {
   if (phase_ != Phase::kLeading) return;
   std::vector<std::string> ended;
@@ -294,7 +296,7 @@
   if (phase_ != Phase::kLeading) return;
   PublishEndedJobs();
   if (!progress_writer_->idle()) return;
-  // The next tick looks again.
+  // Flushed by the next tick that finds a write due.
   if (!progress_write_limiter_.IsDue(!pending_starts_.empty(), Now())) return;
   std::vector<KeyedRecord> records;
   for (const ProgressBlockRef& ref : ledger_.TakeDirtyBlocks()) {
@@ -336,7 +338,7 @@
   for (const auto& [worker, latest] : ends) {
     fleet_->OnEndsRecorded(worker, latest.incarnation, latest.number);
   }
-  // Those that have ended meanwhile are logged already.
+  // The end of a job that has ended meanwhile is already published.
   std::vector<std::string> running;
   for (const std::string& id : begun) {
     const Job* job = ledger_.Find(id);
@@ -378,8 +380,8 @@
       });
 }
 
-// Once an end is published and no run is left, the records of a job's steps
-// have served.
+// Once the end of a job is published and none of its runs is left, the records
+// of its steps are no longer needed.
 void ClusterCoordinator::DropProgressRecords(
     const std::string& id, std::vector<KeyedRecord>* records) {
   const Job* job = ledger_.Find(id);
--- a/src/libs/coordination/entry_registration.cc
+++ b/src/libs/coordination/entry_registration.cc
@@ -1,4 +1,5 @@
-// One append when the record is missing, another address, or old.
+// The periodic check: one append if the record is missing, has another address
+// or is old.
 #include "coordination/entry_registration.h"
 
 #include <boost/asio/io_context.hpp>
@@ -47,7 +48,7 @@
   request.records = {JobBoard::Entry(
       settings_.instance,
       EntryRecord{settings_.address, std::chrono::system_clock::now()})};
-  // Without an answer the next look shows whether it was stored.
+  // If the answer is lost, the next check shows whether the record was stored.
   store_.Append(request, settings_.append_timeout, [](const AppendResult&) {});
 }
 
--- a/src/libs/coordination/entry_registration.h
+++ b/src/libs/coordination/entry_registration.h
@@ -1,7 +1,8 @@
-// Keeps this entry's record on the board, by which the others find it.
+// Keeps the record of this entry on the board, through which the other entries
+// find its address.
 //
-// It is written anew from time to time, and when it is gone: the leader drops
-// records that nobody has written for long, since instances come and go.
+// The record is rewritten periodically and when it is missing. The leader drops
+// records that have expired, since instances come and go.
 #ifndef THORNPLANK_COORDINATION_ENTRY_REGISTRATION_H_
 #define THORNPLANK_COORDINATION_ENTRY_REGISTRATION_H_
 
@@ -22,22 +23,25 @@
 
 struct EntryRegistrationSettings {
   Partition board;
-  // This instance, and where it answers the other entries; empty: it does not.
+  // Name of this instance.
   std::string instance;
+  // "ip:port" where it answers the other entries; if empty, it is not
+  // registered.
   std::string address;
-  // Between two looks whether the record is there.
+  // Between two checks of the record.
   Milliseconds check_interval{2000};
-  // The first look comes within this time, drawn with `seed`: 1,000 entries
-  // that start together would fill a partition, 500 appends a second, for two.
+  // The first check takes place after a random delay of up to this time, drawn
+  // with `seed`: 1,000 entries that start together would saturate a partition,
+  // at 500 appends a second, for two seconds.
   Milliseconds max_initial_delay{4000};
   uint32_t seed = 0;
-  // A record that is older is written anew: once in some minutes costs 100
-  // entries one append in three seconds together.
+  // An older record is rewritten. At this interval 100 entries together make
+  // one append in three seconds.
   std::chrono::minutes refresh_interval{5};
   Milliseconds append_timeout{900};
 };
 
-// A record that is older is its instance's last.
+// An older record belongs to an instance that no longer runs.
 inline constexpr std::chrono::minutes kEntryRecordTtl{15};
 
 class EntryRegistration {
@@ -46,10 +50,11 @@
   EntryRegistration(boost::asio::io_context& io, RecordStore& store,
                     const JobBoard& board, EntryRegistrationSettings settings);
 
-  // The board was read up to its end.
+  // To be called when the board was read up to its end. The first call starts
+  // the checks.
   void OnBoardCaughtUp();
 
-  // Where the other entries answer.
+  // Addresses of the other entries on the board.
   std::vector<std::string> PeerAddresses() const;
 
  private:
--- a/src/libs/coordination/fenced_writer.cc
+++ b/src/libs/coordination/fenced_writer.cc
@@ -1,4 +1,4 @@
-// The queue of a fenced writer and its repeats.
+// The queue of a FencedWriter and its retries.
 #include "coordination/fenced_writer.h"
 
 #include <boost/asio/io_context.hpp>
@@ -90,7 +90,8 @@
   }
 
   void OnOutOfSequence(int64_t expected) {
-    // A repeat that comes too late to be recognized was stored before.
+    // The store recognizes only a recent duplicate as such. If the sequence
+    // number after this one is due, an earlier attempt was stored.
     if (!first_attempt_ && expected == sequence_ + 1) {
       sequence_ = expected;
       last_stored_ = std::chrono::steady_clock::now();
@@ -113,14 +114,14 @@
   RecordStore& store_;
   const FencedWriterSettings settings_;
   const std::function<void()> on_fenced_;
-  // Of the append under way, or of the next.
+  // Of the append in flight, or of the next one if there is none.
   int64_t sequence_;
   boost::asio::steady_timer timer_;
   std::deque<Batch> queue_;
   // Invariant: while sending_, request_ and in_flight_callbacks_ belong
   // together.
   bool sending_ = false;
-  // No earlier try of this append can have been stored.
+  // True while no earlier attempt of this append can have been stored.
   bool first_attempt_ = true;
   AppendRequest request_;
   std::vector<StoredCallback> in_flight_callbacks_;
--- a/src/libs/coordination/fenced_writer.h
+++ b/src/libs/coordination/fenced_writer.h
@@ -1,5 +1,7 @@
-// Writes one partition under an epoch: one append at a time, in order, each
-// repeated until its outcome is known.
+// Appends to one partition under an epoch: one append at a time, in order, each
+// retried until its outcome is known.
+//
+// Used on the loop of `io` only.
 #ifndef THORNPLANK_COORDINATION_FENCED_WRITER_H_
 #define THORNPLANK_COORDINATION_FENCED_WRITER_H_
 
@@ -19,13 +21,13 @@
   Partition partition;
   std::string producer;
   int64_t epoch = 0;
-  // Of the first append.
+  // Sequence number of the first append.
   int64_t first_sequence = 1;
-  // One append; a store slowed 60 times answers within 500 ms.
+  // For one append; a store slowed down 60 times answers within 500 ms.
   Milliseconds append_timeout{800};
-  // After a refusal or a lost answer.
+  // Before an append that was refused or had no answer is retried.
   Milliseconds retry_delay{100};
-  // What one append holds at most.
+  // No further queued write joins an append that has reached this size.
   size_t max_append_bytes = 1024 * 1024;
 };
 
@@ -33,16 +35,18 @@
  public:
   using StoredCallback = std::function<void()>;
 
-  // `on_fenced` runs once: nothing that was not stored will be.
+  // `on_fenced` runs at most once, when the store has seen a higher epoch. What
+  // is not stored by then is never stored, and its callbacks don't run.
   FencedWriter(boost::asio::io_context& io, RecordStore& store,
                FencedWriterSettings settings, std::function<void()> on_fenced);
   ~FencedWriter();
 
-  // Writes queue behind each other; those that wait go out together.
+  // Queues the records; queued writes are combined into one append. `stored`
+  // may be null and runs once the records are stored.
   void Write(std::vector<KeyedRecord> records, StoredCallback stored);
-  // Nothing waits and nothing is under way.
+  // Whether nothing is queued or in flight.
   bool idle() const;
-  // When the last append was stored; the default before the first.
+  // When the last append was stored; Time{} before the first.
   Time last_stored() const;
 
  private:
--- a/src/libs/coordination/filler_pace_controller.cc
+++ b/src/libs/coordination/filler_pace_controller.cc
@@ -1,4 +1,5 @@
-// Turns the pace that is due into calls.
+// Computes the pace of each worker from its reports and sends it to the filler
+// tasks.
 #include "coordination/filler_pace_controller.h"
 
 #include <utility>
@@ -80,7 +81,8 @@
                        tracker == nullptr ? nullptr : tracker->Find(order.task);
                    if (run == nullptr || run->run != order.run) return;
                    run->pace_sending = false;
-                   // Without an answer it may have either; it is told again.
+                   // If the call had no answer, either pace may be in force; it
+                   // is sent again after the next report.
                    run->pace = std::nullopt;
                    if (outcome == CallOutcome::kOk) run->pace = order.percent;
                  });
--- a/src/libs/coordination/filler_pace_controller.h
+++ b/src/libs/coordination/filler_pace_controller.h
@@ -1,4 +1,8 @@
-// Keeps tasks that fill from disturbing the ones that serve, worker by worker.
+// Limits the speed of filler tasks on each worker, so that they don't disturb
+// the serving tasks on it.
+//
+// A filler task uses what other tasks leave idle; a serving task has a target
+// for its tail latency. Pace is a percentage of full speed.
 #ifndef THORNPLANK_COORDINATION_FILLER_PACE_CONTROLLER_H_
 #define THORNPLANK_COORDINATION_FILLER_PACE_CONTROLLER_H_
 
@@ -18,9 +22,9 @@
 class FillerPaceController {
  public:
   struct Handlers {
-    // The tracker of a worker, null once it is forgotten.
+    // Returns the tracker of a worker, or null if the worker was forgotten.
     std::function<WorkerTracker*(const std::string&)> find_tracker;
-    // A worker obeys a higher epoch.
+    // Runs when a worker has accepted a higher epoch.
     std::function<void()> on_fenced;
   };
 
@@ -28,10 +32,11 @@
                        Milliseconds call_timeout, Handlers handlers);
   ~FillerPaceController();
 
-  // Whether tasks that fill and tasks that serve are on the worker, so that it
-  // must be looked at often.
+  // Whether both filler tasks and serving tasks are on the worker, in which
+  // case reports must be requested often.
   static bool HasFillersAndServing(const WorkerTracker& tracker);
-  // After the tracker took a report in.
+  // To be called after the tracker has applied a report. Sends the pace to each
+  // filler task that has another one.
   void OnReport(WorkerTracker* tracker, Time now);
   void Forget(const std::string& worker) { pace_controls_.erase(worker); }
 
@@ -42,8 +47,9 @@
   const int64_t epoch_;
   const Milliseconds call_timeout_;
   const Handlers handlers_;
+  // By worker; only for workers with filler tasks.
   std::map<std::string, PaceControl> pace_controls_;
-  // Callbacks of calls that outlive this object do nothing.
+  // False once this object is destroyed; pending callbacks then do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/libs/coordination/fleet_orders.cc
+++ b/src/libs/coordination/fleet_orders.cc
@@ -1,4 +1,4 @@
-// Orders to workers: starts, copies of starts, stops.
+// Orders of WorkerFleet to workers: starts, repeated starts, stops.
 #include <utility>
 
 #include "coordination/worker_fleet.h"
@@ -23,7 +23,7 @@
                                       {"run", run},
                                       {"worker", worker},
                                       {"reason", reason}});
-    // Never sent: settled without a call.
+    // The order was never sent, so the run certainly does not exist.
     return DeliverEnds(
         worker, tracker->OnStartAnswer(task, run, StartOutcome::kRefused, now));
   }
@@ -48,20 +48,21 @@
                      std::move(handlers));
 }
 
-// Between the decision and the order, and between copies of the order, all of
-// this may have changed. Null: the order may be sent.
+// Returns null if the order may be sent. All of this may have changed between
+// the decision and the order, and between copies of the order.
 const char* WorkerFleet::ReasonToWithhold(const WorkerTracker& worker,
                                           const TrackedRun& run) const {
   if (run.stop_wanted) return "no longer wanted";
-  if (!may_renew_) return "this entry may lead no more";
+  if (!may_renew_) return "this entry may no longer be the leader";
   if (worker.domain_closed()) return "the failure domain takes no new work";
   if (!worker.synchronized()) return "the worker has restarted";
-  // The run itself is counted already.
-  if (worker.room().IsOverdrawn()) return "the worker has shrunk";
+  // room() already includes the run.
+  if (worker.room().IsOverdrawn()) return "the worker's capacity has shrunk";
   return nullptr;
 }
 
-// Nothing of the run is known, and it is still wanted.
+// An order is repeated only while the state of the run is unknown and the order
+// may still be sent.
 bool WorkerFleet::MayResendStart(const std::string& worker, const TaskRef& task,
                                  int run) {
   WorkerTracker* tracker = Find(worker);
@@ -89,8 +90,8 @@
   }
   DeliverEnds(worker, tracker->OnStartAnswer(task, run, result.outcome, now));
   CallState& state = call_states_[worker];
-  // The report that is under way may answer only when half of the lease is
-  // gone.
+  // The pending report may be answered only after half of the lease has passed,
+  // so the lease is renewed by an extra one.
   const Milliseconds half_lease = settings_.bounds.lease_term() / 2;
   if (state.report_pending && state.leased_until < now + half_lease &&
       !state.extra_report_pending) {
--- a/src/libs/coordination/formats.h
+++ b/src/libs/coordination/formats.h
@@ -1,5 +1,6 @@
-// What the scheduler needs to read of the operators', workers' and callers'
-// formats. The implementation knows the names; the scheduler knows the types.
+// Interface between the scheduler and the external formats of operators,
+// workers and callers. The implementation knows the names of streams, headers
+// and fields; the scheduler sees only types.
 #ifndef THORNPLANK_COORDINATION_FORMATS_H_
 #define THORNPLANK_COORDINATION_FORMATS_H_
 
@@ -16,19 +17,21 @@
 
 namespace thornplank {
 
-// Where operators and workers publish.
+// The streams to which operators and workers write.
 struct PublishedStreams {
   Partition configuration;
-  // The key of the configuration in it.
+  // Key of the configuration record in that partition.
   std::string configuration_key;
+  // The directory of workers: one record for each worker.
   Partition workers;
 };
 
 // The headers of a caller's request, decoded.
 struct CallerHeaders {
   std::string host;
+  // API key; "" if the request has none.
   std::string key;
-  // How long the caller waits; zero when it does not say.
+  // Time-out of the caller; zero if the request has none.
   Milliseconds timeout{0};
 };
 
@@ -37,19 +40,21 @@
   virtual ~Formats() = default;
 
   virtual PublishedStreams streams() const = 0;
+  // The Read functions return nullopt and set `error` if the input is invalid.
   virtual std::optional<ServingConfiguration> ReadConfiguration(
       const std::string& value, Error* error) const = 0;
-  // The failure domain that a record of the configuration's stream closes, or
-  // opens where it has no value; "" for any other key.
+  // The failure domain that a record with this key closes for new work, or
+  // opens again if the record is a tombstone; "" for any other key. Such
+  // records are in the partition of the configuration.
   virtual std::string ClosedDomainOf(const std::string& key) const = 0;
   virtual std::optional<WorkerRegistration> ReadWorker(
       const KeyedRecord& record, Error* error) const = 0;
   virtual CallerHeaders ReadHeaders(const HttpRequest& request) const = 0;
-  // The body of a submission; id, account, policy and time are the caller's of
-  // this function to fill in.
+  // Reads the body of a submission. The caller of this function fills in id,
+  // account, policy and time of acceptance.
   virtual std::optional<JobDefinition> ReadJob(const std::string& body,
                                                Error* error) const = 0;
-  // `failure`: why a job has failed; "" for any other state.
+  // `failure` is the reason why the job has failed; "" for any other state.
   virtual HttpResponse JobStateResponse(JobState state,
                                         const std::string& failure) const = 0;
   virtual HttpResponse QueueLengthResponse(int64_t waiting_jobs) const = 0;
--- a/src/libs/coordination/job_board.cc
+++ b/src/libs/coordination/job_board.cc
@@ -1,4 +1,4 @@
-// Keys and values of the shared stream.
+// Keys and values of the records on the board.
 #include "coordination/job_board.h"
 
 #include <algorithm>
@@ -9,17 +9,18 @@
 namespace thornplank {
 namespace {
 
-// The first letter of a key says what the record is; the job's id follows.
+// The first letter of a key is the kind of the record; the job's id follows.
 constexpr char kSubmissionKey = 'j';
 constexpr char kCancellationKey = 'c';
 constexpr char kStateKey = 's';
 constexpr char kFailureKey = 'f';
-// Followed by the instance's name.
+// Followed by the name of the instance.
 constexpr char kEntryKey = 'e';
 constexpr char kLeaderKey[] = "leader";
-// Above all others: a new leader reads from here to the end.
+// Sorts after all other keys, so that a new leader reads progress alone by
+// starting here.
 constexpr char kProgressKey = 't';
-// A record needs a value, or it would drop its key.
+// A record without a value would be a tombstone.
 constexpr char kPlaceholderValue[] = "1";
 
 std::string MakeKey(char kind, const std::string& job) { return kind + job; }
--- a/src/libs/coordination/job_board.h
+++ b/src/libs/coordination/job_board.h
@@ -1,10 +1,11 @@
-// What every entry knows of jobs: the fold of the shared stream.
+// The board: the state of all jobs as every entry derives it from the records
+// of one shared partition.
 //
-// The stream holds, by key: a submission, a cancellation, a state for each job,
-// why it failed, the leader, and the entries; and the progress of steps, which
-// only a leader reads. Whatever the order in which records come, the fold gives
-// the same answer: a job that was cancelled before its end was published stays
-// cancelled, and a published end stays.
+// The partition holds, by key: the submission, the cancellation, the state and
+// the reason of failure of each job; the leader; the entries; and the progress
+// of steps, which only a leader reads. Repeated records and records that come
+// in another order give the same result: a job that was cancelled before its
+// end was published stays cancelled, and a published end is final.
 #ifndef THORNPLANK_COORDINATION_JOB_BOARD_H_
 #define THORNPLANK_COORDINATION_JOB_BOARD_H_
 
@@ -26,13 +27,13 @@
 namespace thornplank {
 
 struct BoardJob {
-  // Null when a state or a cancellation came before the submission.
+  // Null if a state or a cancellation was read before the submission.
   std::shared_ptr<const JobDefinition> spec;
   bool cancelled = false;
   JobState published_state = JobState::kQueued;
-  // When its end was published.
+  // When `published_state` was published.
   WallTime published_at{};
-  // Where it has failed: why.
+  // Reason of a failed job; "" for any other.
   std::string failure;
 
   JobState state() const {
@@ -41,23 +42,24 @@
   }
 };
 
-// Who orders the workers.
+// The entry that sends orders to the workers.
 struct LeaderRecord {
-  // Instance and life; empty before the first.
+  // "instance/incarnation"; empty before the first leader.
   std::string holder;
   int64_t epoch = 0;
-  // It has given the lead back.
+  // The holder has released leadership.
   bool released = false;
 };
 
-// Where an entry answers the others.
+// Where an entry answers the other entries.
 struct EntryRecord {
   // "ip:port".
   std::string address;
+  // When the entry wrote the record.
   WallTime written{};
 };
 
-// What a record was about.
+// The effect of a record on the board.
 struct BoardChange {
   enum class Kind {
     kNone,
@@ -69,44 +71,47 @@
     kEntry
   };
   Kind kind = Kind::kNone;
+  // Id of the job; "" for kNone, kLeader and kEntry.
   std::string job;
 };
 
 class JobBoard {
  public:
+  // Records that can't be read are ignored.
   BoardChange Apply(const KeyedRecord& record);
 
+  // Null if no submission with this id was read.
   const BoardJob* Find(const std::string& job) const;
   const std::unordered_map<std::string, BoardJob>& jobs() const {
     return jobs_;
   }
   const LeaderRecord& leader() const { return leader_; }
-  // By the instance's name.
+  // By name of the instance.
   const std::map<std::string, EntryRecord>& entries() const { return entries_; }
-  // Jobs of the queue that were accepted and of which nothing has started.
+  // Number of accepted jobs of the queue of which no task has started.
   int64_t WaitingJobs(const std::string& queue) const;
 
-  // Records to be stored.
+  // The functions below build records to be stored.
   static KeyedRecord Submission(const JobDefinition& job);
   static KeyedRecord Cancellation(const std::string& job);
   static KeyedRecord State(const std::string& job, JobState state,
                            WallTime when);
-  // Why a job has failed; stored beside its state.
+  // The reason of a failed job, stored in addition to its state.
   static KeyedRecord Failure(const std::string& job, const std::string& reason);
   static KeyedRecord Leader(const LeaderRecord& leader);
-  // No value drops it.
+  // A tombstone if `entry` is nullopt.
   static KeyedRecord Entry(const std::string& instance,
                            const std::optional<EntryRecord>& entry);
-  // How far some tasks of a step are; no value drops it. Other entries than the
-  // leader pass over it.
+  // The progress of some tasks of a step; a tombstone if `value` is nullopt.
+  // Apply ignores it.
   static KeyedRecord Progress(const ProgressBlockRef& block,
                               std::optional<std::string> value);
-  // The block of progress that the key names; nullopt for any other key.
+  // The block of progress that the key names; nullopt if it is another key.
   static std::optional<ProgressBlockRef> ParseProgressKey(
       const std::string& key);
-  // Of all keys just those of progress come after it.
+  // Sorts before all keys of progress and after all other keys.
   static std::string ProgressKeyPrefix();
-  // Records that drop all keys of a job but those of its progress.
+  // Tombstones for all keys of a job except those of its progress.
   static std::vector<KeyedRecord> Tombstones(const std::string& id,
                                              const BoardJob& job);
 
--- a/src/libs/coordination/leader_election.cc
+++ b/src/libs/coordination/leader_election.cc
@@ -1,4 +1,4 @@
-// Silence of the leader, as far as it was observed.
+// Observation of how long the leader has been silent.
 #include "coordination/leader_election.h"
 
 #include <cmath>
--- a/src/libs/coordination/leader_election.h
+++ b/src/libs/coordination/leader_election.h
@@ -1,7 +1,7 @@
-// When an entry should try to take the lead.
+// Decides when an entry should try to take leadership.
 //
-// Only the store decides who leads: a claim is a conditional append with a
-// higher epoch. This object only says when a claim is worth a call.
+// The store arbitrates: a claim is a conditional append with a higher epoch.
+// This class only tells when a claim is worth a call.
 #ifndef THORNPLANK_COORDINATION_LEADER_ELECTION_H_
 #define THORNPLANK_COORDINATION_LEADER_ELECTION_H_
 
@@ -14,45 +14,52 @@
 namespace thornplank {
 
 struct LeaderElectionSettings {
-  // A leader writes at least this often.
+  // Longest interval between two records of a leader.
   Milliseconds heartbeat_interval{350};
-  // Silence after which it is replaced while the store answers at once: two
-  // heartbeats and a follower's pace of reading. Urgent jobs wait for it.
+  // A leader that has written nothing for longer is replaced, provided that the
+  // store answers at once: two heartbeats and the read interval of a follower.
+  // Urgent jobs wait for it when a leader fails.
   Milliseconds max_silence{1300};
-  // How much longer for each millisecond that the store takes to answer: the
-  // leader's append, the heartbeat_interval behind it, and the follower's read.
+  // `max_silence` is extended by the latency of the store times this: the
+  // append of the leader, the heartbeat queued after it, and the read of the
+  // follower.
   int silence_per_latency = 4;
-  // Contact with the store that is broken for longer proves nothing about the
-  // leader: its silence counts anew.
+  // After a longer gap between two reads of the board the silence of the leader
+  // is counted anew, since the gap proves nothing about the leader.
   Milliseconds max_read_gap{1600};
-  // Entries wait apart, the largest first. More than a follower's pace, so that
-  // a small one that reads early is still behind a large one that reads late.
+  // An entry of rank 1 claims this much later than one of rank 0; large entries
+  // have low ranks. Longer than the read interval of a follower, so that a
+  // small entry that reads early still claims after a large one that reads
+  // late.
   Milliseconds max_rank_delay{800};
 };
 
 class LeaderElection {
  public:
-  // `holder`: this instance and life, "instance/life". `rank`: 0 for the entry
-  // that should lead first, up to 1.
+  // `holder`: "instance/incarnation" of this entry. `rank`: from 0 for the
+  // entry that should lead first to 1.
   LeaderElection(LeaderElectionSettings settings, std::string holder,
                  double rank);
 
-  // The stream was read up to its end by a store that takes `latency`.
+  // The board was read up to its end. `latency` is that of the store.
   void OnBoardCaughtUp(Duration latency, Time now);
   void OnLeaderRecord(const LeaderRecord& leader, Time now);
 
+  // `leader` is the newest leader record on the board.
   bool ShouldClaim(const LeaderRecord& leader, Time now) const;
   const LeaderElectionSettings& settings() const { return settings_; }
 
  private:
-  // Whether the leader is an earlier life of this instance, and so over.
+  // Whether the leader is an earlier incarnation of this instance, which no
+  // longer runs.
   bool IsPreviousIncarnation(const LeaderRecord& leader) const;
 
   const LeaderElectionSettings settings_;
   const std::string holder_;
   const Milliseconds rank_delay_;
-  // Since when the leader, or the lack of one, has been observed in silence.
+  // Since when the board has been observed without a new leader record.
   Time silent_since_{};
+  // When the board was last read up to its end; valid if `has_read_`.
   Time last_read_{};
   Duration store_latency_{};
   bool has_read_ = false;
--- a/src/libs/coordination/metered_record_store.cc
+++ b/src/libs/coordination/metered_record_store.cc
@@ -1,4 +1,4 @@
-// thornplank_store_calls_total and thornplank_store_call_seconds.
+// Reports thornplank_store_calls_total and thornplank_store_call_seconds.
 #include "coordination/metered_record_store.h"
 
 #include <utility>
@@ -57,8 +57,8 @@
                 });
 }
 
-// A read that may wait for records is long because nothing happens: it counts
-// as a call of another kind.
+// The duration of a long poll says nothing about the store, so it is counted as
+// another kind of call.
 void MeteredRecordStore::Read(const Partition& partition, int64_t from,
                               Milliseconds wait, Milliseconds timeout,
                               std::function<void(const ReadResult&)> done) {
--- a/src/libs/coordination/metered_record_store.h
+++ b/src/libs/coordination/metered_record_store.h
@@ -1,4 +1,4 @@
-// Counts and times the calls to a record store.
+// Counts the calls to a record store and measures their duration.
 #ifndef THORNPLANK_COORDINATION_METERED_RECORD_STORE_H_
 #define THORNPLANK_COORDINATION_METERED_RECORD_STORE_H_
 
@@ -12,7 +12,7 @@
 
 class MeteredRecordStore : public RecordStore {
  public:
-  // Both outlive this object.
+  // Both must outlive this object.
   MeteredRecordStore(RecordStore& store, MetricsRegistry& metrics);
 
   void Append(const AppendRequest& request, Milliseconds timeout,
--- a/src/libs/coordination/metered_worker_calls.cc
+++ b/src/libs/coordination/metered_worker_calls.cc
@@ -1,4 +1,4 @@
-// thornplank_worker_calls_total and thornplank_worker_call_seconds.
+// Reports thornplank_worker_calls_total and thornplank_worker_call_seconds.
 #include "coordination/metered_worker_calls.h"
 
 #include <utility>
@@ -87,7 +87,8 @@
 void MeteredWorkerCalls::Status(const WorkerAddress& worker,
                                 const StatusQuery& query, Milliseconds timeout,
                                 std::function<void(const StatusAnswer&)> done) {
-  // A report that may wait for an end is long because nothing happens.
+  // The duration of a long poll says nothing about the worker, so it is counted
+  // as another kind of call.
   const char* call = query.wait.count() > 0 ? "follow" : "report";
   calls_.Status(worker, query, timeout,
                 [this, call, begun = Now(),
--- a/src/libs/coordination/metered_worker_calls.h
+++ b/src/libs/coordination/metered_worker_calls.h
@@ -1,4 +1,4 @@
-// Counts and times the calls to workers.
+// Counts the calls to workers and measures their duration.
 #ifndef THORNPLANK_COORDINATION_METERED_WORKER_CALLS_H_
 #define THORNPLANK_COORDINATION_METERED_WORKER_CALLS_H_
 
@@ -12,7 +12,7 @@
 
 class MeteredWorkerCalls : public WorkerCalls {
  public:
-  // Both outlive this object.
+  // Both must outlive this object.
   MeteredWorkerCalls(WorkerCalls& calls, MetricsRegistry& metrics);
 
   void Start(const WorkerAddress& worker, const StartOrder& order,
--- a/src/libs/coordination/progress_write_limiter.h
+++ b/src/libs/coordination/progress_write_limiter.h
@@ -1,9 +1,9 @@
-// When the leader records the progress of tasks.
+// Limits how often the leader writes the progress of tasks to the store.
 //
-// A start waits for its record, so that is written at once. Ends alone can wait
-// a moment: workers keep them until they are recorded. Hundreds of tasks end
-// one by one every second, and each record is a call of the store, and one more
-// to read it back.
+// A start is sent only after it is recorded, so it is written at once. Ends
+// alone can wait: workers keep them until they are recorded. Hundreds of tasks
+// may end every second, and each write costs one call to the store, and another
+// one to read it back.
 #ifndef THORNPLANK_COORDINATION_PROGRESS_WRITE_LIMITER_H_
 #define THORNPLANK_COORDINATION_PROGRESS_WRITE_LIMITER_H_
 
@@ -22,9 +22,9 @@
   void OnRecorded(Time now) { last_recorded_ = now; }
 
  private:
-  // Between two records of ends alone.
+  // Least time before a write that contains no start.
   const Milliseconds min_interval_;
-  // The clock's epoch before the first.
+  // When the last write began; the epoch of the clock before the first.
   Time last_recorded_{};
 };
 
--- a/src/libs/coordination/record_store.h
+++ b/src/libs/coordination/record_store.h
@@ -1,5 +1,5 @@
-// The platform's store as the scheduler needs it: keyed streams of records,
-// with conditional and fenced appends.
+// Interface to the platform's store: partitioned streams of keyed records, with
+// conditional and fenced appends.
 #ifndef THORNPLANK_COORDINATION_RECORD_STORE_H_
 #define THORNPLANK_COORDINATION_RECORD_STORE_H_
 
@@ -22,13 +22,14 @@
 
 struct KeyedRecord {
   std::string key;
-  // Without a value the key is dropped.
+  // A record without a value is a tombstone: it removes the key.
   std::optional<std::string> value;
+  // Set by reads; ignored by appends.
   int64_t offset = 0;
 };
 
-// Fences a partition: once a higher epoch was seen, nothing of a lower one is
-// stored, not even a late append.
+// Fences a partition for one producer: once the store has seen an epoch, it
+// rejects appends with a lower one, including those that arrive late.
 struct ProducerPosition {
   std::string producer;
   int64_t epoch = 0;
@@ -37,9 +38,10 @@
 
 struct AppendRequest {
   Partition partition;
-  // Stored all or none. Empty: only sets the producer's epoch.
+  // Stored atomically. If empty, the append only sets the epoch of the
+  // producer.
   std::vector<KeyedRecord> records;
-  // Stored only if the partition ends here.
+  // If set, the records are stored only if the partition ends at this offset.
   std::optional<int64_t> expected_end;
   std::optional<ProducerPosition> producer;
 };
@@ -48,34 +50,37 @@
   kStored,
   // The partition does not end where it was expected to.
   kConflict,
-  // A higher epoch was seen.
+  // The store has seen a higher epoch.
   kFenced,
-  // Another sequence number is due; `expected_sequence` says which.
+  // Another sequence number is due: AppendResult::expected_sequence.
   kOutOfSequence,
-  // Nothing was done.
+  // Certainly not stored; the append may be retried.
   kRefused,
-  // It may have been stored, or may be yet.
+  // May have been stored, or may still be stored later.
   kUnknown,
 };
 
 struct AppendResult {
   StoreOutcome outcome = StoreOutcome::kUnknown;
-  // Of the first record, where stored.
+  // Of the first record; set for kStored.
   int64_t offset = 0;
+  // Offset after the last record of the partition.
   int64_t end = 0;
+  // Set for kOutOfSequence.
   int64_t expected_sequence = 0;
   Error error;
 };
 
 enum class ReadOutcome {
   kRead,
-  // What was asked for is no longer there.
+  // The requested records are no longer kept.
   kTrimmed,
   kFailed,
 };
 
 struct ReadResult {
   ReadOutcome outcome = ReadOutcome::kFailed;
+  // Offset after the last record of the partition.
   int64_t end = 0;
   std::vector<KeyedRecord> records;
   Error error;
@@ -84,8 +89,9 @@
 struct NewestPage {
   bool ok = false;
   std::vector<KeyedRecord> records;
-  // Go on behind the last key.
+  // Whether there are further keys after the last one of this page.
   bool has_more = false;
+  // Offset after the last record of the partition.
   int64_t end = 0;
   Error error;
 };
@@ -94,16 +100,17 @@
  public:
   virtual ~RecordStore() = default;
 
-  // Callbacks run once, on the loop that the scheduler runs on, never before
+  // Callbacks run exactly once, on the loop of the scheduler, and never before
   // the call returns.
   virtual void Append(const AppendRequest& request, Milliseconds timeout,
                       std::function<void(const AppendResult&)> done) = 0;
-  // Answers as soon as there is a record at `from` or behind it, after `wait`
-  // at the latest.
+  // Long poll: answers as soon as there is a record at offset `from` or after
+  // it, or after `wait`.
   virtual void Read(const Partition& partition, int64_t from, Milliseconds wait,
                     Milliseconds timeout,
                     std::function<void(const ReadResult&)> done) = 0;
-  // The newest record of each key behind `after_key`, a page of them.
+  // One page of the newest records of all keys after `after_key`, in the order
+  // of keys.
   virtual void ReadNewest(const Partition& partition,
                           const std::string& after_key, Milliseconds timeout,
                           std::function<void(const NewestPage&)> done) = 0;
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -1,4 +1,4 @@
-// Pages through the newest records, then long-polls.
+// Snapshot by pages, then long polls.
 #include "coordination/record_tail.h"
 
 #include <algorithm>
@@ -75,7 +75,9 @@
       handlers_.on_failure(page.error);
       return RunAfter(NextRetryDelay(), [this] { BeginSnapshot(); });
     }
-    // Pages are no snapshot: what came behind the first end is read again.
+    // The pages are read one after the other and are not consistent with each
+    // other, so records after the end that the first page reported are read
+    // again.
     if (!snapshot_end_) snapshot_end_ = page.end;
     for (const KeyedRecord& record : page.records) {
       snapshot_keys_.insert(record.key);
@@ -93,15 +95,16 @@
     Poll();
   }
 
-  // One read: how long it waits for a record, and when it began.
+  // How long a read waits for a record, and when it began on both clocks.
   struct PollStart {
     Milliseconds wait{0};
     BootTime boot{};
     Time steady{};
   };
 
-  // After a failure a read does not wait: what is asked is whether the store is
-  // back, and an idle stream would tell only a whole wait later.
+  // After a failure a read does not wait for a record: it checks whether the
+  // store answers again, which an idle stream would show only after the whole
+  // wait.
   void Poll() {
     const PollStart start{
         last_read_failed_ ? Milliseconds(0) : settings_.long_poll_wait,
@@ -127,8 +130,8 @@
     RunAfter(settings_.min_read_interval - elapsed, [this] { Poll(); });
   }
 
-  // A read that brought a record may have waited for it, so it tells only that
-  // the store takes no longer.
+  // A read that returned a record may have waited for it, so its duration is
+  // only an upper bound of the latency.
   void UpdateLatency(Duration elapsed, bool waited, Milliseconds wait) {
     if (waited) {
       latency_ = std::max(elapsed - wait, Duration::zero());
@@ -137,7 +140,7 @@
     }
   }
 
-  // Reads may overlap: records behind `next_offset_` only.
+  // Reads may overlap, so records before `next_offset_` are skipped.
   void HandleRecords(const ReadResult& result, BootTime started) {
     for (const KeyedRecord& record : result.records) {
       if (record.offset < next_offset_) continue;
@@ -150,7 +153,7 @@
     handlers_.on_caught_up();
   }
 
-  // A read has failed: how long to wait before the next.
+  // Returns the delay before the next read, after a read has failed.
   Milliseconds NextRetryDelay() {
     constexpr double kJitter = 0.25;
     if (!last_read_failed_) retry_delay_ = settings_.initial_retry_delay;
@@ -179,13 +182,14 @@
   bool stopped_ = false;
   bool has_snapshot_ = false;
   std::mt19937 random_;
-  // The last read failed.
+  // False also before the first read.
   bool last_read_failed_ = false;
-  // After the next failure in a row.
+  // Delay after the next failure in a row, before jitter.
   Milliseconds retry_delay_{0};
   int64_t next_offset_ = 0;
   BootTime as_of_{};
   Duration latency_{};
+  // Of the snapshot that is being read, or of the last one.
   std::set<std::string> snapshot_keys_;
   std::optional<int64_t> snapshot_end_;
   BootTime snapshot_started_{};
--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -1,4 +1,8 @@
-// Follows one partition: the newest record of each key, then every new one.
+// Follows one partition: reads the newest record of each key (the snapshot),
+// then every new record by long polls. Failed reads are retried with growing
+// delays.
+//
+// Used on the loop of `io` only.
 #ifndef THORNPLANK_COORDINATION_RECORD_TAIL_H_
 #define THORNPLANK_COORDINATION_RECORD_TAIL_H_
 
@@ -17,16 +21,17 @@
 
 struct RecordTailSettings {
   Partition partition;
-  // How long one read waits for a record. Also the age that what is known has
-  // at most while the store answers.
+  // How long one read waits for a record. While the store answers, this is also
+  // the greatest age of what has been read.
   Milliseconds long_poll_wait{1000};
-  // Beyond the wait, until an answer counts as lost.
+  // A read has failed if it has no answer for this long after `long_poll_wait`.
   Milliseconds response_timeout{900};
-  // Between the starts of two reads; it bounds what a busy stream costs.
+  // Between the starts of two reads; limits the load of a busy stream.
   Milliseconds min_read_interval{0};
-  // After a failed read. Each further failure doubles it, up to
-  // `max_retry_delay`; a quarter more or less, drawn with `seed`, so that many
-  // entries which lost the store at one moment don't come back to it together.
+  // Delay after a failed read. Each further failure doubles it, up to
+  // `max_retry_delay`. A random quarter, drawn with `seed`, is added or taken
+  // off, so that many entries that lost the store at the same moment don't
+  // retry together.
   Milliseconds initial_retry_delay{150};
   Milliseconds max_retry_delay{1200};
   uint32_t seed = 0;
@@ -36,10 +41,11 @@
  public:
   struct Handlers {
     std::function<void(const KeyedRecord&)> on_record;
-    // The tail began anew; keys outside the set are gone.
+    // A snapshot was read; keys that are not in the set no longer exist.
     std::function<void(const std::set<std::string>&)> on_snapshot;
-    // Everything that was stored when the read began has been handed over.
+    // Everything that was stored when the read began was passed to `on_record`.
     std::function<void()> on_caught_up;
+    // A read has failed; it is retried.
     std::function<void(const Error&)> on_failure;
   };
 
@@ -49,20 +55,22 @@
 
   void Start();
   void Stop();
-  // Reads at once, outside the pace; `done` gets whether it reached the end.
+  // Reads at once, regardless of `min_read_interval`. `done` gets whether the
+  // end of the partition was reached.
   void CatchUp(Milliseconds timeout, std::function<void(bool)> done);
 
-  // Another stream of the store has come back: where this one is lost, it is
-  // read at once, beside a read that may hang yet.
+  // Reads at once if the last read failed, in parallel to a read that may still
+  // be pending. To be called when another stream of the store can be read
+  // again.
   void RetryIfLost(Milliseconds timeout);
 
-  // Whether the newest records were read once.
+  // Whether a snapshot has been read completely.
   bool has_snapshot() const;
-  // The offset of the next record.
+  // Offset of the next record to be read.
   int64_t next_offset() const;
-  // When the last read began that reached the end.
+  // When the last read that reached the end of the partition began.
   BootTime as_of() const;
-  // How long the store takes to answer, beyond what a read waits for a record.
+  // How long the store takes to answer, without the wait for a record.
   Duration latency() const;
   void set_min_read_interval(Milliseconds interval);
   void set_max_retry_delay(Milliseconds longest);
--- a/src/libs/coordination/refused_entries.cc
+++ b/src/libs/coordination/refused_entries.cc
@@ -1,4 +1,4 @@
-// One line for each fault of an entry.
+// Logging of faults without repetitions.
 #include "coordination/refused_entries.h"
 
 #include "logging/events/coordination_events.h"
--- a/src/libs/coordination/refused_entries.h
+++ b/src/libs/coordination/refused_entries.h
@@ -1,8 +1,8 @@
-// Entries of the directory that name no worker to use.
+// Keeps track of the records in the directory of workers that can't be read.
 //
-// A worker writes its entry anew every second or two. One that cannot be read
-// is told when its fault shows first and when it changes; the times in between
-// are counted.
+// A worker rewrites its record every second or two. One that can't be read is
+// logged when its fault is first seen and when the fault changes; repetitions
+// in between are only counted.
 #ifndef THORNPLANK_COORDINATION_REFUSED_ENTRIES_H_
 #define THORNPLANK_COORDINATION_REFUSED_ENTRIES_H_
 
@@ -18,18 +18,20 @@
 
 class RefusedEntries {
  public:
-  // True when the fault was told.
+  // Logs the fault unless it is the last one logged for this key. Returns
+  // whether it was logged.
   bool LogIfNew(const std::string& key, const Error& fault);
-  // The entry can be read, or is gone.
+  // The record can be read again, or was removed.
   void Forget(const std::string& key) { entries_.erase(key); }
-  // The directory was read anew and lists just these.
+  // Forgets all other keys; `keys` are those of a new snapshot of the
+  // directory.
   void RetainOnly(const std::set<std::string>& keys);
 
   size_t size() const { return entries_.size(); }
 
  private:
   struct Entry {
-    // As it was told.
+    // As last logged.
     std::string reason;
     int64_t suppressed_repeats = 0;
   };
--- a/src/libs/coordination/scheduling_metrics.cc
+++ b/src/libs/coordination/scheduling_metrics.cc
@@ -1,4 +1,4 @@
-// Names and labels of the leader's metrics.
+// Names, help texts and labels of the metrics.
 #include "coordination/scheduling_metrics.h"
 
 namespace thornplank {
--- a/src/libs/coordination/scheduling_metrics.h
+++ b/src/libs/coordination/scheduling_metrics.h
@@ -1,4 +1,4 @@
-// What the leader measures of jobs and tasks.
+// Metrics of jobs and tasks, recorded by the leader.
 #ifndef THORNPLANK_COORDINATION_SCHEDULING_METRICS_H_
 #define THORNPLANK_COORDINATION_SCHEDULING_METRICS_H_
 
@@ -13,20 +13,21 @@
 
 class SchedulingMetrics {
  public:
-  // `metrics` outlives this object.
+  // `metrics` must outlive this object.
   explicit SchedulingMetrics(MetricsRegistry& metrics) : metrics_(metrics) {}
 
-  // The first task of an occurrence is placed, this long after its turn came.
+  // The first task of an occurrence was placed, `waited` after the occurrence
+  // was due.
   void OnFirstTaskPlaced(const JobDefinition& job, Duration waited);
-  // An urgent step is placed in room that was taken from others.
+  // An urgent step was placed on resources for which other runs were stopped.
   void OnRoomReclaimed(Duration waited);
-  // A run has ended, `lasted` after it was first seen at work; short ones are
-  // never seen.
+  // A run has ended, `lasted` after a report first showed it running. nullopt
+  // for short runs that no report showed.
   void OnRunEnded(const StepSpec& step, RunEnd end,
                   std::optional<Duration> lasted);
-  // A task is not started again, for the workers that it took down.
+  // A task will not be started again, since workers were lost while running it.
   void OnTaskGivenUp();
-  // A job has ended, this long after it was accepted.
+  // A job has ended, `lasted` after it was accepted.
   void OnJobEnded(const JobDefinition& job, JobState state, Duration lasted);
 
  private:
--- a/src/libs/coordination/serving_configuration.cc
+++ b/src/libs/coordination/serving_configuration.cc
@@ -1,4 +1,4 @@
-// Lookups in the operators' configuration.
+// Lookups in the configuration.
 #include "coordination/serving_configuration.h"
 
 #include <algorithm>
--- a/src/libs/coordination/serving_configuration.h
+++ b/src/libs/coordination/serving_configuration.h
@@ -1,4 +1,4 @@
-// The operators' configuration: queues, accounts, limits.
+// The configuration written by operators: queues, accounts and limits.
 #ifndef THORNPLANK_COORDINATION_SERVING_CONFIGURATION_H_
 #define THORNPLANK_COORDINATION_SERVING_CONFIGURATION_H_
 
@@ -14,19 +14,19 @@
 
 namespace thornplank {
 
-// A queue: jobs sent to `host` under `prefix`.
+// A queue takes the jobs that are sent to `host` under `prefix`.
 struct QueueConfiguration {
   std::string host;
   std::string prefix;
   QueuePolicy policy;
-  // Needs no key.
+  // Callers need no key.
   bool is_public = false;
 };
 
 struct AccountConfiguration {
   std::string name;
   std::vector<std::string> keys;
-  // Accelerators that are its own at all times.
+  // Accelerators that are guaranteed to the account at all times.
   int64_t guaranteed_accelerators = 0;
 };
 
@@ -34,7 +34,8 @@
   int64_t version = 0;
   std::vector<QueueConfiguration> queues;
   std::vector<AccountConfiguration> accounts;
-  // Whose workers exist here; an entry of another service is a stray.
+  // Services whose workers belong to this cluster. Directory records of workers
+  // of another service are ignored.
   std::set<std::string> services;
   size_t max_body_bytes = 256 * 1024;
 
@@ -43,7 +44,7 @@
                                       const std::string& path) const;
   // The account that holds the key, or null.
   const AccountConfiguration* FindAccount(const std::string& key) const;
-  // Whether it lists the service, or has a queue for it.
+  // Whether the service is listed or has a queue.
   bool KnowsService(const std::string& service) const;
   Guarantees guarantees() const;
 };
--- a/src/libs/coordination/start_sender.cc
+++ b/src/libs/coordination/start_sender.cc
@@ -1,4 +1,4 @@
-// Copies of one order, and what their answers prove together.
+// Repetition of orders and evaluation of their answers.
 #include "coordination/start_sender.h"
 
 #include <utility>
@@ -8,8 +8,8 @@
 namespace thornplank {
 namespace {
 
-// Of one order. Where a third of all orders gets no answer, one in 30 gets none
-// three times.
+// For one order. If a third of all calls has no answer, about one order in 30
+// has none after three copies.
 constexpr int kMaxCopies = 3;
 
 bool IsRefusal(StartOutcome outcome) {
--- a/src/libs/coordination/start_sender.h
+++ b/src/libs/coordination/start_sender.h
@@ -1,8 +1,9 @@
-// Sends start orders, again where a worker leaves one without an answer.
+// Sends start orders to workers and repeats orders that have no answer.
 //
-// A worker begins a run once, however many orders for it arrive, and none after
-// the deadline that all of them carry. So an order without an answer is pending
-// again, and what is said of a later copy settles nothing of the first.
+// A worker starts a run at most once, however many copies of the order arrive,
+// and not after the deadline that all copies carry, so an order can safely be
+// repeated. The refusal of a later copy does not prove that the first one did
+// not start the run.
 #ifndef THORNPLANK_COORDINATION_START_SENDER_H_
 #define THORNPLANK_COORDINATION_START_SENDER_H_
 
@@ -16,29 +17,29 @@
 namespace thornplank {
 
 struct StartSenderSettings {
-  // A copy that is not answered by then is followed by another. Answers take
-  // 2 ms in a zone and 0.1 s between regions; a gang of which one member has
-  // not begun loses 2 s.
+  // Time-out of one copy, after which the next one is sent. Answers take 2 ms
+  // within a zone and 0.1 s between regions; a gang of which one member does
+  // not start loses 2 s.
   Milliseconds copy_timeout{250};
-  // No copy is pending later than this after the first: the lease that an order
-  // brings must outlast the way to the first report.
+  // No copy is sent later than this after the first one: the lease that the
+  // order grants must last until the first report.
   Milliseconds resend_period{750};
 };
 
-// How the copies of one order ended.
+// The outcome of all copies of one order.
 struct StartResult {
-  // What is known of the run.
+  // What the answers prove about the run.
   StartOutcome outcome = StartOutcome::kNoAnswer;
-  // What the worker said of the last copy.
+  // The answer to the last copy.
   StartOutcome last_answer = StartOutcome::kNoAnswer;
 };
 
 class StartSender {
  public:
   struct Handlers {
-    // Whether the order is still wanted and nothing is known of the run.
+    // Whether the order is still valid and the state of the run unknown.
     std::function<bool()> may_resend;
-    // Runs once.
+    // Runs exactly once, unless the sender is destroyed before.
     std::function<void(const StartResult&)> done;
   };
 
@@ -66,7 +67,7 @@
 
   WorkerCalls& calls_;
   const StartSenderSettings settings_;
-  // Callbacks of calls that outlive this object do nothing.
+  // False once this object is destroyed; pending callbacks then do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/libs/coordination/stream_reachability.cc
+++ b/src/libs/coordination/stream_reachability.cc
@@ -1,4 +1,4 @@
-// One line when contact is lost, one when it is back.
+// Logs one event when reads start to fail and one when they succeed again.
 #include "coordination/stream_reachability.h"
 
 #include "logging/events/coordination_events.h"
--- a/src/libs/coordination/stream_reachability.h
+++ b/src/libs/coordination/stream_reachability.h
@@ -1,4 +1,4 @@
-// Whether one stream of the store can be read, told at each change.
+// Tracks whether one stream of the store can be read, and logs each change.
 #ifndef THORNPLANK_COORDINATION_STREAM_REACHABILITY_H_
 #define THORNPLANK_COORDINATION_STREAM_REACHABILITY_H_
 
@@ -12,11 +12,12 @@
 
 class StreamReachability {
  public:
-  // `stream` is what the log calls it.
+  // `stream` is the name of the stream in the log.
   explicit StreamReachability(std::string stream)
       : stream_(std::move(stream)) {}
 
-  // It was read up to `next`. True when it had been lost.
+  // The stream was read up to offset `next`. Returns whether the read before
+  // had failed.
   bool OnReadSucceeded(int64_t next);
   void OnReadFailed(const Error& error);
 
--- a/src/libs/coordination/worker_calls.h
+++ b/src/libs/coordination/worker_calls.h
@@ -1,4 +1,4 @@
-// The calls to a worker.
+// Interface for calls to workers.
 #ifndef THORNPLANK_COORDINATION_WORKER_CALLS_H_
 #define THORNPLANK_COORDINATION_WORKER_CALLS_H_
 
@@ -15,20 +15,23 @@
 namespace thornplank {
 
 struct WorkerAddress {
-  // The life that is meant; another one refuses.
+  // Id of the worker's incarnation; another incarnation at the same address
+  // refuses the call.
   std::string id;
   std::string address;
 };
 
+// Starts a run of a task.
 struct StartOrder {
   TaskRef task;
   int run = 0;
   std::string payload;
   std::string checkpoint;
-  // Shows that the worker is approved for the step; "" where none is needed.
+  // Issued by the advisor for a worker that it approved for the step; "" if no
+  // approval is needed.
   std::string ticket;
-  // On the worker's clock: later it does nothing, and until then the lease of
-  // everything on the worker lasts.
+  // On the clock of the worker. A later order is ignored; the lease of all runs
+  // on the worker is extended until then.
   Milliseconds deadline{0};
   int64_t epoch = 0;
 };
@@ -39,22 +42,24 @@
   int64_t epoch = 0;
 };
 
-// How fast a task that fills may work from now on.
+// Sets the pace of a filler task.
 struct PaceOrder {
   TaskRef task;
   int run = 0;
-  // Of its full speed; at zero it keeps its memory and does nothing.
+  // Of full speed. At 0 the task keeps its memory and is suspended.
   int percent = 100;
   int64_t epoch = 0;
 };
 
+// Requests a report.
 struct StatusQuery {
   int64_t epoch = 0;
-  // Ends up to here are recorded; the worker forgets them.
+  // Ends with numbers up to this one are recorded; the worker may forget them.
   int64_t recorded_ends = 0;
-  // Renews the lease until then, on the worker's clock.
+  // If set, the leases of all runs are renewed until then, on the clock of the
+  // worker.
   std::optional<Milliseconds> lease_until;
-  // The answer waits this long for an end.
+  // Long poll: the answer waits up to this long for the end of a run.
   Milliseconds wait{0};
 };
 
@@ -65,10 +70,11 @@
 
 enum class CallOutcome {
   kOk,
+  // The worker has accepted a higher epoch.
   kFenced,
   kOtherIncarnation,
   kRefused,
-  // Its host says that nothing listens at the worker's address.
+  // The host answers that nothing listens at the address of the worker.
   kConnectionRefused,
   kNoAnswer,
 };
@@ -83,7 +89,7 @@
  public:
   virtual ~WorkerCalls() = default;
 
-  // Callbacks run once, on the loop that the scheduler runs on.
+  // Callbacks run exactly once, on the loop of the scheduler.
   virtual void Start(const WorkerAddress& worker, const StartOrder& order,
                      Milliseconds timeout,
                      std::function<void(const StartAnswer&)> done) = 0;
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -1,4 +1,4 @@
-// The call loop of each worker.
+// Directory records, reports and reviews of workers.
 #include "coordination/worker_fleet.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace thornplank {
 namespace {
 
-// Time between two reads of the directory that counts as an outage.
+// A longer time between two reads of the directory counts as an outage.
 constexpr Milliseconds kMaxDirectoryReadGap{2500};
 
 StartSenderSettings StartSenderSettingsFor(const WorkerBounds& bounds) {
@@ -30,11 +30,11 @@
 const char* ToReason(LifeEnd end) {
   switch (end) {
     case LifeEnd::kLeft:
-      return "it has left as announced";
+      return "it left as announced";
     case LifeEnd::kCrashed:
-      return "another life answers at its address";
+      return "another incarnation answers at its address";
     case LifeEnd::kSilent:
-      return "its leases have ended";
+      return "its leases have expired";
   }
   return "";
 }
@@ -112,7 +112,8 @@
     RequestReportIfDue(id, now);
 }
 
-// Where no worker says it, one line tells as much as one for each.
+// Logged once for each reason, not for each worker: the same fault usually
+// affects all workers.
 void WorkerFleet::LogBirthFault(const std::string& id, const BirthMark& birth) {
   if (birth.fault.empty() || !logged_birth_faults_.insert(birth.fault).second)
     return;
@@ -142,8 +143,8 @@
   }
 }
 
-// The entry names no worker to use any more, whatever it was before: nothing
-// new is placed there, and what runs there is settled as for one not listed.
+// A worker whose record can no longer be read gets no new tasks, and its runs
+// are treated like those of a worker that is missing from the directory.
 void WorkerFleet::OnEntryUnreadable(const std::string& id, Time now) {
   WorkerTracker* tracker = Find(id);
   if (tracker == nullptr) return;
@@ -223,8 +224,8 @@
   }
 }
 
-// A worker is asked while it has something to tell, and until it has heard
-// that its ends are recorded.
+// Reports are requested while a worker has runs or its state is unknown, and
+// until it was told that its ends are recorded.
 void WorkerFleet::RequestReportIfDue(const std::string& id, Time now) {
   WorkerTracker* tracker = Find(id);
   CallState& state = call_states_[id];
@@ -251,18 +252,21 @@
     no_progress_yet = no_progress_yet ||
                       (run.stage == RunStage::kRunning && run.percent == 0);
   }
-  // With ends that are not recorded a report would come back at once.
+  // While the worker holds ends that are not recorded, a report would return at
+  // once, so it is not requested as a long poll.
   const bool stable = has_runs && !uncertain && !unrecorded;
   if (!stable) state.next_report_time = now + settings_.report_retry_delay;
-  // A worker that has restarted unnoticed would forget by these numbers what
-  // ends there while it can_wait.
+  // A request that acknowledges ends does not wait: a worker that has restarted
+  // unnoticed would apply the number to the ends of its new incarnation that
+  // come while it waits.
   const bool can_wait = stable && EndsToAcknowledge(*tracker, state) == 0;
   Milliseconds wait{0};
   if (can_wait)
     wait =
         no_progress_yet ? settings_.first_report_wait : settings_.report_wait;
-  // The end of a run that stops is told as it comes; one that never began there
-  // has none, and is settled by the report that follows this one.
+  // While a run is being stopped, the report returns as soon as it has ended. A
+  // run that never started on the worker has no end to report and is settled by
+  // the report after this one, so the wait is short.
   if (can_wait && stopping) wait = settings_.report_retry_delay;
   if (can_wait && FillerPaceController::HasFillersAndServing(*tracker)) {
     wait = std::min(wait, settings_.paced_report_wait);
@@ -270,9 +274,9 @@
   RequestReport(id, wait, /*extra=*/false);
 }
 
-// Nothing that it knows already, and nothing after a silence: a worker that has
-// restarted meanwhile would forget ends of its new life by the numbers of the
-// old one.
+// Returns 0 if the worker already knows the number, and for a worker that did
+// not answer the last report: if it has restarted meanwhile, it would forget
+// ends of its new incarnation by the numbers of the old one.
 int64_t WorkerFleet::EndsToAcknowledge(const WorkerTracker& tracker,
                                        const CallState& state) const {
   const bool news = tracker.recorded_ends() > state.acknowledged_ends;
@@ -288,7 +292,8 @@
   query.epoch = settings_.epoch;
   query.recorded_ends = EndsToAcknowledge(*tracker, state);
   query.wait = wait;
-  // A worker that does not answer is not renewed: its leases must end.
+  // The leases of a worker that does not answer are not renewed, so that they
+  // expire.
   const bool renew = may_renew_ && tracker->synchronized() &&
                      tracker->reachable() && !tracker->runs().empty();
   if (renew) {
@@ -384,7 +389,8 @@
             {"born_ms", ToUnixMilliseconds(*tracker->born())},
             {"ended", ends.size()},
             {"runs", tracker->runs().size()}});
-  // Deadlines of the life before lie far ahead on the clock of this one.
+  // The clock of the worker has restarted: deadlines of the previous
+  // incarnation lie far ahead on it.
   tracker->AllowLease(settings_.bounds.longest_lease, now);
   std::vector<std::pair<TaskRef, int>> undecided;
   for (const auto& [task, run] : tracker->runs()) {
@@ -463,7 +469,7 @@
   EndRunsOfLostWorker(id, end);
 }
 
-// True when the worker itself was forgotten.
+// Returns whether the worker itself was removed.
 bool WorkerFleet::EndRunsOfLostWorker(const std::string& id, LifeEnd end) {
   WorkerTracker* tracker = Find(id);
   const std::vector<RunEndReport> ends = tracker->OnGone(end, Now());
--- a/src/libs/coordination/worker_fleet.h
+++ b/src/libs/coordination/worker_fleet.h
@@ -1,7 +1,9 @@
-// Calls the workers: keeps their leases, hears their reports, sends orders.
+// Communication of the leader with all workers: renews their leases, requests
+// reports and sends orders.
 //
-// Beliefs are in the WorkerTracker of each worker; this object turns them into
-// calls and the answers into events for its owner.
+// What is known of a worker is in its WorkerTracker. This class decides from it
+// which calls to make, and passes the results to its owner through Handlers.
+// Used on the loop of the scheduler only.
 #ifndef THORNPLANK_COORDINATION_WORKER_FLEET_H_
 #define THORNPLANK_COORDINATION_WORKER_FLEET_H_
 
@@ -30,18 +32,20 @@
   int64_t epoch = 0;
   WorkerBounds bounds;
   Milliseconds call_timeout{900};
-  // How long a report can_wait for an end; workers allow 2 s at most.
+  // How long a report waits for the end of a run; workers allow 2 s at most.
   Milliseconds report_wait{1900};
-  // The same where tasks that fill may disturb tasks that serve: their tails
-  // are figures of the last half second.
+  // The same on workers that have both filler tasks and serving tasks, since
+  // reported tail latencies cover the last half second.
   Milliseconds paced_report_wait{500};
-  // Between reports that don't wait.
+  // Between reports that don't wait, and before failed calls are retried.
   Milliseconds report_retry_delay{250};
-  // A worker that is not listed any more, while the store answered all along,
-  // is gone: entries that lapsed with the store are back within 2 s.
+  // A worker that has been missing from the directory for longer, while the
+  // store answered all the time, is gone. Records that expired during an outage
+  // of the store are written again within 2 s.
   Milliseconds missing_grace{2600};
-  // The first report after a start: early enough to move an urgent task off a
-  // slow worker in time, late enough for a few percent of progress.
+  // How long the first report after a start waits: short enough to move an
+  // urgent task off a slow worker in time, long enough for a few percent of
+  // progress.
   Milliseconds first_report_wait{700};
 };
 
@@ -50,17 +54,17 @@
   struct Handlers {
     std::function<void(const std::string& worker, const RunEndReport&)> on_end;
     std::function<void(const RunReport&)> on_progress;
-    // Resources that a run takes which nobody here decided on.
+    // Returns the profile of a run that this leader did not start.
     std::function<RunProfile(const TaskRef&)> profile_of;
-    // Whether the configuration knows the service. Entries of others are not
-    // even looked at.
+    // Whether the configuration knows the service. Workers of other services
+    // are not called.
     std::function<bool(const std::string& service)> is_known_service;
-    // A worker did not take the ticket of a start.
+    // A worker has refused the ticket of a start order.
     std::function<void(const StepRef&, const std::string& worker)>
         on_ticket_refused;
-    // Something changed that may let tasks start.
+    // Something changed that may allow tasks to start.
     std::function<void()> on_change;
-    // A worker obeys a higher epoch.
+    // A worker has accepted a higher epoch.
     std::function<void()> on_fenced;
   };
 
@@ -69,58 +73,67 @@
   ~WorkerFleet();
 
   void OnDirectoryRecord(const KeyedRecord& record, Time now);
-  // The directory was read anew and lists just these.
+  // A new snapshot of the directory contains exactly these workers.
   void OnDirectorySnapshot(const std::set<std::string>& ids, Time now);
   // The directory was read up to its end.
   void OnDirectoryCaughtUp(Time now);
-  // Failure domains that take no new work from now on.
+  // Sets the failure domains that take no new work.
   void CloseDomains(const std::set<std::string>& domains);
 
   const std::map<std::string, WorkerTracker>& trackers() const {
     return trackers_;
   }
 
-  // Entries of the directory that name no worker to use.
+  // Number of directory records that can't be read.
   size_t refused_entries() const { return refused_.size(); }
 
-  // Whether the worker stands on that rack; true for no rack.
+  // Whether the worker is on that rack; true if `rack` is empty.
   bool IsOnRack(const std::string& worker, const std::string& rack) const;
 
-  // A run that a predecessor recorded.
+  // Adds a run that a previous leader recorded. Its leases have ended by
+  // `lease_bound` at the latest.
   void Inherit(const std::string& worker, const TaskRef& task, int run,
                const RunProfile& profile, Time now, Time lease_bound);
-  // A run that is decided and not yet recorded.
+  // Adds a run that is decided and not yet recorded.
   void Add(const std::string& worker, const TaskRef& task, int run,
            const RunProfile& profile, Time now);
-  // What the order for a recorded run carries.
+  // The contents of a start order that depend on the job.
   struct StartFields {
     std::string payload;
     std::string checkpoint;
     std::string ticket;
   };
+  // To be called once the start is recorded. The order is withheld, and the run
+  // ended, if the worker may no longer start it.
   void SendStart(const std::string& worker, const TaskRef& task, int run,
                  const StartFields& fields);
   void RequestStop(const std::string& worker, const TaskRef& task, int run,
                    const std::string& reason);
-  // Ends of that life of the worker up to `number` are recorded.
+  // The ends of that incarnation of the worker are recorded up to `number`.
   void OnEndsRecorded(const std::string& worker, int life, int64_t number);
 
-  // Renews, retries and judges; several times a second. Leases are renewed
-  // only while the owner may still lead.
+  // To be called several times a second: requests reports that are due, repeats
+  // stops and reviews workers and gangs. Leases are renewed only if
+  // `may_renew`, that is, while the owner can still be the leader.
   void Tick(Time now, bool may_renew);
 
  private:
+  // State of the calls to one worker.
   struct CallState {
     bool report_pending = false;
+    // A report that does not wait, beside a pending one that does.
     bool extra_report_pending = false;
-    // It is silent and has nothing to tell, but its entry was written anew.
+    // A report is due although nothing is expected: the worker did not answer
+    // before, and its directory record was rewritten since.
     bool check_again = false;
     Time next_report_time{};
-    // The worker's lease surely lasts until then.
+    // The lease of the worker lasts at least until then.
     Time leased_until{};
+    // Ends up to this number were reported to the worker as recorded.
     int64_t acknowledged_ends = 0;
-    // A stop that was not confirmed is repeated then.
+    // After a stop that was not confirmed, no stop is sent before this time.
     Time next_stop_time{};
+    // Since when the worker has been missing from the directory.
     std::optional<Time> missing_since;
     DepartureWatch departure;
   };
@@ -138,11 +151,13 @@
   void RequestReport(const std::string& id, Milliseconds wait, bool extra);
   void OnStatus(const std::string& id, const StatusAnswer& answer, Time sent,
                 int64_t recorded, bool renewed, bool extra);
-  // The worker has restarted under its id; `ends` are those of the life before.
+  // The worker has restarted under its id; `ends` are those of the previous
+  // incarnation.
   void OnRestart(const std::string& id, const std::vector<RunEndReport>& ends,
                  Time now);
   void LogBirthFault(const std::string& id, const BirthMark& birth);
-  // What a report may tell the worker to forget.
+  // The number up to which the next report may tell the worker to forget ends;
+  // 0 for none.
   int64_t EndsToAcknowledge(const WorkerTracker& tracker,
                             const CallState& state) const;
   void SendStops(const std::string& id, Time now);
@@ -150,7 +165,7 @@
                    const std::vector<RunEndReport>& ends);
   void ReviewWorker(const std::string& id, Time now);
   void ReviewGangs(Time now);
-  // The life is proved to be over for good.
+  // The incarnation has certainly ended.
   void OnIncarnationOver(const std::string& id, LifeEnd end);
   bool EndRunsOfLostWorker(const std::string& id, LifeEnd end);
   WorkerTracker* Find(const std::string& id);
@@ -161,22 +176,22 @@
   const Handlers handlers_;
   std::map<std::string, WorkerTracker> trackers_;
   std::map<std::string, CallState> call_states_;
-  // Lives that are proved to be over, by the worker's id, with what they said
-  // of their birth; the directory may list them for a while.
+  // Incarnations that have certainly ended, by id of the worker, with the start
+  // time that they reported. The directory may still list them for a while.
   std::map<std::string, std::optional<WallTime>> ended_incarnations_;
   RefusedEntries refused_;
-  // Why births cannot be read, as far as it was told.
+  // Reasons for unreadable start times that were already logged.
   std::set<std::string> logged_birth_faults_;
   std::set<std::string> closed_domains_;
   bool may_renew_ = true;
-  // Since when the directory has answered without a gap.
+  // Since when the directory has been read without a gap.
   Time directory_read_since_{};
   Time last_directory_read_{};
   RunReview run_review_;
   GangReview gang_review_;
   StartSender start_sender_;
   FillerPaceController pace_controller_;
-  // Callbacks of calls that outlive this object do nothing.
+  // False once this object is destroyed; pending callbacks then do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
