--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -29,13 +29,13 @@
 #include "metrics/process_metrics.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "outlook/entry_client.h"
-#include "outlook/entry_questions.h"
-#include "outlook/outlook_survey.h"
 #include "platform/advice_client.h"
 #include "platform/executor_client.h"
 #include "platform/metadata_store.h"
 #include "platform/wire_formats.h"
+#include "reachability/entry_client.h"
+#include "reachability/reachability_poller.h"
+#include "reachability/store_age_route.h"
 #include "workload/closed_domains.h"
 
 namespace thornplank {
@@ -149,7 +149,7 @@
         entry_server_(io, HttpServerLimits(),
                       [this](const HttpRequest& request,
                              const HttpServer::Responder& respond) {
-                        respond(AnswerEntry(request, StoreAge()));
+                        respond(HandleStoreAgeRequest(request, StoreAge()));
                       }),
         metrics_server_(
             io, HttpServerLimits(),
@@ -233,8 +233,8 @@
     return settings;
   }
 
-  OutlookSurveySettings SurveySettings() const {
-    OutlookSurveySettings settings;
+  ReachabilityPollerSettings SurveySettings() const {
+    ReachabilityPollerSettings settings;
     settings.seed = SeedOf(settings_);
     return settings;
   }
@@ -267,12 +267,12 @@
       coordinator_.OnBoardCaughtUp(board_tail_.latency());
       if (board_contact_.OnReadSucceeded(board_tail_.next_offset()))
         WakeStreams();
-      survey_.OnReached();
+      survey_.OnReadSucceeded();
       roll_.OnBoardCaughtUp();
     };
     handlers.on_failure = [this](const Error& error) {
       board_contact_.OnReadFailed(error);
-      survey_.OnLost();
+      survey_.OnReadFailed();
     };
     return handlers;
   }
@@ -375,7 +375,7 @@
     surroundings.board = &board_;
     surroundings.board_tail = &board_tail_;
     surroundings.served_elsewhere = [this] {
-      return survey_.ServedElsewhere();
+      return survey_.ReachableElsewhere();
     };
     return surroundings;
   }
@@ -445,7 +445,7 @@
   ClosedDomains closed_domains_;
   EntryClient entry_client_;
   EntryRegistration roll_;
-  OutlookSurvey survey_;
+  ReachabilityPoller survey_;
   StreamReachability board_contact_{"board"};
   StreamReachability configuration_contact_{"configuration"};
   RecordTail board_tail_;
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -129,14 +129,14 @@
     const std::lock_guard lock(mutex_);
     ready_ = ready.value_or(ready_);
     leaving_ = leaving_ || leaving;
-    PostChanges(table_.SetSelf(ready_, leaving_, Now()));
+    PostChanges(table_.SetOwnReadiness(ready_, leaving_, Now()));
   }
   SendHeartbeat();
 }
 
 void MembershipManager::Impl::SetListed(const std::vector<std::string>& names) {
   const std::lock_guard lock(mutex_);
-  table_.HandleList(names);
+  table_.SetListedNames(names);
 }
 
 void MembershipManager::Impl::FetchSnapshot(const std::string& name,
@@ -181,7 +181,8 @@
     view.incarnation = member.identity.incarnation;
     view.failure_domain = member.identity.failure_domain;
     view.state = member.state;
-    view.since = std::chrono::duration_cast<Milliseconds>(now - member.since);
+    view.since =
+        std::chrono::duration_cast<Milliseconds>(now - member.state_since);
     const auto offsets = peer_offsets_.find(name);
     if (offsets != peer_offsets_.end()) view.offsets = offsets->second;
     if (name == settings_.name) view.offsets = own_offsets;
@@ -233,7 +234,7 @@
 void MembershipManager::Impl::HandleHeartbeat(const PeerIdentity& from,
                                               const Json& body) {
   Heartbeat heartbeat;
-  heartbeat.from = ToMemberIdentity(from);
+  heartbeat.sender = ToMemberIdentity(from);
   heartbeat.sequence =
       static_cast<uint64_t>(IntField(body, "sequence").value_or(0));
   heartbeat.ready = BoolField(body, "ready").value_or(false);
--- a/tests/auto/outlook/tst_outlook_survey.cc
+++ b/tests/auto/reachability/tst_reachability_poller.cc
@@ -9,15 +9,15 @@
 #include <utility>
 #include <vector>
 
-#include "outlook/entry_questions.h"
-#include "outlook/outlook_survey.h"
+#include "reachability/reachability_poller.h"
+#include "reachability/store_age_route.h"
 
 namespace thornplank {
 namespace {
 
-class ScriptedEntries : public EntryCalls {
+class ScriptedEntries : public EntryClientInterface {
  public:
-  void AskStoreAge(
+  void FetchStoreAge(
       const std::string& address, Milliseconds,
       std::function<void(std::optional<Milliseconds>)> done) override {
     asked.push_back(address);
@@ -43,41 +43,43 @@
     CAPTURE(row.known);
     boost::asio::io_context io;
     ScriptedEntries entries;
-    OutlookSurvey survey(io, entries, OutlookSurveySettings(), [&row] {
-      std::vector<std::string> peers;
-      for (size_t i = 0; i < row.known; ++i) {
-        peers.push_back("127.0.0.1:" + std::to_string(i + 1));
-      }
-      return peers;
-    });
-    survey.OnReached();
+    ReachabilityPoller survey(
+        io, entries, ReachabilityPollerSettings(), [&row] {
+          std::vector<std::string> peers;
+          for (size_t i = 0; i < row.known; ++i) {
+            peers.push_back("127.0.0.1:" + std::to_string(i + 1));
+          }
+          return peers;
+        });
+    survey.OnReadSucceeded();
     CHECK(entries.asked.empty());
-    survey.OnLost();
-    survey.OnLost();
+    survey.OnReadFailed();
+    survey.OnReadFailed();
     CHECK(entries.asked.size() == row.asked);
     const std::set<std::string> distinct(entries.asked.begin(),
                                          entries.asked.end());
     CHECK(distinct.size() == row.asked);
-    CHECK_FALSE(survey.ServedElsewhere());
+    CHECK_FALSE(survey.ReachableElsewhere());
     entries.Answer(Milliseconds(0));
-    CHECK(survey.ServedElsewhere() == (row.asked > 0));
-    survey.OnReached();
-    CHECK_FALSE(survey.ServedElsewhere());
+    CHECK(survey.ReachableElsewhere() == (row.asked > 0));
+    survey.OnReadSucceeded();
+    CHECK_FALSE(survey.ReachableElsewhere());
   }
 }
 
 TEST_CASE("it goes on asking until the store is reached") {
   boost::asio::io_context io;
   ScriptedEntries entries;
-  OutlookSurveySettings settings;
+  ReachabilityPollerSettings settings;
   settings.interval = Milliseconds(1);
-  OutlookSurvey survey(io, entries, settings,
-                       [] { return std::vector<std::string>{"127.0.0.1:1"}; });
-  survey.OnLost();
+  ReachabilityPoller survey(io, entries, settings, [] {
+    return std::vector<std::string>{"127.0.0.1:1"};
+  });
+  survey.OnReadFailed();
   while (entries.asked.size() < 5) io.run_one();
   entries.Answer(std::nullopt);
-  CHECK_FALSE(survey.ServedElsewhere());
-  survey.OnReached();
+  CHECK_FALSE(survey.ReachableElsewhere());
+  survey.OnReadSucceeded();
   io.run();
   CHECK(entries.asked.size() == 5);
 }
@@ -103,7 +105,7 @@
     HttpRequest request;
     request.method = row.method;
     request.target = row.target;
-    const HttpResponse response = AnswerEntry(request, row.age);
+    const HttpResponse response = HandleStoreAgeRequest(request, row.age);
     CHECK(response.status == row.status);
     CHECK(response.body == row.body);
   }
