--- a/src/libs/coordination/pace_keeper.cc
+++ b/src/libs/coordination/filler_pace_controller.cc
@@ -1,5 +1,6 @@
-// Turns the pace that is due into calls.
-#include "coordination/pace_keeper.h"
+// Computes the pace of each worker from its reports and sends it to the filler
+// tasks.
+#include "coordination/filler_pace_controller.h"
 
 #include <utility>
 #include <vector>
@@ -8,16 +9,17 @@
 
 namespace thornplank {
 
-PaceKeeper::PaceKeeper(WorkerCalls& calls, int64_t epoch,
-                       Milliseconds call_timeout, Handlers handlers)
+FillerPaceController::FillerPaceController(WorkerCalls& calls, int64_t epoch,
+                                           Milliseconds call_timeout,
+                                           Handlers handlers)
     : calls_(calls),
       epoch_(epoch),
       call_timeout_(call_timeout),
       handlers_(std::move(handlers)) {}
 
-PaceKeeper::~PaceKeeper() { *alive_ = false; }
+FillerPaceController::~FillerPaceController() { *alive_ = false; }
 
-bool PaceKeeper::HasBoth(const WorkerTracker& tracker) {
+bool FillerPaceController::HasFillersAndServing(const WorkerTracker& tracker) {
   bool serves = false;
   bool fills = false;
   for (const auto& [task, run] : tracker.runs()) {
@@ -27,7 +29,7 @@
   return serves && fills;
 }
 
-void PaceKeeper::OnReport(WorkerTracker* tracker, Time now) {
+void FillerPaceController::OnReport(WorkerTracker* tracker, Time now) {
   std::vector<ServingTail> serving;
   bool fills = false;
   for (const auto& [task, run] : tracker->runs()) {
@@ -37,7 +39,7 @@
     serving.push_back({Milliseconds(run.load), run.profile.tail_target});
   }
   if (!fills) return Forget(tracker->id());
-  PaceControl& control = controls_[tracker->id()];
+  PaceControl& control = pace_controls_[tracker->id()];
   const int before = control.pace();
   control.Observe(serving, now);
   if (control.pace() != before) {
@@ -54,7 +56,8 @@
   }
 }
 
-void PaceKeeper::Send(WorkerTracker* tracker, TrackedRun* run, int percent) {
+void FillerPaceController::Send(WorkerTracker* tracker, TrackedRun* run,
+                                int percent) {
   run->pace_sending = true;
   const std::string& worker = tracker->id();
   const PaceOrder order{run->task, run->run, percent, epoch_};
@@ -73,12 +76,13 @@
                                {"worker", worker},
                                {"percent", order.percent}});
                    }
-                   WorkerTracker* tracker = handlers_.find(worker);
+                   WorkerTracker* tracker = handlers_.find_tracker(worker);
                    TrackedRun* run =
                        tracker == nullptr ? nullptr : tracker->Find(order.task);
                    if (run == nullptr || run->run != order.run) return;
                    run->pace_sending = false;
-                   // Without an answer it may have either; it is told again.
+                   // If the call had no answer, either pace may be in force; it
+                   // is sent again after the next report.
                    run->pace = std::nullopt;
                    if (outcome == CallOutcome::kOk) run->pace = order.percent;
                  });
--- a/src/libs/coordination/scheduling_metrics.cc
+++ b/src/libs/coordination/scheduling_metrics.cc
@@ -1,4 +1,4 @@
-// Names and labels of the leader's metrics.
+// Names, help texts and labels of the metrics.
 #include "coordination/scheduling_metrics.h"
 
 namespace thornplank {
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-void SchedulingMetrics::OnFirstPlaced(const JobDefinition& job,
-                                      Duration waited) {
+void SchedulingMetrics::OnFirstTaskPlaced(const JobDefinition& job,
+                                          Duration waited) {
   metrics_
       .histogram("thornplank_wait_seconds",
                  "From the acceptance of a job, or the due time of an "
--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -166,7 +166,7 @@
             });
   for (const JobEntry* entry : open) Submit(*entry, now);
   for (const JobEntry& entry : early_) {
-    if (!fold.jobs().Knows(entry.request.spec.id)) Submit(entry, now);
+    if (!fold.jobs().IsKnown(entry.request.spec.id)) Submit(entry, now);
   }
   early_.clear();
   std::map<std::string, AdoptedGang> gangs = FindGangs(now);
@@ -347,7 +347,7 @@
     silent_.erase(event.worker);
     return;
   }
-  Carry(scheduler_.WorkerBack(event.worker, now), now);
+  Carry(scheduler_.WorkerRecovered(event.worker, now), now);
 }
 
 void Coordinator::HandleOne(const TokenRefused& event, Time) {
@@ -393,23 +393,23 @@
 }
 
 void Coordinator::CarryOne(const CheckpointGang& action, Time) {
-  LogEvent(
-      events::kGangCheckpointed,
-      {{"job", action.job}, {"gang", action.gang_id}, {"reason", action.why}});
+  LogEvent(events::kGangCheckpointed, {{"job", action.job},
+                                       {"gang", action.gang_id},
+                                       {"reason", action.reason}});
   executor_.Checkpoint(action.gang_id);
 }
 
 void Coordinator::CarryOne(const StopGang& action, Time now) {
-  LogEvent(
-      events::kGangStopped,
-      {{"job", action.job}, {"gang", action.gang_id}, {"reason", action.why}});
+  LogEvent(events::kGangStopped, {{"job", action.job},
+                                  {"gang", action.gang_id},
+                                  {"reason", action.reason}});
   Handle(executor_.Stop(action.gang_id), now);
 }
 
 void Coordinator::CarryOne(const StopLease& action, Time) {
   LogEvent(events::kLeaseStopped, {{"worker", action.worker},
                                    {"lease", action.lease_id},
-                                   {"reason", action.why}});
+                                   {"reason", action.reason}});
   executor_.StopLease(action.worker, action.lease_id);
 }
 
@@ -437,7 +437,7 @@
                                 {"text", action.text}});
 }
 
-void Coordinator::CarryOne(const WorkerJudged& action, Time) {
+void Coordinator::CarryOne(const WorkerQuarantineChanged& action, Time) {
   static constexpr const char* kVerdicts[] = {"quarantined", "probed",
                                               "released"};
   LogEvent(events::kWorkerJudged,
--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -164,7 +164,7 @@
   std::set<std::string> live(names.begin(), names.end());
   live.insert(settings_.name);
   live_entries_known_ = true;
-  election_.LiveEntries(live, Clock::now());
+  election_.SetLiveEntries(live, Clock::now());
 }
 
 void JobManager::Impl::OnRecord(const LogRecord& record) {
@@ -182,7 +182,7 @@
 void JobManager::Impl::OnGap(int64_t from, int64_t first_kept) {
   LogEvent(events::kJobStreamGap, {{"from", from}, {"first_kept", first_kept}});
   const std::lock_guard<std::mutex> lock(mutex_);
-  fold_.LoseBefore(first_kept);
+  fold_.SkipLostRecords(first_kept);
   if (!fold_.complete() && coordinator_) StepDown("records were lost unread");
 }
 
@@ -219,9 +219,9 @@
 
 void JobManager::Impl::EpochMoved(Time now) {
   const CoordinatorEpoch& epoch = fold_.epochs().current();
-  election_.EpochChanged(epoch, now);
+  election_.SetEpoch(epoch, now);
   const bool ours =
-      fold_.epochs().HeldBy(settings_.name, settings_.incarnation) &&
+      fold_.epochs().IsHeldBy(settings_.name, settings_.incarnation) &&
       epoch.number != given_up_epoch_ && !draining_;
   if (coordinator_ && (!ours || coordinator_->epoch() != epoch.number)) {
     StepDown("epoch " + std::to_string(epoch.number) + " belongs to " +
@@ -283,7 +283,7 @@
   const bool may_claim = live_entries_known_ && !draining_ && !log_down &&
                          fold_.complete() && follower_->caught_up();
   if (may_claim) {
-    if (const std::optional<int64_t> number = election_.Claim(now)) {
+    if (const std::optional<int64_t> number = election_.ClaimIfDue(now)) {
       outbox.claim =
           EpochRecord{*number, settings_.name, settings_.incarnation};
     }
@@ -415,7 +415,7 @@
     const Time now = Clock::now();
     if (may_snapshot &&
         snapshots_.Due(result->first_offset, result->next_offset,
-                       fold_.newest_snapshot_covers(), now)) {
+                       fold_.newest_snapshot_end(), now)) {
       *parts =
           fold_.MakeSnapshot(NewRecordId(), settings_.snapshot_jobs_per_part);
       snapshot_under_way_ = !parts->empty();
