--- a/tests/auto/requests/fake_upstreams.h
+++ b/tests/auto/requests/fake_upstreams.h
@@ -1,4 +1,4 @@
-// A log service and an executor in this process, for tests of the carrier.
+// In-process fakes of the log service and of an executor, reached over HTTP.
 #ifndef THORNPLANK_TESTS_REQUESTS_FAKE_UPSTREAMS_H_
 #define THORNPLANK_TESTS_REQUESTS_FAKE_UPSTREAMS_H_
 
@@ -18,15 +18,15 @@
 namespace thornplank::test {
 
 enum class LogMode {
-  kWorks,
-  // Takes appends and answers them with an error.
+  kNormal,
+  // Stores appended records but answers appends with an error.
   kLosesReplies,
-  // Refuses everything.
+  // Refuses appends and reads.
   kDown,
-  // Takes appends; reads fail.
+  // Stores appended records and confirms them; reads fail.
   kUnreadable,
-  // Takes appends and answers them with an error; reads fail.
-  kTakesUnseen,
+  // Stores appended records but answers appends with an error; reads fail.
+  kLosesRepliesUnreadable,
 };
 
 class FakeLog {
@@ -49,8 +49,8 @@
     std::lock_guard<std::mutex> lock(mutex_);
     mode_ = mode;
   }
-  // Records of that kind in the stream, repeats of an id left out.
-  int Count(const std::string& kind) const {
+  // Number of stored records of this kind with distinct ids.
+  int CountRecords(const std::string& kind) const {
     std::lock_guard<std::mutex> lock(mutex_);
     std::map<std::string, int> by_id;
     for (const Json& record : records_) {
@@ -58,11 +58,12 @@
     }
     return static_cast<int>(by_id.size());
   }
+  // Number of append calls, failed ones included.
   int appends() const {
     std::lock_guard<std::mutex> lock(mutex_);
     return appends_;
   }
-  // A record from elsewhere.
+  // Stores a record as if another client had appended it.
   void Add(const std::string& id, const Json& data) {
     std::lock_guard<std::mutex> lock(mutex_);
     Store(id, data);
@@ -93,7 +94,7 @@
     for (const Json& record : body["records"]) {
       Store(record["id"], record["data"]);
     }
-    if (mode_ != LogMode::kWorks && mode_ != LogMode::kUnreadable) {
+    if (mode_ != LogMode::kNormal && mode_ != LogMode::kUnreadable) {
       return Reply(500, Json::object());
     }
     return Reply(200,
@@ -102,7 +103,7 @@
 
   HttpResponse Read(const HttpRequest& request) {
     std::lock_guard<std::mutex> lock(mutex_);
-    if (mode_ != LogMode::kWorks && mode_ != LogMode::kLosesReplies) {
+    if (mode_ != LogMode::kNormal && mode_ != LogMode::kLosesReplies) {
       return Reply(503, Json::object());
     }
     Json records = Json::array();
@@ -116,7 +117,7 @@
   }
 
   mutable std::mutex mutex_;
-  LogMode mode_ = LogMode::kWorks;
+  LogMode mode_ = LogMode::kNormal;
   std::vector<Json> records_;
   int appends_ = 0;
   HttpServer server_;
@@ -124,12 +125,12 @@
 
 enum class ExecutorMode {
   kAnswers,
-  // Runs the request and answers when told.
-  kHolds,
-  // Proves that it does not run the request.
+  // Runs the request and answers only in ReleaseHeldAnswers.
+  kHoldsAnswers,
+  // Refuses the request with the header that proves that it was not run.
   kRefuses,
-  // Runs the request and answers with the id of another one.
-  kCrosses,
+  // Runs the request and answers with the id of another request.
+  kWrongId,
   // Runs the request and answers 500.
   kFails,
 };
@@ -152,14 +153,15 @@
     std::lock_guard<std::mutex> lock(mutex_);
     mode_ = mode;
   }
-  // Runs of requests with that idempotency key ("" for those without).
+  // Number of runs of requests with this idempotency key ("" for requests
+  // without one).
   int runs(const std::string& key) const {
     std::lock_guard<std::mutex> lock(mutex_);
     const auto found = runs_.find(key);
     return found == runs_.end() ? 0 : found->second;
   }
-  // Answers what kHolds has held.
-  void AnswerHeld() {
+  // Sends the answers held in the mode kHoldsAnswers.
+  void ReleaseHeldAnswers() {
     std::vector<std::pair<HttpRequest, HttpServer::Responder>> held;
     {
       std::lock_guard<std::mutex> lock(mutex_);
@@ -195,11 +197,11 @@
       return;
     }
     ++runs_[request.headers.Value("Idempotency-Key")];
-    if (mode_ == ExecutorMode::kHolds) {
+    if (mode_ == ExecutorMode::kHoldsAnswers) {
       held_.emplace_back(request, std::move(respond));
       return;
     }
-    if (mode_ == ExecutorMode::kCrosses) response = Answer(request, "other");
+    if (mode_ == ExecutorMode::kWrongId) response = Answer(request, "other");
     if (mode_ == ExecutorMode::kFails) response.status = 500;
     respond(response);
   }
--- a/tests/auto/requests/request_fixture.h
+++ b/tests/auto/requests/request_fixture.h
@@ -1,5 +1,5 @@
-// One or two entries' request managers with real HTTP and inner links, against
-// the fakes.
+// The request managers of one or more entries, with real HTTP and peer links,
+// between a client and the fakes.
 #ifndef THORNPLANK_TESTS_REQUESTS_REQUEST_FIXTURE_H_
 #define THORNPLANK_TESTS_REQUESTS_REQUEST_FIXTURE_H_
 
@@ -34,7 +34,7 @@
   return true;
 }
 
-// One entry, without the daemon around it.
+// The parts of an entry process that a RequestManager needs.
 struct TestEntry {
   TestEntry(boost::asio::io_context& io, const std::string& name,
             const std::string& log_address, bool with_mesh)
@@ -142,7 +142,8 @@
     return live;
   }
 
-  static HttpRequest Idempotent(const std::string& body = "trace") {
+  // A request without an idempotency key.
+  static HttpRequest IdempotentRequest(const std::string& body = "trace") {
     HttpRequest request;
     request.method = "POST";
     request.target = "/v1/services/claims/requests";
@@ -151,10 +152,11 @@
     request.body = body;
     return request;
   }
-  static HttpRequest Payment(const std::string& key,
-                             const std::string& deadline_ms = "5000",
-                             Milliseconds age = Milliseconds(0)) {
-    HttpRequest request = Idempotent("pay");
+  // A request with an idempotency key that was created `age` ago.
+  static HttpRequest KeyedRequest(const std::string& key,
+                                  const std::string& deadline_ms = "5000",
+                                  Milliseconds age = Milliseconds(0)) {
+    HttpRequest request = IdempotentRequest("pay");
     const WallTime made = std::chrono::system_clock::now() - age;
     request.headers.Set("Idempotency-Key", key);
     request.headers.Set("Idempotency-Key-Time",
@@ -163,7 +165,9 @@
     return request;
   }
 
-  std::future<HttpResponse> SendLater(HttpRequest request, size_t entry = 0) {
+  // Sends the request to the entry with this index. Without a response, the
+  // result has the status 0 and the error as its body.
+  std::future<HttpResponse> SendAsync(HttpRequest request, size_t entry = 0) {
     auto promise = std::make_shared<std::promise<HttpResponse>>();
     HttpSendOptions options;
     options.timeout = std::chrono::seconds(20);
@@ -178,7 +182,7 @@
     return promise->get_future();
   }
   HttpResponse Send(HttpRequest request, size_t entry = 0) {
-    return SendLater(std::move(request), entry).get();
+    return SendAsync(std::move(request), entry).get();
   }
 
  private:
--- a/tests/auto/requests/tst_claim_stream.cc
+++ b/tests/auto/requests/tst_claim_stream.cc
@@ -1,4 +1,4 @@
-// What the claim stream says of an append that nobody confirmed.
+// When an unconfirmed append counts as not appended.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -15,21 +15,22 @@
 
 struct UnconfirmedCase {
   const char* name;
+  // Whether the log service accepts connections.
   bool listens;
   bool not_appended;
 };
 
-TEST_CASE("only what never left this process counts as not appended") {
+TEST_CASE("only a record that was never sent counts as not appended") {
   const std::vector<UnconfirmedCase> cases = {
-      {"taken, reply lost", true, false},
-      {"nobody listens", false, true},
+      {"stored, reply lost", true, false},
+      {"connection refused", false, true},
   };
   for (const UnconfirmedCase& c : cases) {
     CAPTURE(c.name);
     IoPool pool(2);
     pool.Start();
     FakeLog log(pool.io());
-    log.set_mode(LogMode::kTakesUnseen);
+    log.set_mode(LogMode::kLosesRepliesUnreadable);
     HttpClient http(pool.io(), {});
     LogClient client(http, c.listens ? log.address() : "127.0.0.1:1");
     RequestManagerSettings settings;
@@ -41,11 +42,11 @@
     const Time deadline = std::chrono::steady_clock::now() + Milliseconds(300);
     stream.AppendClaim(record, deadline, [&] { not_appended = true; });
     REQUIRE(WaitUntil([&] { return stream.pending_records() == 0; }));
-    // The callback runs right after the record has stopped to count.
+    // The callback runs shortly after the record is no longer pending.
     if (c.not_appended) {
       CHECK(WaitUntil([&] { return not_appended.load(); }));
     }
-    CHECK((log.Count("claim") == 1) == c.listens);
+    CHECK((log.CountRecords("claim") == 1) == c.listens);
     http.Close();
     log.Close();
     pool.Stop();
