--- a/src/libs/claims/claim_table.cc
+++ b/src/libs/claims/claim_table.cc
@@ -46,8 +46,8 @@
          2 * settings_.clock_margin;
 }
 
-std::optional<ClaimEvent> ClaimTable::Fold(const ClaimRecord& record,
-                                           WallTime time) {
+std::optional<ClaimEvent> ClaimTable::Apply(const ClaimRecord& record,
+                                            WallTime time) {
   log_time_ = std::max(log_time_, time);
   if (after_gap_) {
     after_gap_ = false;
--- a/src/libs/claims/claim_table.h
+++ b/src/libs/claims/claim_table.h
@@ -35,7 +35,7 @@
   // Folds the next record, appended at `time` by the log's clock. Records come
   // in order of offset; a record whose claim id was folded before changes
   // nothing. Returns what it means for claims of this entry.
-  std::optional<ClaimEvent> Fold(const ClaimRecord& record, WallTime time);
+  std::optional<ClaimEvent> Apply(const ClaimRecord& record, WallTime time);
   // Records before the next one to be folded were lost to retention.
   void NoteGap(WallTime now);
   // The stream has been read to its end once.
--- a/src/libs/requests/claim_flow.cc
+++ b/src/libs/requests/claim_flow.cc
@@ -171,7 +171,7 @@
   std::optional<ClaimEvent> event;
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    event = table_.Fold(record, time);
+    event = table_.Apply(record, time);
   }
   if (event) HandleEvent(*event);
 }
--- a/tests/auto/claims/tst_claim_history.cc
+++ b/tests/auto/claims/tst_claim_history.cc
@@ -147,7 +147,7 @@
         return;
       }
       const StoredRecord& stored = log_[entry.next_offset++];
-      const auto event = entry.table.Fold(stored.record, stored.time);
+      const auto event = entry.table.Apply(stored.record, stored.time);
       if (!event) continue;
       if (event->release) travelling_.push_back(*event->release);
       for (auto& run : entry.runs) {
--- a/tests/auto/claims/tst_claim_table.cc
+++ b/tests/auto/claims/tst_claim_table.cc
@@ -148,7 +148,7 @@
   for (const HeldCase& c : cases) {
     CAPTURE(c.name);
     ClaimTable table = MakeTable(kEast);
-    for (const ClaimRecord& record : c.records) table.Fold(record, kStart);
+    for (const ClaimRecord& record : c.records) table.Apply(record, kStart);
     const ClaimDecision decision = BeginAt(&table, "e-9");
     CHECK(decision.kind == c.kind);
     CHECK(decision.refusal == c.refusal);
@@ -197,7 +197,7 @@
       table.NoteGap(kStart);
       ClaimRecord other = ClaimOf("w-1", kWest, kStart - *c.remembered);
       other.key = "other";
-      table.Fold(other, kStart - *c.remembered);
+      table.Apply(other, kStart - *c.remembered);
     }
     const ClaimDecision decision = table.Begin(
         RequestOf("e-1", kStart - c.key_age), kStart, c.log_available);
@@ -212,10 +212,10 @@
   const ClaimRecord second = BeginAt(&east, "e-1").record;
   CHECK_FALSE(west.MaySend("w-1"));
 
-  CHECK(west.Fold(first, kStart)->kind == ClaimEventKind::kWon);
-  CHECK_FALSE(west.Fold(second, kStart));
-  CHECK_FALSE(east.Fold(first, kStart));
-  CHECK(east.Fold(second, kStart)->kind == ClaimEventKind::kLost);
+  CHECK(west.Apply(first, kStart)->kind == ClaimEventKind::kWon);
+  CHECK_FALSE(west.Apply(second, kStart));
+  CHECK_FALSE(east.Apply(first, kStart));
+  CHECK(east.Apply(second, kStart)->kind == ClaimEventKind::kLost);
 
   CHECK(west.MaySend("w-1"));
   CHECK_FALSE(east.MaySend("e-1"));
@@ -226,9 +226,9 @@
   ClaimTable table = MakeTable(kEast);
   const ClaimRecord claim = BeginAt(&table, "e-1").record;
   CHECK_FALSE(table.MaySend("e-1"));
-  CHECK(table.Fold(claim, kStart)->kind == ClaimEventKind::kWon);
+  CHECK(table.Apply(claim, kStart)->kind == ClaimEventKind::kWon);
   // The writer sent it again.
-  CHECK_FALSE(table.Fold(claim, kStart));
+  CHECK_FALSE(table.Apply(claim, kStart));
   CHECK(table.MaySend("e-1"));
 }
 
@@ -237,27 +237,27 @@
   const ClaimRecord claim = BeginAt(&table, "e-1").record;
   const auto release = table.Release("e-1");
   REQUIRE(release);
-  CHECK_FALSE(table.Fold(claim, kStart));
+  CHECK_FALSE(table.Apply(claim, kStart));
   CHECK_FALSE(table.MaySend("e-1"));
   CHECK(BeginAt(&table, "e-2").refusal == ClaimRefusal::kBeingReleased);
-  table.Fold(*release, kStart);
+  table.Apply(*release, kStart);
   CHECK(BeginAt(&table, "e-3").kind == ClaimDecisionKind::kAppend);
 }
 
 TEST_CASE("a paused holder may not send what it has released") {
   ClaimTable table = MakeTable(kEast);
   const ClaimRecord claim = BeginAt(&table, "e-1").record;
-  table.Fold(claim, kStart);
+  table.Apply(claim, kStart);
   REQUIRE(table.MaySend("e-1"));
   const auto release = table.Release("e-1");
   CHECK_FALSE(table.MaySend("e-1"));
-  table.Fold(*release, kStart);
+  table.Apply(*release, kStart);
   CHECK_FALSE(table.MaySend("e-1"));
 }
 
 TEST_CASE("a paused holder keeps its claim from everybody else") {
   ClaimTable west = MakeTable(kWest);
-  west.Fold(ClaimOf("e-1", kEast), kStart);
+  west.Apply(ClaimOf("e-1", kEast), kStart);
   west.SetReachableEntries({kWest});
   CHECK(BeginAt(&west, "w-1", kStart + minutes(14)).refusal ==
         ClaimRefusal::kHolderGone);
@@ -278,7 +278,7 @@
     CHECK(BeginAt(&table, "e-2").kind == ClaimDecisionKind::kAppend);
   }
   SUBCASE("won") {
-    table.Fold(claim, kStart);
+    table.Apply(claim, kStart);
     SUBCASE("running") {
       CHECK(BeginAt(&table, "e-2").kind == ClaimDecisionKind::kJoin);
     }
@@ -303,34 +303,34 @@
 
 TEST_CASE("keys are forgotten by the log's clock, after no claim can win") {
   ClaimTable table = MakeTable(kWest);
-  table.Fold(ClaimOf("e-1", kEast), kStart);
+  table.Apply(ClaimOf("e-1", kEast), kStart);
   ClaimRecord other = ClaimOf("e-2", kEast, kStart + minutes(16));
   other.key = "other";
   const Duration retention = table.retention();
   CHECK(retention == minutes(17));
-  table.Fold(other, kStart + retention);
+  table.Apply(other, kStart + retention);
   CHECK(table.key_count() == 2);
   // A claim that was stuck on its way for the whole window.
-  table.Fold(ClaimOf("w-1", kWest), kStart + retention + seconds(1));
+  table.Apply(ClaimOf("w-1", kWest), kStart + retention + seconds(1));
   CHECK(table.key_count() == 1);
 }
 
 TEST_CASE("a key claimed anew outlives the claim released before it") {
   ClaimTable table = MakeTable(kWest);
   const ClaimRecord first = ClaimOf("e-1", kEast);
-  table.Fold(first, kStart);
-  table.Fold(As(ClaimRecordKind::kReleased, first), kStart);
-  table.Fold(ClaimOf("e-2", kEast), kStart + minutes(10));
+  table.Apply(first, kStart);
+  table.Apply(As(ClaimRecordKind::kReleased, first), kStart);
+  table.Apply(ClaimOf("e-2", kEast), kStart + minutes(10));
   ClaimRecord other = ClaimOf("e-3", kEast, kStart + minutes(16));
   other.key = "other";
-  table.Fold(other, kStart + table.retention() + seconds(1));
+  table.Apply(other, kStart + table.retention() + seconds(1));
   CHECK(table.key_count() == 2);
 }
 
 TEST_CASE("a stuck claim is lost by the log's clock") {
   ClaimTable table = MakeTable(kEast);
   const ClaimRecord claim = BeginAt(&table, "e-1").record;
-  const auto event = table.Fold(claim, kStart + minutes(16));
+  const auto event = table.Apply(claim, kStart + minutes(16));
   REQUIRE(event);
   CHECK(event->kind == ClaimEventKind::kLost);
   CHECK(event->refusal == ClaimRefusal::kKeyExpired);
@@ -340,7 +340,7 @@
   ClaimTable table = MakeTable(kEast);
   const ClaimRecord claim = BeginAt(&table, "e-1").record;
   table.NoteGap(kStart);
-  const auto event = table.Fold(claim, kStart);
+  const auto event = table.Apply(claim, kStart);
   REQUIRE(event);
   CHECK(event->kind == ClaimEventKind::kLost);
   CHECK(event->refusal == ClaimRefusal::kKeyNotRemembered);
