--- a/src/libs/claims/claim_table.cc
+++ b/src/libs/claims/claim_table.cc
@@ -188,7 +188,7 @@
   }
 }
 
-void ClaimTable::NoteGap(WallTime now) {
+void ClaimTable::HandleGap(WallTime now) {
   after_gap_ = true;
   remembered_since_ = now + settings_.clock_margin;
 }
--- a/src/libs/claims/claim_table.h
+++ b/src/libs/claims/claim_table.h
@@ -37,7 +37,7 @@
   // nothing. Returns what it means for claims of this entry.
   std::optional<ClaimEvent> Apply(const ClaimRecord& record, WallTime time);
   // Records before the next one to be folded were lost to retention.
-  void NoteGap(WallTime now);
+  void HandleGap(WallTime now);
   // The stream has been read to its end once.
   void NoteCaughtUp() { caught_up_ = true; }
   // The entries that may still answer for their claims, this one included or
--- a/src/libs/requests/claim_flow.cc
+++ b/src/libs/requests/claim_flow.cc
@@ -211,7 +211,7 @@
 
 void ClaimFlow::Impl::FoldGap() {
   std::lock_guard<std::mutex> lock(mutex_);
-  table_.NoteGap(std::chrono::system_clock::now());
+  table_.HandleGap(std::chrono::system_clock::now());
 }
 
 bool ClaimFlow::Impl::MaySend(const std::string& claim_id) const {
--- a/tests/auto/claims/tst_claim_history.cc
+++ b/tests/auto/claims/tst_claim_history.cc
@@ -139,7 +139,7 @@
     Entry& entry = PickEntry();
     for (int count = Pick(6); count >= 0; --count) {
       if (entry.next_offset < first_kept_) {
-        entry.table.NoteGap(log_time_ + entry.skew);
+        entry.table.HandleGap(log_time_ + entry.skew);
         entry.next_offset = first_kept_;
       }
       if (entry.next_offset == log_.size()) {
--- a/tests/auto/claims/tst_claim_table.cc
+++ b/tests/auto/claims/tst_claim_table.cc
@@ -194,7 +194,7 @@
     ClaimTable table(settings);
     if (c.caught_up) table.NoteCaughtUp();
     if (c.remembered) {
-      table.NoteGap(kStart);
+      table.HandleGap(kStart);
       ClaimRecord other = ClaimOf("w-1", kWest, kStart - *c.remembered);
       other.key = "other";
       table.Apply(other, kStart - *c.remembered);
@@ -339,7 +339,7 @@
 TEST_CASE("a gap that may hide an earlier claim takes the win away") {
   ClaimTable table = MakeTable(kEast);
   const ClaimRecord claim = BeginAt(&table, "e-1").record;
-  table.NoteGap(kStart);
+  table.HandleGap(kStart);
   const auto event = table.Apply(claim, kStart);
   REQUIRE(event);
   CHECK(event->kind == ClaimEventKind::kLost);
