--- a/src/libs/claims/claim_table.h
+++ b/src/libs/claims/claim_table.h
@@ -39,7 +39,7 @@
   // Records before the next one to be folded were lost to retention.
   void HandleGap(WallTime now);
   // The stream has been read to its end once.
-  void NoteCaughtUp() { caught_up_ = true; }
+  void MarkCaughtUp() { caught_up_ = true; }
   // The entries that may still answer for their claims, this one included or
   // not.
   void SetReachableEntries(std::vector<ClaimHolder> entries);
--- a/src/libs/requests/claim_flow_decisions.cc
+++ b/src/libs/requests/claim_flow_decisions.cc
@@ -62,7 +62,7 @@
 void ClaimFlow::Impl::NoteCaughtUp() {
   if (!ready()) return;
   std::lock_guard<std::mutex> lock(mutex_);
-  table_.NoteCaughtUp();
+  table_.MarkCaughtUp();
 }
 
 bool ClaimFlow::Impl::PassAdmission(const ClaimWaiterPtr& waiter) {
--- a/tests/auto/claims/tst_claim_history.cc
+++ b/tests/auto/claims/tst_claim_history.cc
@@ -143,7 +143,7 @@
         entry.next_offset = first_kept_;
       }
       if (entry.next_offset == log_.size()) {
-        entry.table.NoteCaughtUp();
+        entry.table.MarkCaughtUp();
         return;
       }
       const StoredRecord& stored = log_[entry.next_offset++];
--- a/tests/auto/claims/tst_claim_table.cc
+++ b/tests/auto/claims/tst_claim_table.cc
@@ -24,7 +24,7 @@
   ClaimTableSettings settings;
   settings.self = self;
   ClaimTable table(settings);
-  table.NoteCaughtUp();
+  table.MarkCaughtUp();
   table.SetReachableEntries({kEast, kWest});
   return table;
 }
@@ -192,7 +192,7 @@
     ClaimTableSettings settings;
     settings.self = kEast;
     ClaimTable table(settings);
-    if (c.caught_up) table.NoteCaughtUp();
+    if (c.caught_up) table.MarkCaughtUp();
     if (c.remembered) {
       table.HandleGap(kStart);
       ClaimRecord other = ClaimOf("w-1", kWest, kStart - *c.remembered);
@@ -353,7 +353,7 @@
   settings.self = kEast;
   settings.max_keys = 2;
   ClaimTable table(settings);
-  table.NoteCaughtUp();
+  table.MarkCaughtUp();
   ClaimRequest request = RequestOf("e-1");
   for (const char* key : {"a", "b"}) {
     request.key = key;
