--- a/src/libs/claims/claim_table.cc
+++ b/src/libs/claims/claim_table.cc
@@ -197,8 +197,8 @@
   reachable_ = std::move(entries);
 }
 
-ClaimDecision ClaimTable::Look(const ClaimRequest& request, WallTime now,
-                               bool log_available) const {
+ClaimDecision ClaimTable::Evaluate(const ClaimRequest& request, WallTime now,
+                                   bool log_available) const {
   if (request.key_time > now + settings_.max_key_time_ahead) {
     return Refuse(ClaimRefusal::kKeyTimeAhead);
   }
@@ -280,7 +280,7 @@
 
 ClaimDecision ClaimTable::Begin(const ClaimRequest& request, WallTime now,
                                 bool log_available) {
-  ClaimDecision decision = Look(request, now, log_available);
+  ClaimDecision decision = Evaluate(request, now, log_available);
   if (decision.kind != ClaimDecisionKind::kAppend) return decision;
   OwnClaim own;
   own.record.kind = ClaimRecordKind::kClaim;
--- a/src/libs/claims/claim_table.h
+++ b/src/libs/claims/claim_table.h
@@ -45,8 +45,8 @@
   void SetReachableEntries(std::vector<ClaimHolder> entries);
 
   // What would be decided on the request; changes nothing.
-  ClaimDecision Look(const ClaimRequest& request, WallTime now,
-                     bool log_available) const;
+  ClaimDecision Evaluate(const ClaimRequest& request, WallTime now,
+                         bool log_available) const;
   // Decides; with kAppend this entry's claim is pending from now on.
   ClaimDecision Begin(const ClaimRequest& request, WallTime now,
                       bool log_available);
--- a/src/libs/requests/claim_flow_decisions.cc
+++ b/src/libs/requests/claim_flow_decisions.cc
@@ -70,7 +70,7 @@
   const bool available = stream_.available();
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    const ClaimDecision decision = table_.Look(
+    const ClaimDecision decision = table_.Evaluate(
         waiter->request, std::chrono::system_clock::now(), available);
     if (decision.kind != ClaimDecisionKind::kAppend) return true;
   }
@@ -88,7 +88,7 @@
   ClaimRequest& request = waiter->request;
   const WallTime now = std::chrono::system_clock::now();
   if (!waiter->may_claim) {
-    const ClaimDecision decision = table_.Look(request, now, available);
+    const ClaimDecision decision = table_.Evaluate(request, now, available);
     if (decision.kind == ClaimDecisionKind::kJoin) {
       waiters_.Join(decision.claim_id, waiter);
       ArmDeadline(waiter);
