--- a/src/libs/claims/claim_table.cc
+++ b/src/libs/claims/claim_table.cc
@@ -278,8 +278,8 @@
   return ClaimRefusal::kNone;
 }
 
-ClaimDecision ClaimTable::Begin(const ClaimRequest& request, WallTime now,
-                                bool log_available) {
+ClaimDecision ClaimTable::BeginClaim(const ClaimRequest& request, WallTime now,
+                                     bool log_available) {
   ClaimDecision decision = Evaluate(request, now, log_available);
   if (decision.kind != ClaimDecisionKind::kAppend) return decision;
   OwnClaim own;
--- a/src/libs/claims/claim_table.h
+++ b/src/libs/claims/claim_table.h
@@ -48,8 +48,8 @@
   ClaimDecision Evaluate(const ClaimRequest& request, WallTime now,
                          bool log_available) const;
   // Decides; with kAppend this entry's claim is pending from now on.
-  ClaimDecision Begin(const ClaimRequest& request, WallTime now,
-                      bool log_available);
+  ClaimDecision BeginClaim(const ClaimRequest& request, WallTime now,
+                           bool log_available);
 
   // Whether this entry's fold says that its claim holds the key and it has
   // neither released nor finished it.
--- a/src/libs/requests/claim_flow_decisions.cc
+++ b/src/libs/requests/claim_flow_decisions.cc
@@ -97,7 +97,7 @@
   }
   request.claim_id = settings_.self.entry + "-" + settings_.self.incarnation +
                      "-" + std::to_string(next_claim_++);
-  const ClaimDecision decision = table_.Begin(request, now, available);
+  const ClaimDecision decision = table_.BeginClaim(request, now, available);
   if (decision.kind == ClaimDecisionKind::kAppend) {
     waiters_.AddPending(waiter);
     ArmDeadline(waiter);
--- a/tests/auto/claims/tst_claim_history.cc
+++ b/tests/auto/claims/tst_claim_history.cc
@@ -121,7 +121,7 @@
     request.key = key->first;
     request.key_time = key->second;
     const ClaimDecision decision =
-        entry.table.Begin(request, log_time_ + entry.skew, true);
+        entry.table.BeginClaim(request, log_time_ + entry.skew, true);
     if (decision.kind != ClaimDecisionKind::kAppend) return;
     entry.runs.push_back({request.claim_id, request.key});
     travelling_.push_back(decision.record);
--- a/tests/auto/claims/tst_claim_table.cc
+++ b/tests/auto/claims/tst_claim_table.cc
@@ -55,7 +55,7 @@
 
 ClaimDecision BeginAt(ClaimTable* table, const std::string& claim_id,
                       WallTime now = kStart) {
-  return table->Begin(RequestOf(claim_id), now, true);
+  return table->BeginClaim(RequestOf(claim_id), now, true);
 }
 
 // What was folded before, and what a new request of the key is then told.
@@ -199,7 +199,7 @@
       other.key = "other";
       table.Apply(other, kStart - *c.remembered);
     }
-    const ClaimDecision decision = table.Begin(
+    const ClaimDecision decision = table.BeginClaim(
         RequestOf("e-1", kStart - c.key_age), kStart, c.log_available);
     CHECK(decision.refusal == c.refusal);
   }
@@ -270,7 +270,7 @@
     CHECK(BeginAt(&table, "e-2").claim_id == "e-1");
     const ClaimRequest other =
         RequestOf("e-3", kStart, DigestOf("another body"));
-    CHECK(table.Begin(other, kStart, true).refusal ==
+    CHECK(table.BeginClaim(other, kStart, true).refusal ==
           ClaimRefusal::kBodyDiffers);
   }
   SUBCASE("never appended") {
@@ -295,7 +295,7 @@
     SUBCASE("another body") {
       const ClaimRequest other =
           RequestOf("e-3", kStart, DigestOf("another body"));
-      CHECK(table.Begin(other, kStart, true).refusal ==
+      CHECK(table.BeginClaim(other, kStart, true).refusal ==
             ClaimRefusal::kBodyDiffers);
     }
   }
@@ -358,11 +358,12 @@
   for (const char* key : {"a", "b"}) {
     request.key = key;
     request.claim_id = key;
-    CHECK(table.Begin(request, kStart, true).kind ==
+    CHECK(table.BeginClaim(request, kStart, true).kind ==
           ClaimDecisionKind::kAppend);
   }
   request.key = "c";
-  CHECK(table.Begin(request, kStart, true).refusal == ClaimRefusal::kTableFull);
+  CHECK(table.BeginClaim(request, kStart, true).refusal ==
+        ClaimRefusal::kTableFull);
 }
 
 TEST_CASE("records survive their JSON form") {
