--- a/src/libs/claims/claim_table.cc
+++ b/src/libs/claims/claim_table.cc
@@ -43,7 +43,7 @@
 // most window + ahead + 2 * margin.
 Duration ClaimTable::retention() const {
   return settings_.window + settings_.max_key_time_ahead +
-         2 * settings_.clock_margin;
+         2 * settings_.max_clock_skew;
 }
 
 std::optional<ClaimEvent> ClaimTable::Apply(const ClaimRecord& record,
@@ -146,7 +146,7 @@
 }
 
 ClaimRefusal ClaimTable::CheckTimes(const ClaimRecord& record) const {
-  const Duration margin = settings_.clock_margin;
+  const Duration margin = settings_.max_clock_skew;
   if (record.key_time > log_time_ + settings_.max_key_time_ahead + margin) {
     return ClaimRefusal::kKeyTimeAhead;
   }
@@ -159,7 +159,7 @@
 // No claim of the key can be older than the key time less (ahead + margin).
 bool ClaimTable::Remembers(WallTime key_time) const {
   if (!remembered_since_) return true;
-  return key_time - settings_.max_key_time_ahead - settings_.clock_margin >=
+  return key_time - settings_.max_key_time_ahead - settings_.max_clock_skew >=
          *remembered_since_;
 }
 
@@ -190,7 +190,7 @@
 
 void ClaimTable::HandleGap(WallTime now) {
   after_gap_ = true;
-  remembered_since_ = now + settings_.clock_margin;
+  remembered_since_ = now + settings_.max_clock_skew;
 }
 
 void ClaimTable::SetReachableEntries(std::vector<ClaimHolder> entries) {
@@ -320,7 +320,7 @@
   }
   // After that time the claim can't win any more.
   const WallTime at =
-      own.record.key_time + settings_.window + settings_.clock_margin;
+      own.record.key_time + settings_.window + settings_.max_clock_skew;
   abandoned_expiry_.push_back({at, claim_id});
   return RecordOf(own, ClaimRecordKind::kReleased);
 }
--- a/src/libs/claims/claim_types.h
+++ b/src/libs/claims/claim_types.h
@@ -20,7 +20,7 @@
   // How far ahead of the present a key time may lie.
   Milliseconds max_key_time_ahead{60000};
   // The largest difference assumed between two clocks.
-  Milliseconds clock_margin{30000};
+  Milliseconds max_clock_skew{30000};
   // No new claim is begun while the table holds this many keys.
   size_t max_keys = 1000000;
 };
