--- a/src/libs/requests/routing_log.cc
+++ b/src/libs/requests/routing_log.cc
@@ -40,7 +40,7 @@
               {"executor", action.executor},
               {"reason", "its request already has an outcome"}});
   }
-  void operator()(const ExecutorTakenOut& action) const {
+  void operator()(const ExecutorEjected& action) const {
     LogEvent(events::kExecutorTakenOut,
              {{"executor", action.executor}, {"reason", action.reason}});
   }
--- a/src/libs/routing/executor_pool.cc
+++ b/src/libs/routing/executor_pool.cc
@@ -354,7 +354,7 @@
   executor->health.TakeOut(for_latency, now);
   Refresh(executor);
   UpdateNextProbe();
-  actions->push_back(ExecutorTakenOut{executor->info.name, reason});
+  actions->push_back(ExecutorEjected{executor->info.name, reason});
 }
 
 void ExecutorPool::SendProbes(Executor* executor, Time now,
--- a/src/libs/routing/routing_types.h
+++ b/src/libs/routing/routing_types.h
@@ -136,7 +136,7 @@
 };
 
 // The executor gets no requests until a probe succeeds.
-struct ExecutorTakenOut {
+struct ExecutorEjected {
   std::string executor;
   std::string reason;
 };
@@ -163,7 +163,7 @@
 
 using RoutingAction =
     std::variant<SendAttempt, FinishAnswered, FinishNotRun, FinishUnknown,
-                 DropAnswer, ExecutorTakenOut, ProbeExecutor, ExecutorBack,
+                 DropAnswer, ExecutorEjected, ProbeExecutor, ExecutorBack,
                  ExecutorLeaving>;
 using RoutingActions = std::vector<RoutingAction>;
 
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -218,7 +218,7 @@
 
   void Carry(const RoutingActions& actions) {
     for (const RoutingAction& action : actions) {
-      if (const auto* taken_out = std::get_if<ExecutorTakenOut>(&action)) {
+      if (const auto* taken_out = std::get_if<ExecutorEjected>(&action)) {
         model_.out.insert(taken_out->executor);
       } else if (const auto* back = std::get_if<ExecutorBack>(&action)) {
         // Back from its own sign of leaving, or else from being out.
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -90,7 +90,7 @@
         const Time end = now_ + milliseconds(reaction.latency_ms);
         ends_.emplace(std::min(end, send->attempt_deadline),
                       std::make_pair(*send, reaction));
-      } else if (const auto* taken = std::get_if<ExecutorTakenOut>(&action)) {
+      } else if (const auto* taken = std::get_if<ExecutorEjected>(&action)) {
         ++taken_out_[taken->executor];
       } else if (std::holds_alternative<ExecutorBack>(action)) {
         ++back_;
