--- a/src/libs/requests/routing_log.cc
+++ b/src/libs/requests/routing_log.cc
@@ -48,7 +48,7 @@
     LogEvent(events::kExecutorProbed,
              {{"executor", action.executor}, {"reason", "due for a probe"}});
   }
-  void operator()(const ExecutorBack& action) const {
+  void operator()(const ExecutorReinstated& action) const {
     LogEvent(events::kExecutorBack,
              {{"executor", action.executor}, {"reason", action.reason}});
   }
--- a/src/libs/routing/executor_pool.cc
+++ b/src/libs/routing/executor_pool.cc
@@ -217,8 +217,8 @@
     executor->leaving_probe_time = now + kLeavingProbePeriod;
     if (healthy && !result.leaving) {
       executor->said_leaving = false;
-      actions.push_back(
-          ExecutorBack{executor->info.name, "no longer says that it leaves"});
+      actions.push_back(ExecutorReinstated{executor->info.name,
+                                           "no longer says that it leaves"});
     }
   } else if (result.leaving) {
     std::optional<RoutingAction> leaving =
@@ -229,7 +229,8 @@
   }
   // A leaving executor stays out; it is probed when it no longer leaves.
   if (executor->health.EndProbe(healthy && !executor->leaving(), now)) {
-    actions.push_back(ExecutorBack{executor->info.name, "its probe succeeded"});
+    actions.push_back(
+        ExecutorReinstated{executor->info.name, "its probe succeeded"});
   }
   Refresh(executor);
   UpdateNextProbe();
--- a/src/libs/routing/routing_types.h
+++ b/src/libs/routing/routing_types.h
@@ -150,7 +150,7 @@
 };
 
 // The executor gets requests again, one at a time at first.
-struct ExecutorBack {
+struct ExecutorReinstated {
   std::string executor;
   std::string reason;
 };
@@ -163,7 +163,7 @@
 
 using RoutingAction =
     std::variant<SendAttempt, FinishAnswered, FinishNotRun, FinishUnknown,
-                 DropAnswer, ExecutorEjected, ProbeExecutor, ExecutorBack,
+                 DropAnswer, ExecutorEjected, ProbeExecutor, ExecutorReinstated,
                  ExecutorLeaving>;
 using RoutingActions = std::vector<RoutingAction>;
 
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -220,7 +220,7 @@
     for (const RoutingAction& action : actions) {
       if (const auto* taken_out = std::get_if<ExecutorEjected>(&action)) {
         model_.out.insert(taken_out->executor);
-      } else if (const auto* back = std::get_if<ExecutorBack>(&action)) {
+      } else if (const auto* back = std::get_if<ExecutorReinstated>(&action)) {
         // Back from its own sign of leaving, or else from being out.
         if (model_.said_leaving.erase(back->executor) == 0) {
           model_.out.erase(back->executor);
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -92,7 +92,7 @@
                       std::make_pair(*send, reaction));
       } else if (const auto* taken = std::get_if<ExecutorEjected>(&action)) {
         ++taken_out_[taken->executor];
-      } else if (std::holds_alternative<ExecutorBack>(action)) {
+      } else if (std::holds_alternative<ExecutorReinstated>(action)) {
         ++back_;
       } else if (std::holds_alternative<FinishAnswered>(action)) {
         ++answered_;
