--- a/benchmarks/bench_routing.cc
+++ b/benchmarks/bench_routing.cc
@@ -120,7 +120,7 @@
   Time now{seconds(1)};
   router.SetAccounts(MakeAccounts(accounts, 2), now);
   router.SetExecutors(MakeExecutors(executors), now);
-  router.SetPeers("entry-0", {"entry-0", "entry-1", "entry-2"}, now);
+  router.SetLiveEntries("entry-0", {"entry-0", "entry-1", "entry-2"}, now);
   std::vector<SendAttempt> in_flight;
   in_flight.reserve(static_cast<size_t>(executors) * kSlots);
   std::mt19937_64 random(FLAGS_seed);
--- a/benchmarks/burst_loop.cc
+++ b/benchmarks/burst_loop.cc
@@ -110,7 +110,7 @@
                        kGuaranteedSlots),
           now_);
       router.SetExecutors(executors, now_);
-      router.SetPeers(names[static_cast<size_t>(entry)], names, now_);
+      router.SetLiveEntries(names[static_cast<size_t>(entry)], names, now_);
       // Heartbeats of different entries are not at the same time.
       At(now_ + milliseconds(options_.heartbeat_ms * entry / kEntries),
          [this, entry] { Heartbeat(entry); });
--- a/src/libs/requests/request_dispatcher.cc
+++ b/src/libs/requests/request_dispatcher.cc
@@ -325,7 +325,7 @@
 void RequestDispatcher::SetPeers(const std::string& own_name,
                                  const std::vector<std::string>& live_entries) {
   impl_->Feed([&](RequestRouter& router, Time now) {
-    return router.SetPeers(own_name, live_entries, now);
+    return router.SetLiveEntries(own_name, live_entries, now);
   });
 }
 
--- a/src/libs/routing/request_router.cc
+++ b/src/libs/routing/request_router.cc
@@ -121,7 +121,7 @@
   return actions;
 }
 
-RoutingActions RequestRouter::SetPeers(
+RoutingActions RequestRouter::SetLiveEntries(
     const std::string& own_name, const std::vector<std::string>& live_entries,
     Time now) {
   latest_ = now;
--- a/src/libs/routing/request_router.h
+++ b/src/libs/routing/request_router.h
@@ -56,9 +56,9 @@
   RoutingActions SetExecutors(const std::vector<ExecutorInfo>& executors,
                               Time now);
   // The live entries, with or without `own_name`.
-  RoutingActions SetPeers(const std::string& own_name,
-                          const std::vector<std::string>& live_entries,
-                          Time now);
+  RoutingActions SetLiveEntries(const std::string& own_name,
+                                const std::vector<std::string>& live_entries,
+                                Time now);
   // The newest demand of another entry, from its heartbeat.
   RoutingActions SetPeerDemand(const PeerDemand& demand, Time now);
 
--- a/tests/auto/routing/tst_admission.cc
+++ b/tests/auto/routing/tst_admission.cc
@@ -26,7 +26,7 @@
     limits.max_queued = max_queued;
     router.SetAccounts({limits}, At(0));
     router.SetExecutors(MakeExecutors(executors, 1), At(0));
-    router.SetPeers("entry-1", {}, At(0));
+    router.SetLiveEntries("entry-1", {}, At(0));
     const SendAttempt first = Submit("first", 9000, 0).at(0);
     router.Complete("first", first.executor,
                     MakeResult(AttemptOutcome::kAnswered, 100), At(100));
--- a/tests/auto/routing/tst_request_router.cc
+++ b/tests/auto/routing/tst_request_router.cc
@@ -28,7 +28,7 @@
       : router(Options()) {
     router.SetAccounts(accounts, At(0));
     router.SetExecutors(MakeExecutors(executors, slots), At(0));
-    router.SetPeers("entry-1", {"entry-1"}, At(0));
+    router.SetLiveEntries("entry-1", {"entry-1"}, At(0));
   }
 
   static RouterOptions Options() {
@@ -173,7 +173,7 @@
   RequestRouter router(RouterOptions{});
   router.SetAccounts({MakeAccount("a", 4), MakeAccount("b")}, At(0));
   router.SetExecutors(MakeExecutors(2, 8), At(0));
-  router.SetPeers("entry-1", {}, At(0));
+  router.SetLiveEntries("entry-1", {}, At(0));
   const auto sent = [&router](const std::string& id, const char* account) {
     return Only<SendAttempt>(
                router.Submit(MakeRequest(id, account, At(9000)), At(1)))
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -85,7 +85,7 @@
     Carry(router_.SetAccounts({MakeAccount("a", 4), MakeAccount("b")}, now_));
     executors_ = MakeExecutors(kExecutors, kSlots);
     Carry(router_.SetExecutors(executors_, now_));
-    Carry(router_.SetPeers("entry-1", {"entry-1", "entry-2"}, now_));
+    Carry(router_.SetLiveEntries("entry-1", {"entry-1", "entry-2"}, now_));
   }
 
   void Step(int kind, int argument) {
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -44,7 +44,7 @@
       : router_(RouterOptions{}), behaviour_(std::move(behaviour)) {
     router_.SetAccounts(accounts, now_);
     router_.SetExecutors(MakeExecutors(executors), now_);
-    router_.SetPeers("entry-1", {}, now_);
+    router_.SetLiveEntries("entry-1", {}, now_);
   }
 
   // Each millisecond `per_ms` requests of the account arrive.
