--- a/benchmarks/bench_routing.cc
+++ b/benchmarks/bench_routing.cc
@@ -118,7 +118,7 @@
 double DecisionTime(int executors, int accounts) {
   RequestRouter router(RouterOptions{});
   Time now{seconds(1)};
-  router.SetAccounts(MakeAccounts(accounts, 2), now);
+  router.SetAccountLimits(MakeAccounts(accounts, 2), now);
   router.SetExecutors(MakeExecutors(executors), now);
   router.SetLiveEntries("entry-0", {"entry-0", "entry-1", "entry-2"}, now);
   std::vector<SendAttempt> in_flight;
--- a/benchmarks/burst_loop.cc
+++ b/benchmarks/burst_loop.cc
@@ -105,7 +105,7 @@
       routers_.push_back(
           std::make_unique<RequestRouter>(options, MakeShare(way_)));
       RequestRouter& router = *routers_.back();
-      router.SetAccounts(
+      router.SetAccountLimits(
           MakeAccounts(static_cast<int>(load_.account_weights.size()),
                        kGuaranteedSlots),
           now_);
--- a/src/libs/requests/request_dispatcher.cc
+++ b/src/libs/requests/request_dispatcher.cc
@@ -311,7 +311,7 @@
 void RequestDispatcher::SetAccounts(
     const std::vector<AccountLimits>& accounts) {
   impl_->Feed([&](RequestRouter& router, Time now) {
-    return router.SetAccounts(accounts, now);
+    return router.SetAccountLimits(accounts, now);
   });
 }
 
--- a/src/libs/routing/request_router.cc
+++ b/src/libs/routing/request_router.cc
@@ -91,7 +91,7 @@
   return budget;
 }
 
-RoutingActions RequestRouter::SetAccounts(
+RoutingActions RequestRouter::SetAccountLimits(
     const std::vector<AccountLimits>& accounts, Time now) {
   latest_ = now;
   limits_ = accounts;
--- a/src/libs/routing/request_router.h
+++ b/src/libs/routing/request_router.h
@@ -48,8 +48,8 @@
 
   // Replaces the limits of all accounts. Requests of an account that has none
   // are refused.
-  RoutingActions SetAccounts(const std::vector<AccountLimits>& accounts,
-                             Time now);
+  RoutingActions SetAccountLimits(const std::vector<AccountLimits>& accounts,
+                                  Time now);
   // Replaces the executors by the present instance list. An executor that said
   // itself that it is leaving stays so whatever the list says, until it has
   // another address or answers a probe without that sign.
--- a/tests/auto/routing/tst_admission.cc
+++ b/tests/auto/routing/tst_admission.cc
@@ -24,7 +24,7 @@
   Busy(int executors, int max_queued) : router(RouterOptions{}) {
     AccountLimits limits = MakeAccount("a");
     limits.max_queued = max_queued;
-    router.SetAccounts({limits}, At(0));
+    router.SetAccountLimits({limits}, At(0));
     router.SetExecutors(MakeExecutors(executors, 1), At(0));
     router.SetLiveEntries("entry-1", {}, At(0));
     const SendAttempt first = Submit("first", 9000, 0).at(0);
--- a/tests/auto/routing/tst_request_router.cc
+++ b/tests/auto/routing/tst_request_router.cc
@@ -26,7 +26,7 @@
   explicit Fixture(int executors, int slots = 8,
                    std::vector<AccountLimits> accounts = {MakeAccount("a")})
       : router(Options()) {
-    router.SetAccounts(accounts, At(0));
+    router.SetAccountLimits(accounts, At(0));
     router.SetExecutors(MakeExecutors(executors, slots), At(0));
     router.SetLiveEntries("entry-1", {"entry-1"}, At(0));
   }
@@ -171,7 +171,7 @@
 
 TEST_CASE("borrowing leaves the last slot to an active guaranteed account") {
   RequestRouter router(RouterOptions{});
-  router.SetAccounts({MakeAccount("a", 4), MakeAccount("b")}, At(0));
+  router.SetAccountLimits({MakeAccount("a", 4), MakeAccount("b")}, At(0));
   router.SetExecutors(MakeExecutors(2, 8), At(0));
   router.SetLiveEntries("entry-1", {}, At(0));
   const auto sent = [&router](const std::string& id, const char* account) {
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -82,7 +82,8 @@
   Driver()
       : router_(RouterOptions{},
                 std::make_unique<RecordingShare>(&allocation_)) {
-    Carry(router_.SetAccounts({MakeAccount("a", 4), MakeAccount("b")}, now_));
+    Carry(router_.SetAccountLimits({MakeAccount("a", 4), MakeAccount("b")},
+                                   now_));
     executors_ = MakeExecutors(kExecutors, kSlots);
     Carry(router_.SetExecutors(executors_, now_));
     Carry(router_.SetLiveEntries("entry-1", {"entry-1", "entry-2"}, now_));
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -42,7 +42,7 @@
 
   Run(int executors, std::vector<AccountLimits> accounts, Behaviour behaviour)
       : router_(RouterOptions{}), behaviour_(std::move(behaviour)) {
-    router_.SetAccounts(accounts, now_);
+    router_.SetAccountLimits(accounts, now_);
     router_.SetExecutors(MakeExecutors(executors), now_);
     router_.SetLiveEntries("entry-1", {}, now_);
   }
