--- a/benchmarks/bench_routing.cc
+++ b/benchmarks/bench_routing.cc
@@ -154,7 +154,8 @@
     AttemptResult result;
     result.outcome = AttemptOutcome::kAnswered;
     result.latency = milliseconds(20);
-    collect(router.Complete(attempt.request_id, attempt.executor, result, now));
+    collect(router.CompleteAttempt(attempt.request_id, attempt.executor, result,
+                                   now));
     submit(number++);
   }
   const auto elapsed = std::chrono::steady_clock::now() - begin;
--- a/benchmarks/burst_loop.cc
+++ b/benchmarks/burst_loop.cc
@@ -256,7 +256,7 @@
     result.outcome = outcome;
     result.latency = now_ - caller.sent;
     Carry(entry,
-          routers_[static_cast<size_t>(entry)]->Complete(
+          routers_[static_cast<size_t>(entry)]->CompleteAttempt(
               std::to_string(number),
               "executor-" + std::to_string(1000 + executor), result, now_));
   }
--- a/src/libs/requests/request_dispatcher.cc
+++ b/src/libs/requests/request_dispatcher.cc
@@ -233,8 +233,9 @@
       --found->second.attempts_in_flight;
       found->second.answer = std::move(report.answer);
     }
-    Prepare(router_.Complete(action.request_id, action.executor, report.result,
-                             std::chrono::steady_clock::now()),
+    Prepare(router_.CompleteAttempt(action.request_id, action.executor,
+                                    report.result,
+                                    std::chrono::steady_clock::now()),
             &deferred);
     PrepareSettle(action.request_id, &deferred);
     ArmWakeTimer();
--- a/src/libs/routing/request_router.cc
+++ b/src/libs/routing/request_router.cc
@@ -202,9 +202,10 @@
   return actions;
 }
 
-RoutingActions RequestRouter::Complete(const std::string& request_id,
-                                       const std::string& executor,
-                                       const AttemptResult& result, Time now) {
+RoutingActions RequestRouter::CompleteAttempt(const std::string& request_id,
+                                              const std::string& executor,
+                                              const AttemptResult& result,
+                                              Time now) {
   latest_ = now;
   RoutingActions actions;
   RoutedRequest* request = table_->Find(request_id);
--- a/src/libs/routing/request_router.h
+++ b/src/libs/routing/request_router.h
@@ -73,9 +73,9 @@
   RoutingActions Submit(const RequestInfo& request, Time now);
   // The outcome of an attempt, also of one whose request is already finished.
   // Ignored when no such attempt is in flight.
-  RoutingActions Complete(const std::string& request_id,
-                          const std::string& executor,
-                          const AttemptResult& result, Time now);
+  RoutingActions CompleteAttempt(const std::string& request_id,
+                                 const std::string& executor,
+                                 const AttemptResult& result, Time now);
   // The outcome of a ProbeExecutor: kAnswered for a healthy executor.
   RoutingActions ProbeResult(const std::string& executor,
                              const AttemptResult& result, Time now);
--- a/tests/auto/routing/tst_admission.cc
+++ b/tests/auto/routing/tst_admission.cc
@@ -28,8 +28,8 @@
     router.SetExecutors(MakeExecutors(executors, 1), At(0));
     router.SetLiveEntries("entry-1", {}, At(0));
     const SendAttempt first = Submit("first", 9000, 0).at(0);
-    router.Complete("first", first.executor,
-                    MakeResult(AttemptOutcome::kAnswered, 100), At(100));
+    router.CompleteAttempt("first", first.executor,
+                           MakeResult(AttemptOutcome::kAnswered, 100), At(100));
     for (int i = 0; i < executors; ++i) {
       running = Submit("running-" + std::to_string(i), 9000, 100).at(0);
     }
@@ -49,9 +49,9 @@
   Busy busy(1, 100);
   busy.Submit("short", 1000, 100);
   busy.Submit("long", 9000, 100);
-  const RoutingActions actions =
-      busy.router.Complete(busy.running.request_id, busy.running.executor,
-                           MakeResult(AttemptOutcome::kAnswered, 100), At(930));
+  const RoutingActions actions = busy.router.CompleteAttempt(
+      busy.running.request_id, busy.running.executor,
+      MakeResult(AttemptOutcome::kAnswered, 100), At(930));
   CHECK(Only<FinishNotRun>(actions).at(0).request_id == "short");
   CHECK(Only<SendAttempt>(actions).at(0).request_id == "long");
 }
--- a/tests/auto/routing/tst_request_router.cc
+++ b/tests/auto/routing/tst_request_router.cc
@@ -49,7 +49,7 @@
   CHECK(sends[0].attempt == 1);
   CHECK((sends[0].executor == "executor-101" ||
          sends[0].executor == "executor-105"));
-  const RoutingActions done = fixture.router.Complete(
+  const RoutingActions done = fixture.router.CompleteAttempt(
       "r", sends[0].executor, MakeResult(AttemptOutcome::kAnswered), At(10));
   REQUIRE(done.size() == 1);
   CHECK(std::get<FinishAnswered>(done[0]).request_id == "r");
@@ -63,14 +63,13 @@
   const std::string other =
       sends[0].executor == "executor-100" ? "executor-101" : "executor-100";
   const AttemptResult answered = MakeResult(AttemptOutcome::kAnswered);
-  CHECK(fixture.router.Complete("r", other, answered, At(5)).empty());
-  CHECK(fixture.router.Complete("x", other, answered, At(5)).empty());
+  CHECK(fixture.router.CompleteAttempt("r", other, answered, At(5)).empty());
+  CHECK(fixture.router.CompleteAttempt("x", other, answered, At(5)).empty());
   CHECK(fixture.router.Submit(MakeRequest("r", "a", At(1000)), At(5)).empty());
-  CHECK(
-      fixture.router.Complete("r", sends[0].executor, answered, At(6)).size() ==
-      1);
-  CHECK(
-      fixture.router.Complete("r", sends[0].executor, answered, At(7)).empty());
+  CHECK(fixture.router.CompleteAttempt("r", sends[0].executor, answered, At(6))
+            .size() == 1);
+  CHECK(fixture.router.CompleteAttempt("r", sends[0].executor, answered, At(7))
+            .empty());
 }
 
 TEST_CASE("what cannot run is refused at once") {
@@ -82,8 +81,9 @@
   // One answer of 100 ms teaches the service time.
   auto sends = Only<SendAttempt>(
       fixture.router.Submit(MakeRequest("first", "a", At(9000)), At(0)));
-  fixture.router.Complete("first", sends[0].executor,
-                          MakeResult(AttemptOutcome::kAnswered, 100), At(100));
+  fixture.router.CompleteAttempt("first", sends[0].executor,
+                                 MakeResult(AttemptOutcome::kAnswered, 100),
+                                 At(100));
   fixture.router.Submit(MakeRequest("running", "a", At(9000)), At(100));
   for (int i = 0; i < 20; ++i) {
     fixture.router.Submit(
@@ -118,9 +118,9 @@
     Fixture fixture(1, 1, {limits});
     auto sends = Only<SendAttempt>(
         fixture.router.Submit(MakeRequest("first", "a", At(600000)), At(0)));
-    fixture.router.Complete("first", sends[0].executor,
-                            MakeResult(AttemptOutcome::kAnswered, 100),
-                            At(100));
+    fixture.router.CompleteAttempt("first", sends[0].executor,
+                                   MakeResult(AttemptOutcome::kAnswered, 100),
+                                   At(100));
     for (int i = 0; i <= queued; ++i) {
       fixture.router.Submit(
           MakeRequest("q" + std::to_string(i), "a", At(600000)), At(100));
@@ -147,7 +147,7 @@
   CHECK(fixture.router.NextWake() <= At(100));
   const RoutingActions ended = fixture.router.Tick(At(100));
   CHECK(Only<FinishUnknown>(ended).size() == 1);
-  const RoutingActions late = fixture.router.Complete(
+  const RoutingActions late = fixture.router.CompleteAttempt(
       "r", sends[0].executor, MakeResult(AttemptOutcome::kAnswered, 105),
       At(105));
   REQUIRE(late.size() == 1);
@@ -217,8 +217,9 @@
         RoutingActions more;
         if (const auto* send = std::get_if<SendAttempt>(&action)) {
           ++attempts;
-          more = fixture.router.Complete(send->request_id, send->executor,
-                                         MakeResult(row.outcome, 1), now);
+          more =
+              fixture.router.CompleteAttempt(send->request_id, send->executor,
+                                             MakeResult(row.outcome, 1), now);
         }
         if (const auto* probe = std::get_if<ProbeExecutor>(&action)) {
           more = fixture.router.ProbeResult(probe->executor,
@@ -241,7 +242,7 @@
   const auto first = Only<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(5000)), At(0)));
   CHECK(first.at(0).executor == "executor-101");
-  const auto second = Only<SendAttempt>(fixture.router.Complete(
+  const auto second = Only<SendAttempt>(fixture.router.CompleteAttempt(
       "r", "executor-101", MakeResult(AttemptOutcome::kFailed), At(10)));
   CHECK(second.at(0).executor == "executor-100");
   CHECK(second.at(0).attempt == 2);
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -174,8 +174,8 @@
     if (leaving) {
       model_.said_leaving.insert(executor);
     }
-    Carry(router_.Complete(id, executor,
-                           MakeResult(outcome, argument % 50, leaving), now_));
+    Carry(router_.CompleteAttempt(
+        id, executor, MakeResult(outcome, argument % 50, leaving), now_));
     return true;
   }
 
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -58,7 +58,7 @@
       while (!ends_.empty() && ends_.begin()->first <= now_) {
         const auto [attempt, reaction] = ends_.begin()->second;
         ends_.erase(ends_.begin());
-        Carry(router_.Complete(
+        Carry(router_.CompleteAttempt(
             attempt.request_id, attempt.executor,
             MakeResult(reaction.outcome, reaction.latency_ms, reaction.leaving),
             now_));
