--- a/benchmarks/burst_loop.cc
+++ b/benchmarks/burst_loop.cc
@@ -208,7 +208,7 @@
         At(now_ + 2 * kOneWay, [this, entry, executor] {
           AttemptResult result;
           result.outcome = AttemptOutcome::kAnswered;
-          Carry(entry, routers_[static_cast<size_t>(entry)]->ProbeResult(
+          Carry(entry, routers_[static_cast<size_t>(entry)]->HandleProbeResult(
                            executor, result, now_));
         });
       }
--- a/src/libs/requests/request_dispatcher.cc
+++ b/src/libs/requests/request_dispatcher.cc
@@ -246,7 +246,7 @@
 void RequestDispatcher::Impl::ProbeDone(const std::string& executor,
                                         const AttemptResult& result) {
   Feed([&](RequestRouter& router, Time now) {
-    return router.ProbeResult(executor, result, now);
+    return router.HandleProbeResult(executor, result, now);
   });
 }
 
--- a/src/libs/routing/request_router.cc
+++ b/src/libs/routing/request_router.cc
@@ -274,9 +274,9 @@
   }
 }
 
-RoutingActions RequestRouter::ProbeResult(const std::string& executor,
-                                          const AttemptResult& result,
-                                          Time now) {
+RoutingActions RequestRouter::HandleProbeResult(const std::string& executor,
+                                                const AttemptResult& result,
+                                                Time now) {
   latest_ = now;
   RoutingActions actions;
   for (auto& [name, service] : services_) {
--- a/src/libs/routing/request_router.h
+++ b/src/libs/routing/request_router.h
@@ -77,8 +77,8 @@
                                  const std::string& executor,
                                  const AttemptResult& result, Time now);
   // The outcome of a ProbeExecutor: kAnswered for a healthy executor.
-  RoutingActions ProbeResult(const std::string& executor,
-                             const AttemptResult& result, Time now);
+  RoutingActions HandleProbeResult(const std::string& executor,
+                                   const AttemptResult& result, Time now);
   // The caller is gone. A queued request finishes as not run; one in flight
   // goes on, and is not retried.
   RoutingActions Cancel(const std::string& request_id, Time now);
--- a/tests/auto/routing/tst_request_router.cc
+++ b/tests/auto/routing/tst_request_router.cc
@@ -222,8 +222,8 @@
                                              MakeResult(row.outcome, 1), now);
         }
         if (const auto* probe = std::get_if<ProbeExecutor>(&action)) {
-          more = fixture.router.ProbeResult(probe->executor,
-                                            MakeResult(row.outcome, 1), now);
+          more = fixture.router.HandleProbeResult(
+              probe->executor, MakeResult(row.outcome, 1), now);
         }
         finals += std::holds_alternative<FinishAnswered>(action) ||
                   std::holds_alternative<FinishNotRun>(action) ||
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -209,7 +209,7 @@
     if (leaving) {
       model_.said_leaving.insert(executor);
     }
-    Carry(router_.ProbeResult(
+    Carry(router_.HandleProbeResult(
         executor,
         MakeResult(argument % 2 == 0 ? AttemptOutcome::kAnswered
                                      : AttemptOutcome::kUnknown,
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -103,8 +103,8 @@
     while (!probes_.empty()) {
       const std::string executor = probes_.front();
       probes_.pop_front();
-      Carry(router_.ProbeResult(executor, MakeResult(AttemptOutcome::kAnswered),
-                                now_));
+      Carry(router_.HandleProbeResult(
+          executor, MakeResult(AttemptOutcome::kAnswered), now_));
     }
   }
 
