--- a/benchmarks/burst_loop.cc
+++ b/benchmarks/burst_loop.cc
@@ -29,7 +29,7 @@
 constexpr int kBaselineTries = 4;
 constexpr int kGuaranteedSlots = 50;
 
-std::unique_ptr<SlotShare> MakeShare(Way way) {
+std::unique_ptr<SlotSharingPolicy> MakeShare(Way way) {
   if (way == Way::kAllSlots) {
     return std::make_unique<AllSlots>();
   }
--- a/src/libs/routing/all_slots.cc
+++ b/src/libs/routing/all_slots.cc
@@ -5,7 +5,7 @@
 
 namespace thornplank {
 
-std::vector<int> AllSlots::Allocate(const ShareInput& input) const {
+std::vector<int> AllSlots::Allocate(const SlotSharingInput& input) const {
   std::vector<int> slots;
   slots.reserve(input.executors.size());
   for (const ExecutorSlots& executor : input.executors) {
@@ -14,7 +14,7 @@
   return slots;
 }
 
-double AllSlots::Potential(const ShareInput& input) const {
+double AllSlots::AttainableSlots(const SlotSharingInput& input) const {
   return UnclaimedByOthers(input);
 }
 
--- a/src/libs/routing/all_slots.h
+++ b/src/libs/routing/all_slots.h
@@ -4,14 +4,14 @@
 
 #include <vector>
 
-#include "routing/slot_share.h"
+#include "routing/slot_sharing_policy.h"
 
 namespace thornplank {
 
-class AllSlots : public SlotShare {
+class AllSlots : public SlotSharingPolicy {
  public:
-  std::vector<int> Allocate(const ShareInput& input) const override;
-  double Potential(const ShareInput& input) const override;
+  std::vector<int> Allocate(const SlotSharingInput& input) const override;
+  double AttainableSlots(const SlotSharingInput& input) const override;
 };
 
 }  // namespace thornplank
--- a/src/libs/routing/demand_share.cc
+++ b/src/libs/routing/demand_share.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::vector<int> DemandShare::Allocate(const ShareInput& input) const {
+std::vector<int> DemandShare::Allocate(const SlotSharingInput& input) const {
   const int total = TotalSlots(input.executors);
   const std::vector<double> claimed = SplitOverEntries(total, input);
   double spare = total;
@@ -35,7 +35,7 @@
                       std::max(last, first + kMinimumRange));
 }
 
-double DemandShare::Potential(const ShareInput& input) const {
+double DemandShare::AttainableSlots(const SlotSharingInput& input) const {
   return UnclaimedByOthers(input);
 }
 
--- a/src/libs/routing/demand_share.h
+++ b/src/libs/routing/demand_share.h
@@ -9,14 +9,14 @@
 
 #include <vector>
 
-#include "routing/slot_share.h"
+#include "routing/slot_sharing_policy.h"
 
 namespace thornplank {
 
-class DemandShare : public SlotShare {
+class DemandShare : public SlotSharingPolicy {
  public:
-  std::vector<int> Allocate(const ShareInput& input) const override;
-  double Potential(const ShareInput& input) const override;
+  std::vector<int> Allocate(const SlotSharingInput& input) const override;
+  double AttainableSlots(const SlotSharingInput& input) const override;
 };
 
 }  // namespace thornplank
--- a/src/libs/routing/demand_split.cc
+++ b/src/libs/routing/demand_split.cc
@@ -59,7 +59,8 @@
   return granted;
 }
 
-std::vector<double> SplitOverEntries(double slots, const ShareInput& input) {
+std::vector<double> SplitOverEntries(double slots,
+                                     const SlotSharingInput& input) {
   std::vector<double> totals(input.accounts.size(), 0.0);
   for (const std::vector<double>& entry : input.demand) {
     for (size_t i = 0; i < totals.size(); ++i) {
@@ -80,7 +81,7 @@
   return result;
 }
 
-double UnclaimedByOthers(const ShareInput& input) {
+double UnclaimedByOthers(const SlotSharingInput& input) {
   const double total = TotalSlots(input.executors);
   const std::vector<double> claimed = SplitOverEntries(total, input);
   double left = total;
--- a/src/libs/routing/demand_split.h
+++ b/src/libs/routing/demand_split.h
@@ -7,7 +7,7 @@
 
 #include <vector>
 
-#include "routing/slot_share.h"
+#include "routing/slot_sharing_policy.h"
 
 namespace thornplank {
 
@@ -18,10 +18,11 @@
     const std::vector<double>& demand);
 
 // Slots that each entry's demand claims; the sum is at most `slots`.
-std::vector<double> SplitOverEntries(double slots, const ShareInput& input);
+std::vector<double> SplitOverEntries(double slots,
+                                     const SlotSharingInput& input);
 
 // Slots that no other entry's demand claims.
-double UnclaimedByOthers(const ShareInput& input);
+double UnclaimedByOthers(const SlotSharingInput& input);
 
 }  // namespace thornplank
 
--- a/src/libs/routing/executor_pool.h
+++ b/src/libs/routing/executor_pool.h
@@ -16,7 +16,7 @@
 #include "routing/executor.h"
 #include "routing/executor_health.h"
 #include "routing/routing_types.h"
-#include "routing/slot_share.h"
+#include "routing/slot_sharing_policy.h"
 
 namespace thornplank {
 
--- a/src/libs/routing/request_router.cc
+++ b/src/libs/routing/request_router.cc
@@ -30,7 +30,7 @@
     : RequestRouter(std::move(options), std::make_unique<DemandShare>()) {}
 
 RequestRouter::RequestRouter(RouterOptions options,
-                             std::unique_ptr<SlotShare> share)
+                             std::unique_ptr<SlotSharingPolicy> share)
     : options_(std::move(options)),
       share_(std::move(share)),
       table_(std::make_unique<RequestTable>()) {}
--- a/src/libs/routing/request_router.h
+++ b/src/libs/routing/request_router.h
@@ -26,7 +26,7 @@
 
 class RequestTable;
 class ServiceRouter;
-class SlotShare;
+class SlotSharingPolicy;
 struct RoutedRequest;
 
 struct RouterOptions {
@@ -41,7 +41,8 @@
  public:
   explicit RequestRouter(RouterOptions options);
   // With a way of sharing slots between entries other than the default.
-  RequestRouter(RouterOptions options, std::unique_ptr<SlotShare> share);
+  RequestRouter(RouterOptions options,
+                std::unique_ptr<SlotSharingPolicy> share);
   ~RequestRouter();
   RequestRouter(const RequestRouter&) = delete;
   RequestRouter& operator=(const RequestRouter&) = delete;
@@ -108,7 +109,7 @@
   void Expire(RoutedRequest* request, Time now, RoutingActions* actions);
 
   const RouterOptions options_;
-  const std::unique_ptr<SlotShare> share_;
+  const std::unique_ptr<SlotSharingPolicy> share_;
   std::vector<AccountLimits> limits_;
   // The time of the latest call.
   Time latest_;
--- a/src/libs/routing/service_router.cc
+++ b/src/libs/routing/service_router.cc
@@ -50,7 +50,8 @@
 }  // namespace
 
 ServiceRouter::ServiceRouter(uint64_t seed, std::string own_domain,
-                             const SlotShare* share, RequestTable* table)
+                             const SlotSharingPolicy* share,
+                             RequestTable* table)
     : seed_(seed),
       share_(share),
       table_(table),
@@ -335,10 +336,10 @@
   if (entries_.empty()) {
     entries_.emplace_back();
   }
-  const ShareInput input = MakeShareInput(now);
+  const SlotSharingInput input = MakeSlotSharingInput(now);
   pool_.SetAllocation(share_->Allocate(input),
                       ConnectionLimit(entries_.size()));
-  potential_slots_ = share_->Potential(input);
+  potential_slots_ = share_->AttainableSlots(input);
   for (size_t i = 0; i < input.accounts.size(); ++i) {
     double elsewhere = 0;
     for (size_t entry = 0; entry < input.demand.size(); ++entry) {
@@ -350,8 +351,8 @@
   }
 }
 
-ShareInput ServiceRouter::MakeShareInput(Time now) const {
-  ShareInput input;
+SlotSharingInput ServiceRouter::MakeSlotSharingInput(Time now) const {
+  SlotSharingInput input;
   input.executors = pool_.slots();
   input.own_entry = own_entry_;
   std::map<std::string, size_t> index;
--- a/src/libs/routing/service_router.h
+++ b/src/libs/routing/service_router.h
@@ -15,15 +15,15 @@
 #include "routing/fair_queue.h"
 #include "routing/request_table.h"
 #include "routing/routing_types.h"
-#include "routing/slot_share.h"
+#include "routing/slot_sharing_policy.h"
 
 namespace thornplank {
 
 class ServiceRouter {
  public:
   // `share` and `table` outlive this object.
-  ServiceRouter(uint64_t seed, std::string own_domain, const SlotShare* share,
-                RequestTable* table);
+  ServiceRouter(uint64_t seed, std::string own_domain,
+                const SlotSharingPolicy* share, RequestTable* table);
 
   ExecutorPool& pool() { return pool_; }
   const FairQueue& queue() const { return queue_; }
@@ -75,7 +75,7 @@
 
  private:
   void Reallocate(Time now);
-  ShareInput MakeShareInput(Time now) const;
+  SlotSharingInput MakeSlotSharingInput(Time now) const;
   Duration ExpectedWait(const std::string& account, Time deadline) const;
   double ExpectedSlots(const std::string& account) const;
   bool DispatchOne(Time now, std::vector<std::string>* blocked,
@@ -88,7 +88,7 @@
   void ShedHopeless(Time now, RoutingActions* actions);
 
   const uint64_t seed_;
-  const SlotShare* const share_;
+  const SlotSharingPolicy* const share_;
   RequestTable* const table_;
   FairQueue queue_;
   ExecutorPool pool_;
--- a/src/libs/routing/slot_share.cc
+++ b/src/libs/routing/slot_sharing_policy.cc
@@ -1,5 +1,5 @@
 // Numbering of slots, common to the ways of sharing them.
-#include "routing/slot_share.h"
+#include "routing/slot_sharing_policy.h"
 
 #include <algorithm>
 #include <map>
--- a/src/libs/routing/slot_share.h
+++ b/src/libs/routing/slot_sharing_policy.h
@@ -1,12 +1,12 @@
 // How the entries divide the slots of a service's executors among themselves.
 //
 // An executor has few slots and knows nothing of entries; it refuses what does
-// not fit. A SlotShare says how many of each executor's slots this entry may
-// use at a time. Entries compute their shares on their own from the same kind
-// of input, so that no agreement is needed; where their inputs differ for a
-// moment, shares overlap and the executors' refusals settle it.
-#ifndef THORNPLANK_ROUTING_SLOT_SHARE_H_
-#define THORNPLANK_ROUTING_SLOT_SHARE_H_
+// not fit. A SlotSharingPolicy says how many of each executor's slots this
+// entry may use at a time. Entries compute their shares on their own from the
+// same kind of input, so that no agreement is needed; where their inputs differ
+// for a moment, shares overlap and the executors' refusals settle it.
+#ifndef THORNPLANK_ROUTING_SLOT_SHARING_POLICY_H_
+#define THORNPLANK_ROUTING_SLOT_SHARING_POLICY_H_
 
 #include <cstddef>
 #include <string>
@@ -24,7 +24,7 @@
 };
 
 // All that a share depends on, for one service.
-struct ShareInput {
+struct SlotSharingInput {
   // In the order of OrderByDomain, which is the same at every entry.
   std::vector<ExecutorSlots> executors;
   std::vector<AccountLimits> accounts;
@@ -35,13 +35,13 @@
   size_t own_entry = 0;
 };
 
-class SlotShare {
+class SlotSharingPolicy {
  public:
-  virtual ~SlotShare() = default;
+  virtual ~SlotSharingPolicy() = default;
   // Slots that this entry may use, for each executor of the input.
-  virtual std::vector<int> Allocate(const ShareInput& input) const = 0;
+  virtual std::vector<int> Allocate(const SlotSharingInput& input) const = 0;
   // Slots that this entry would soon have if its demand grew without bound.
-  virtual double Potential(const ShareInput& input) const = 0;
+  virtual double AttainableSlots(const SlotSharingInput& input) const = 0;
 };
 
 // Orders executors so that neighbours are in different failure domains where
@@ -61,4 +61,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_ROUTING_SLOT_SHARE_H_
+#endif  // THORNPLANK_ROUTING_SLOT_SHARING_POLICY_H_
--- a/src/libs/routing/static_share.cc
+++ b/src/libs/routing/static_share.cc
@@ -3,7 +3,7 @@
 
 namespace thornplank {
 
-std::vector<int> StaticShare::Allocate(const ShareInput& input) const {
+std::vector<int> StaticShare::Allocate(const SlotSharingInput& input) const {
   const int total = TotalSlots(input.executors);
   const int entries = static_cast<int>(input.demand.size());
   const int own = static_cast<int>(input.own_entry);
@@ -11,7 +11,7 @@
                       total * (own + 1) / entries);
 }
 
-double StaticShare::Potential(const ShareInput& input) const {
+double StaticShare::AttainableSlots(const SlotSharingInput& input) const {
   return static_cast<double>(TotalSlots(input.executors)) /
          static_cast<double>(input.demand.size());
 }
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -37,11 +37,11 @@
 using Allocation = std::map<std::string, int>;
 
 // Notes what the router was allowed.
-class RecordingShare : public SlotShare {
+class RecordingShare : public SlotSharingPolicy {
  public:
   explicit RecordingShare(Allocation* allocation) : allocation_(allocation) {}
 
-  std::vector<int> Allocate(const ShareInput& input) const override {
+  std::vector<int> Allocate(const SlotSharingInput& input) const override {
     const std::vector<int> slots = share_.Allocate(input);
     allocation_->clear();
     for (size_t i = 0; i < slots.size(); ++i) {
@@ -49,8 +49,8 @@
     }
     return slots;
   }
-  double Potential(const ShareInput& input) const override {
-    return share_.Potential(input);
+  double AttainableSlots(const SlotSharingInput& input) const override {
+    return share_.AttainableSlots(input);
   }
 
  private:
--- a/tests/auto/routing/tst_slot_share.cc
+++ b/tests/auto/routing/tst_slot_sharing_policy.cc
@@ -1,5 +1,5 @@
 // Ways of sharing slots between entries.
-#include "routing/slot_share.h"
+#include "routing/slot_sharing_policy.h"
 
 #include <doctest/doctest.h>
 
@@ -22,9 +22,9 @@
 constexpr int kExecutors = 50;
 constexpr int kTotal = 400;
 
-ShareInput MakeInput(std::vector<AccountLimits> accounts,
-                     std::vector<std::vector<double>> demand) {
-  ShareInput input;
+SlotSharingInput MakeInput(std::vector<AccountLimits> accounts,
+                           std::vector<std::vector<double>> demand) {
+  SlotSharingInput input;
   for (const ExecutorInfo& info : MakeExecutors(kExecutors)) {
     input.executors.push_back({info.name, info.failure_domain, info.slots});
   }
@@ -38,8 +38,8 @@
   return std::accumulate(slots.begin(), slots.end(), 0);
 }
 
-std::vector<int> AllocateFor(const SlotShare& share, ShareInput input,
-                             size_t entry) {
+std::vector<int> AllocateFor(const SlotSharingPolicy& share,
+                             SlotSharingInput input, size_t entry) {
   input.own_entry = entry;
   return share.Allocate(input);
 }
@@ -57,11 +57,12 @@
   };
   const StaticShare fixed;
   const DemandShare by_demand;
-  for (const SlotShare* share : {static_cast<const SlotShare*>(&fixed),
-                                 static_cast<const SlotShare*>(&by_demand)}) {
+  for (const SlotSharingPolicy* share :
+       {static_cast<const SlotSharingPolicy*>(&fixed),
+        static_cast<const SlotSharingPolicy*>(&by_demand)}) {
     for (const Row& row : rows) {
       CAPTURE(row.name);
-      const ShareInput input = MakeInput({MakeAccount("a")}, row.demand);
+      const SlotSharingInput input = MakeInput({MakeAccount("a")}, row.demand);
       std::vector<int> used(kExecutors, 0);
       for (size_t entry = 0; entry < row.demand.size(); ++entry) {
         const std::vector<int> slots = AllocateFor(*share, input, entry);
@@ -134,7 +135,7 @@
 }
 
 TEST_CASE("even a small share touches many executors and all domains") {
-  ShareInput input =
+  SlotSharingInput input =
       MakeInput({MakeAccount("a")}, {{3920}, {80}});  // 392 and 8 slots
   const std::vector<int> slots = AllocateFor(DemandShare(), input, 1);
   std::set<std::string> domains;
@@ -149,11 +150,11 @@
 }
 
 TEST_CASE("the potential of an entry is what the others do not claim") {
-  const ShareInput input =
+  const SlotSharingInput input =
       MakeInput({MakeAccount("a")}, {{10}, {100}, {50}, {0}});
-  CHECK(DemandShare().Potential(input) == doctest::Approx(kTotal - 150));
-  CHECK(AllSlots().Potential(input) == doctest::Approx(kTotal - 150));
-  CHECK(StaticShare().Potential(input) == doctest::Approx(kTotal / 4.0));
+  CHECK(DemandShare().AttainableSlots(input) == doctest::Approx(kTotal - 150));
+  CHECK(AllSlots().AttainableSlots(input) == doctest::Approx(kTotal - 150));
+  CHECK(StaticShare().AttainableSlots(input) == doctest::Approx(kTotal / 4.0));
   CHECK(Sum(AllSlots().Allocate(input)) == kTotal);
 }
 
