--- a/benchmarks/burst_loop.cc
+++ b/benchmarks/burst_loop.cc
@@ -176,7 +176,7 @@
 
   void ScheduleTick(int entry) {
     const std::optional<Time> wake =
-        routers_[static_cast<size_t>(entry)]->NextWake();
+        routers_[static_cast<size_t>(entry)]->NextTickTime();
     const Time soonest = now_ + milliseconds(1);
     const Time next = std::max(
         soonest, std::min(wake.value_or(Time::max()), now_ + milliseconds(20)));
--- a/src/libs/requests/request_dispatcher.cc
+++ b/src/libs/requests/request_dispatcher.cc
@@ -252,7 +252,7 @@
 
 void RequestDispatcher::Impl::ArmWakeTimer() {
   if (!running_) return;
-  const std::optional<Time> next = router_.NextWake();
+  const std::optional<Time> next = router_.NextTickTime();
   if (!next || (wake_at_ && *wake_at_ <= *next)) return;
   wake_at_ = next;
   wake_timer_.expires_at(*next);
--- a/src/libs/routing/executor_pool.cc
+++ b/src/libs/routing/executor_pool.cc
@@ -255,7 +255,7 @@
   return actions;
 }
 
-std::optional<Time> ExecutorPool::NextWake(bool waiting) const {
+std::optional<Time> ExecutorPool::NextTickTime(bool waiting) const {
   std::optional<Time> wake;
   const auto consider = [&wake](Time time) {
     wake = wake.has_value() ? std::min(*wake, time) : time;
--- a/src/libs/routing/executor_pool.h
+++ b/src/libs/routing/executor_pool.h
@@ -64,7 +64,7 @@
   RoutingActions Tick(Time now);
   // The next time at which Tick or Pick may have something to do. `waiting`
   // says whether requests wait for an executor.
-  std::optional<Time> NextWake(bool waiting) const;
+  std::optional<Time> NextTickTime(bool waiting) const;
 
  private:
   // Sums over the executors that are not leaving.
--- a/src/libs/routing/request_router.cc
+++ b/src/libs/routing/request_router.cc
@@ -349,10 +349,10 @@
   return result;
 }
 
-std::optional<Time> RequestRouter::NextWake() const {
+std::optional<Time> RequestRouter::NextTickTime() const {
   std::optional<Time> wake = table_->NextTimer();
   for (const auto& [name, service] : services_) {
-    const std::optional<Time> other = service->NextWake();
+    const std::optional<Time> other = service->NextTickTime();
     if (other.has_value()) {
       wake = wake.has_value() ? std::min(*wake, *other) : other;
     }
--- a/src/libs/routing/request_router.h
+++ b/src/libs/routing/request_router.h
@@ -83,8 +83,8 @@
   // The caller is gone. A queued request finishes as not run; one in flight
   // goes on, and is not retried.
   RoutingActions Cancel(const std::string& request_id, Time now);
-  // To be called at NextWake() or later: ends requests at their deadline and
-  // starts probes.
+  // To be called at NextTickTime() or later: ends requests at their deadline
+  // and starts probes.
   RoutingActions Tick(Time now);
 
   // This entry's own demand at the latest event, for its heartbeat: per service
@@ -92,7 +92,7 @@
   // away in the last seconds.
   PeerDemand demand() const;
   // When Tick has something to do; nullopt when only events will bring it.
-  std::optional<Time> NextWake() const;
+  std::optional<Time> NextTickTime() const;
 
  private:
   // Null when there is no such service.
--- a/src/libs/routing/service_router.cc
+++ b/src/libs/routing/service_router.cc
@@ -309,9 +309,9 @@
   Dispatch(now, actions);
 }
 
-std::optional<Time> ServiceRouter::NextWake() const {
+std::optional<Time> ServiceRouter::NextTickTime() const {
   const bool waiting = queue_.size() > 0;
-  std::optional<Time> wake = pool_.NextWake(waiting);
+  std::optional<Time> wake = pool_.NextTickTime(waiting);
   if (waiting || next_shedding_ < refusals_fade_) {
     wake = wake.has_value() ? std::min(*wake, next_shedding_) : next_shedding_;
   }
--- a/src/libs/routing/service_router.h
+++ b/src/libs/routing/service_router.h
@@ -67,7 +67,7 @@
   // Probes, inspections, and refusal of queued requests that have become
   // hopeless.
   void Tick(Time now, RoutingActions* actions);
-  std::optional<Time> NextWake() const;
+  std::optional<Time> NextTickTime() const;
 
   // Emits the final action of a request that got no answer and forgets it.
   void FinishUnserved(RoutedRequest* request, const std::string& reason,
--- a/tests/auto/routing/tst_admission.cc
+++ b/tests/auto/routing/tst_admission.cc
@@ -74,7 +74,7 @@
     busy.Submit("r" + std::to_string(i), 9000, 100);
   }
   CHECK(busy.router.demand().accounts.at(0).queued == 12);
-  CHECK(busy.router.NextWake().has_value());
+  CHECK(busy.router.NextTickTime().has_value());
   busy.router.Tick(At(4100));
   CHECK(busy.router.demand().accounts.at(0).queued == 2);
 }
--- a/tests/auto/routing/tst_request_router.cc
+++ b/tests/auto/routing/tst_request_router.cc
@@ -144,7 +144,7 @@
   Fixture fixture(2);
   const auto sends = Only<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(100), false), At(0)));
-  CHECK(fixture.router.NextWake() <= At(100));
+  CHECK(fixture.router.NextTickTime() <= At(100));
   const RoutingActions ended = fixture.router.Tick(At(100));
   CHECK(Only<FinishUnknown>(ended).size() == 1);
   const RoutingActions late = fixture.router.CompleteAttempt(
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -101,7 +101,7 @@
       now_ += milliseconds(argument % 400);
       Carry(router_.Tick(now_));
       // A wake that is due at once would make the carrier spin.
-      RC_ASSERT(router_.NextWake().value_or(Time::max()) > now_);
+      RC_ASSERT(router_.NextTickTime().value_or(Time::max()) > now_);
     } else if (kind < 91) {
       ToggleLeaving(argument);
     } else if (kind < 95) {
