--- a/src/libs/claims/claim_table.h
+++ b/src/libs/claims/claim_table.h
@@ -35,21 +35,21 @@
   // Folds the next record, appended at `time` by the log's clock. Records come
   // in order of offset; a record whose claim id was folded before changes
   // nothing. Returns what it means for claims of this entry.
-  std::optional<ClaimEvent> Fold(const ClaimRecord& record, WallTime time);
+  std::optional<ClaimEvent> Apply(const ClaimRecord& record, WallTime time);
   // Records before the next one to be folded were lost to retention.
-  void NoteGap(WallTime now);
+  void HandleGap(WallTime now);
   // The stream has been read to its end once.
-  void NoteCaughtUp() { caught_up_ = true; }
+  void MarkCaughtUp() { caught_up_ = true; }
   // The entries that may still answer for their claims, this one included or
   // not.
   void SetReachableEntries(std::vector<ClaimHolder> entries);
 
   // What would be decided on the request; changes nothing.
-  ClaimDecision Look(const ClaimRequest& request, WallTime now,
-                     bool log_available) const;
+  ClaimDecision Evaluate(const ClaimRequest& request, WallTime now,
+                         bool log_available) const;
   // Decides; with kAppend this entry's claim is pending from now on.
-  ClaimDecision Begin(const ClaimRequest& request, WallTime now,
-                      bool log_available);
+  ClaimDecision BeginClaim(const ClaimRequest& request, WallTime now,
+                           bool log_available);
 
   // Whether this entry's fold says that its claim holds the key and it has
   // neither released nor finished it.
--- a/src/libs/requests/claim_flow_decisions.cc
+++ b/src/libs/requests/claim_flow_decisions.cc
@@ -62,7 +62,7 @@
 void ClaimFlow::Impl::NoteCaughtUp() {
   if (!ready()) return;
   std::lock_guard<std::mutex> lock(mutex_);
-  table_.NoteCaughtUp();
+  table_.MarkCaughtUp();
 }
 
 bool ClaimFlow::Impl::PassAdmission(const ClaimWaiterPtr& waiter) {
@@ -70,7 +70,7 @@
   const bool available = stream_.available();
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    const ClaimDecision decision = table_.Look(
+    const ClaimDecision decision = table_.Evaluate(
         waiter->request, std::chrono::system_clock::now(), available);
     if (decision.kind != ClaimDecisionKind::kAppend) return true;
   }
@@ -88,7 +88,7 @@
   ClaimRequest& request = waiter->request;
   const WallTime now = std::chrono::system_clock::now();
   if (!waiter->may_claim) {
-    const ClaimDecision decision = table_.Look(request, now, available);
+    const ClaimDecision decision = table_.Evaluate(request, now, available);
     if (decision.kind == ClaimDecisionKind::kJoin) {
       waiters_.Join(decision.claim_id, waiter);
       ArmDeadline(waiter);
@@ -97,7 +97,7 @@
   }
   request.claim_id = settings_.self.entry + "-" + settings_.self.incarnation +
                      "-" + std::to_string(next_claim_++);
-  const ClaimDecision decision = table_.Begin(request, now, available);
+  const ClaimDecision decision = table_.BeginClaim(request, now, available);
   if (decision.kind == ClaimDecisionKind::kAppend) {
     waiters_.AddPending(waiter);
     ArmDeadline(waiter);
--- a/src/libs/requests/request_dispatcher.cc
+++ b/src/libs/requests/request_dispatcher.cc
@@ -233,8 +233,9 @@
       --found->second.attempts_in_flight;
       found->second.answer = std::move(report.answer);
     }
-    Prepare(router_.Complete(action.request_id, action.executor, report.result,
-                             std::chrono::steady_clock::now()),
+    Prepare(router_.CompleteAttempt(action.request_id, action.executor,
+                                    report.result,
+                                    std::chrono::steady_clock::now()),
             &deferred);
     PrepareSettle(action.request_id, &deferred);
     ArmWakeTimer();
@@ -245,13 +246,13 @@
 void RequestDispatcher::Impl::ProbeDone(const std::string& executor,
                                         const AttemptResult& result) {
   Feed([&](RequestRouter& router, Time now) {
-    return router.ProbeResult(executor, result, now);
+    return router.HandleProbeResult(executor, result, now);
   });
 }
 
 void RequestDispatcher::Impl::ArmWakeTimer() {
   if (!running_) return;
-  const std::optional<Time> next = router_.NextWake();
+  const std::optional<Time> next = router_.NextTickTime();
   if (!next || (wake_at_ && *wake_at_ <= *next)) return;
   wake_at_ = next;
   wake_timer_.expires_at(*next);
@@ -311,7 +312,7 @@
 void RequestDispatcher::SetAccounts(
     const std::vector<AccountLimits>& accounts) {
   impl_->Feed([&](RequestRouter& router, Time now) {
-    return router.SetAccounts(accounts, now);
+    return router.SetAccountLimits(accounts, now);
   });
 }
 
@@ -325,7 +326,7 @@
 void RequestDispatcher::SetPeers(const std::string& own_name,
                                  const std::vector<std::string>& live_entries) {
   impl_->Feed([&](RequestRouter& router, Time now) {
-    return router.SetPeers(own_name, live_entries, now);
+    return router.SetLiveEntries(own_name, live_entries, now);
   });
 }
 
