--- a/src/libs/requests/request_dispatcher.cc
+++ b/src/libs/requests/request_dispatcher.cc
@@ -240,10 +240,10 @@
       --found->second.attempts_in_flight;
       found->second.answer = std::move(report.answer);
     }
-    DeferActions(
-        router_.Complete(action.request_id, action.executor, report.result,
-                         std::chrono::steady_clock::now()),
-        &deferred);
+    DeferActions(router_.CompleteAttempt(action.request_id, action.executor,
+                                         report.result,
+                                         std::chrono::steady_clock::now()),
+                 &deferred);
     DeferIfSettled(action.request_id, &deferred);
     ArmWakeTimer();
   }
@@ -253,13 +253,13 @@
 void RequestDispatcher::Impl::CompleteProbe(const std::string& executor,
                                             const AttemptResult& result) {
   ProcessEvent([&](RequestRouter& router, Time now) {
-    return router.ProbeResult(executor, result, now);
+    return router.HandleProbeResult(executor, result, now);
   });
 }
 
 void RequestDispatcher::Impl::ArmWakeTimer() {
   if (!running_) return;
-  const std::optional<Time> next = router_.NextWake();
+  const std::optional<Time> next = router_.NextTickTime();
   if (!next || (wake_time_ && *wake_time_ <= *next)) return;
   wake_time_ = next;
   wake_timer_.expires_at(*next);
@@ -319,7 +319,7 @@
 void RequestDispatcher::SetAccounts(
     const std::vector<AccountLimits>& accounts) {
   impl_->ProcessEvent([&](RequestRouter& router, Time now) {
-    return router.SetAccounts(accounts, now);
+    return router.SetAccountLimits(accounts, now);
   });
 }
 
@@ -333,7 +333,7 @@
 void RequestDispatcher::SetPeers(const std::string& own_name,
                                  const std::vector<std::string>& live_entries) {
   impl_->ProcessEvent([&](RequestRouter& router, Time now) {
-    return router.SetPeers(own_name, live_entries, now);
+    return router.SetLiveEntries(own_name, live_entries, now);
   });
 }
 
--- a/src/libs/routing/executor_pool.cc
+++ b/src/libs/routing/executor_pool.cc
@@ -217,8 +217,8 @@
     executor->leaving_probe_time = now + kLeavingProbePeriod;
     if (healthy && !result.leaving) {
       executor->said_leaving = false;
-      actions.push_back(
-          ExecutorBack{executor->info.name, "no longer says that it leaves"});
+      actions.push_back(ExecutorReinstated{executor->info.name,
+                                           "no longer says that it leaves"});
     }
   } else if (result.leaving) {
     std::optional<RoutingAction> leaving =
@@ -229,7 +229,8 @@
   }
   // A leaving executor stays out; it is probed when it no longer leaves.
   if (executor->health.EndProbe(healthy && !executor->leaving(), now)) {
-    actions.push_back(ExecutorBack{executor->info.name, "its probe succeeded"});
+    actions.push_back(
+        ExecutorReinstated{executor->info.name, "its probe succeeded"});
   }
   Refresh(executor);
   UpdateNextProbe();
@@ -254,7 +255,7 @@
   return actions;
 }
 
-std::optional<Time> ExecutorPool::NextWake(bool waiting) const {
+std::optional<Time> ExecutorPool::NextTickTime(bool waiting) const {
   std::optional<Time> wake;
   const auto consider = [&wake](Time time) {
     wake = wake.has_value() ? std::min(*wake, time) : time;
@@ -354,7 +355,7 @@
   executor->health.TakeOut(for_latency, now);
   Refresh(executor);
   UpdateNextProbe();
-  actions->push_back(ExecutorTakenOut{executor->info.name, reason});
+  actions->push_back(ExecutorEjected{executor->info.name, reason});
 }
 
 void ExecutorPool::SendProbes(Executor* executor, Time now,
--- a/src/libs/routing/request_router.cc
+++ b/src/libs/routing/request_router.cc
@@ -30,7 +30,7 @@
     : RequestRouter(std::move(options), std::make_unique<DemandShare>()) {}
 
 RequestRouter::RequestRouter(RouterOptions options,
-                             std::unique_ptr<SlotShare> share)
+                             std::unique_ptr<SlotSharingPolicy> share)
     : options_(std::move(options)),
       share_(std::move(share)),
       table_(std::make_unique<RequestTable>()) {}
@@ -91,7 +91,7 @@
   return budget;
 }
 
-RoutingActions RequestRouter::SetAccounts(
+RoutingActions RequestRouter::SetAccountLimits(
     const std::vector<AccountLimits>& accounts, Time now) {
   latest_ = now;
   limits_ = accounts;
@@ -121,7 +121,7 @@
   return actions;
 }
 
-RoutingActions RequestRouter::SetPeers(
+RoutingActions RequestRouter::SetLiveEntries(
     const std::string& own_name, const std::vector<std::string>& live_entries,
     Time now) {
   latest_ = now;
@@ -202,9 +202,10 @@
   return actions;
 }
 
-RoutingActions RequestRouter::Complete(const std::string& request_id,
-                                       const std::string& executor,
-                                       const AttemptResult& result, Time now) {
+RoutingActions RequestRouter::CompleteAttempt(const std::string& request_id,
+                                              const std::string& executor,
+                                              const AttemptResult& result,
+                                              Time now) {
   latest_ = now;
   RoutingActions actions;
   RoutedRequest* request = table_->Find(request_id);
@@ -273,9 +274,9 @@
   }
 }
 
-RoutingActions RequestRouter::ProbeResult(const std::string& executor,
-                                          const AttemptResult& result,
-                                          Time now) {
+RoutingActions RequestRouter::HandleProbeResult(const std::string& executor,
+                                                const AttemptResult& result,
+                                                Time now) {
   latest_ = now;
   RoutingActions actions;
   for (auto& [name, service] : services_) {
@@ -348,10 +349,10 @@
   return result;
 }
 
-std::optional<Time> RequestRouter::NextWake() const {
+std::optional<Time> RequestRouter::NextTickTime() const {
   std::optional<Time> wake = table_->NextTimer();
   for (const auto& [name, service] : services_) {
-    const std::optional<Time> other = service->NextWake();
+    const std::optional<Time> other = service->NextTickTime();
     if (other.has_value()) {
       wake = wake.has_value() ? std::min(*wake, *other) : other;
     }
--- a/src/libs/routing/routing_types.h
+++ b/src/libs/routing/routing_types.h
@@ -136,7 +136,7 @@
 };
 
 // The executor gets no requests until a probe succeeds.
-struct ExecutorTakenOut {
+struct ExecutorEjected {
   std::string executor;
   std::string reason;
 };
@@ -150,7 +150,7 @@
 };
 
 // The executor gets requests again, one at a time at first.
-struct ExecutorBack {
+struct ExecutorReinstated {
   std::string executor;
   std::string reason;
 };
@@ -163,7 +163,7 @@
 
 using RoutingAction =
     std::variant<SendAttempt, FinishAnswered, FinishNotRun, FinishUnknown,
-                 DropAnswer, ExecutorTakenOut, ProbeExecutor, ExecutorBack,
+                 DropAnswer, ExecutorEjected, ProbeExecutor, ExecutorReinstated,
                  ExecutorLeaving>;
 using RoutingActions = std::vector<RoutingAction>;
 
--- a/tests/auto/claims/tst_claim_history.cc
+++ b/tests/auto/claims/tst_claim_history.cc
@@ -121,7 +121,7 @@
     request.key = key->first;
     request.key_time = key->second;
     const ClaimDecision decision =
-        entry.table.Begin(request, log_time_ + entry.skew, true);
+        entry.table.BeginClaim(request, log_time_ + entry.skew, true);
     if (decision.kind != ClaimDecisionKind::kAppend) return;
     entry.runs.push_back({request.claim_id, request.key});
     travelling_.push_back(decision.record);
@@ -139,15 +139,15 @@
     Entry& entry = PickEntry();
     for (int count = Pick(6); count >= 0; --count) {
       if (entry.next_offset < first_kept_) {
-        entry.table.NoteGap(log_time_ + entry.skew);
+        entry.table.HandleGap(log_time_ + entry.skew);
         entry.next_offset = first_kept_;
       }
       if (entry.next_offset == log_.size()) {
-        entry.table.NoteCaughtUp();
+        entry.table.MarkCaughtUp();
         return;
       }
       const StoredRecord& stored = log_[entry.next_offset++];
-      const auto event = entry.table.Fold(stored.record, stored.time);
+      const auto event = entry.table.Apply(stored.record, stored.time);
       if (!event) continue;
       if (event->release) travelling_.push_back(*event->release);
       for (auto& run : entry.runs) {
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -37,11 +37,11 @@
 using Allocation = std::map<std::string, int>;
 
 // Notes what the router was allowed.
-class RecordingShare : public SlotShare {
+class RecordingShare : public SlotSharingPolicy {
  public:
   explicit RecordingShare(Allocation* allocation) : allocation_(allocation) {}
 
-  std::vector<int> Allocate(const ShareInput& input) const override {
+  std::vector<int> Allocate(const SlotSharingInput& input) const override {
     const std::vector<int> slots = share_.Allocate(input);
     allocation_->clear();
     for (size_t i = 0; i < slots.size(); ++i) {
@@ -49,8 +49,8 @@
     }
     return slots;
   }
-  double Potential(const ShareInput& input) const override {
-    return share_.Potential(input);
+  double AttainableSlots(const SlotSharingInput& input) const override {
+    return share_.AttainableSlots(input);
   }
 
  private:
@@ -82,10 +82,11 @@
   Driver()
       : router_(RouterOptions{},
                 std::make_unique<RecordingShare>(&allocation_)) {
-    Carry(router_.SetAccounts({MakeAccount("a", 4), MakeAccount("b")}, now_));
+    Carry(router_.SetAccountLimits({MakeAccount("a", 4), MakeAccount("b")},
+                                   now_));
     executors_ = MakeExecutors(kExecutors, kSlots);
     Carry(router_.SetExecutors(executors_, now_));
-    Carry(router_.SetPeers("entry-1", {"entry-1", "entry-2"}, now_));
+    Carry(router_.SetLiveEntries("entry-1", {"entry-1", "entry-2"}, now_));
   }
 
   void Step(int kind, int argument) {
@@ -100,7 +101,7 @@
       now_ += milliseconds(argument % 400);
       Carry(router_.Tick(now_));
       // A wake that is due at once would make the carrier spin.
-      RC_ASSERT(router_.NextWake().value_or(Time::max()) > now_);
+      RC_ASSERT(router_.NextTickTime().value_or(Time::max()) > now_);
     } else if (kind < 91) {
       ToggleLeaving(argument);
     } else if (kind < 95) {
@@ -173,8 +174,8 @@
     if (leaving) {
       model_.said_leaving.insert(executor);
     }
-    Carry(router_.Complete(id, executor,
-                           MakeResult(outcome, argument % 50, leaving), now_));
+    Carry(router_.CompleteAttempt(
+        id, executor, MakeResult(outcome, argument % 50, leaving), now_));
     return true;
   }
 
@@ -208,7 +209,7 @@
     if (leaving) {
       model_.said_leaving.insert(executor);
     }
-    Carry(router_.ProbeResult(
+    Carry(router_.HandleProbeResult(
         executor,
         MakeResult(argument % 2 == 0 ? AttemptOutcome::kAnswered
                                      : AttemptOutcome::kUnknown,
@@ -218,9 +219,9 @@
 
   void Carry(const RoutingActions& actions) {
     for (const RoutingAction& action : actions) {
-      if (const auto* taken_out = std::get_if<ExecutorTakenOut>(&action)) {
+      if (const auto* taken_out = std::get_if<ExecutorEjected>(&action)) {
         model_.out.insert(taken_out->executor);
-      } else if (const auto* back = std::get_if<ExecutorBack>(&action)) {
+      } else if (const auto* back = std::get_if<ExecutorReinstated>(&action)) {
         // Back from its own sign of leaving, or else from being out.
         if (model_.said_leaving.erase(back->executor) == 0) {
           model_.out.erase(back->executor);
