--- a/src/libs/requests/claim_manager.cc
+++ b/src/libs/requests/claim_manager.cc
@@ -17,7 +17,7 @@
   result.self = settings.self;
   result.window = settings.claim_window;
   result.max_key_time_ahead = settings.max_key_time_ahead;
-  result.max_clock_skew = settings.clock_margin;
+  result.max_clock_skew = settings.max_clock_skew;
   result.max_keys = settings.max_claim_keys;
   return result;
 }
--- a/src/libs/requests/claim_manager.h
+++ b/src/libs/requests/claim_manager.h
@@ -4,8 +4,7 @@
 // An entry claims a key by appending a record to the claim stream of the log.
 // The claim is won once the record has been read back as the first of its key.
 // Only the holder of the claim sends the request; when that is another entry,
-// it is queried for the outcome.
-// Thread-safe.
+// it is queried for the outcome. Thread-safe.
 #ifndef THORNPLANK_REQUESTS_CLAIM_MANAGER_H_
 #define THORNPLANK_REQUESTS_CLAIM_MANAGER_H_
 
@@ -52,7 +51,9 @@
 
   // Whether this entry still holds the claim and has not released it.
   bool MaySend(const std::string& claim_id) const;
-  // A won claim ends with exactly one of the following three calls.
+
+  // A won claim must end with exactly one of the following three calls.
+
   // A complete answer arrived; repeats of the key get the same answer.
   void RecordAnswer(const std::string& claim_id, const UpstreamAnswer& answer);
   // The request was provably not sent. The claim is released, and MaySend
--- a/src/libs/requests/claim_stream.h
+++ b/src/libs/requests/claim_stream.h
@@ -26,7 +26,9 @@
               const RequestManagerSettings& settings);
 
   // Starts following the stream from its beginning. Must be called once, before
-  // any other function. `on_gap` runs when records were lost to retention.
+  // the first request is handled. `on_record` gets each record with the time at
+  // which the log service stored it; `on_gap` runs when records were lost to
+  // retention.
   void Start(RecordHandler on_record, GapHandler on_gap);
   void Stop();
 
--- a/src/libs/requests/claim_waiters.h
+++ b/src/libs/requests/claim_waiters.h
@@ -28,8 +28,8 @@
   Time deadline;
   // Whether the router would admit the request; empty for peer queries.
   std::function<std::optional<Refusal>()> check_admission;
-  // Called once, by whoever removed this waiter from ClaimWaiters, and reset
-  // by the call.
+  // Called once, by whoever removed this waiter from ClaimWaiters if it was
+  // added there, and reset by the call.
   std::function<void(ClaimVerdict)> on_verdict;
   // Whether the waiter may claim the key; false for peer queries.
   bool may_claim = true;
--- a/src/libs/requests/request_manager.h
+++ b/src/libs/requests/request_manager.h
@@ -60,7 +60,7 @@
   Milliseconds max_key_time_ahead{60000};
   // The largest assumed difference between the clocks of callers, entries and
   // the log service.
-  Milliseconds clock_margin{30000};
+  Milliseconds max_clock_skew{30000};
   // The log is considered down when no read has succeeded for this long.
   Milliseconds claim_log_timeout{6000};
   size_t max_claim_keys = 1000000;
--- a/src/libs/requests/request_manager_impl.h
+++ b/src/libs/requests/request_manager_impl.h
@@ -97,8 +97,9 @@
   void Refuse(const ExchangePtr& exchange, const RequestFault& fault);
   void Respond(const ExchangePtr& exchange, HttpResponse response,
                const char* outcome);
-  // Posts `done` if everything is drained, else checks again later. Since
-  // `idle_since`, at the latest, all requests have been settled.
+  // Posts `done` if everything is drained, else checks again later.
+  // `idle_since` is the time of the latest check that found an unsettled
+  // request, or of the call of Drain.
   void CheckDrained(Time idle_since, std::function<void()> done);
 
   boost::asio::io_context& io_;
