--- a/src/libs/membership/membership_table.cc
+++ b/src/libs/membership/membership_table.cc
@@ -76,7 +76,7 @@
                                                           Time now) {
   Changes changes;
   ChangeState(&members_[self_], StateFromHeartbeat(ready, leaving),
-              "own readiness", now, &changes);
+              "own readiness changed", now, &changes);
   return changes;
 }
 
@@ -100,7 +100,8 @@
     return changes;
   }
   ChangeState(member, to,
-              IsSilent(member->state) ? "heard again" : "its heartbeat says so",
+              IsSilent(member->state) ? "heartbeats resumed"
+                                      : "state announced by heartbeat",
               now, &changes);
   return changes;
 }
@@ -238,7 +239,7 @@
   if (member->state == MemberState::kDead) return;
   if (member->state == MemberState::kSuspect) {
     if (now - member->state_since < DeadAfter(*member)) return;
-    ChangeState(member, MemberState::kDead, "silent for too long", now,
+    ChangeState(member, MemberState::kDead, "no heartbeat for too long", now,
                 changes);
     return;
   }
--- a/src/libs/requests/claim_manager.cc
+++ b/src/libs/requests/claim_manager.cc
@@ -190,8 +190,9 @@
   if (event.release) stream_.Append(*event.release);
   if (won) {
     CountClaim("won");
-    LogEvent(events::kClaimWon, {{"claim", event.claim_id},
-                                 {"reason", "first of its key in the log"}});
+    LogEvent(events::kClaimWon,
+             {{"claim", event.claim_id},
+              {"reason", "first claim on its key in the log"}});
     if (waiter) Resolve(waiter, SendVerdict(event.claim_id));
     return;
   }
@@ -199,7 +200,7 @@
   const bool another_claim_won = event.refusal == ClaimRefusal::kNone;
   LogEvent(events::kClaimLost,
            {{"claim", event.claim_id},
-            {"reason", another_claim_won ? "another claim of the key came first"
+            {"reason", another_claim_won ? "another claim on the key came first"
                                          : Describe(event.refusal)}});
   if (waiter) joined.push_back(waiter);
   for (const ClaimWaiterPtr& each : joined) {
@@ -251,7 +252,7 @@
   }
   CountClaim("released");
   LogEvent(events::kClaimReleased,
-           {{"claim", claim_id}, {"reason", "proved not sent"}});
+           {{"claim", claim_id}, {"reason", "provably not sent"}});
   stream_.Append(*record);
   ResolveAll(joined, NotRunVerdict("the request of this key was not sent",
                                    kRetryAfterClaim));
@@ -266,7 +267,8 @@
   }
   CountClaim("unknown");
   LogEvent(events::kClaimOutcomeUnknown,
-           {{"claim", claim_id}, {"reason", "sent, no whole answer"}});
+           {{"claim", claim_id},
+            {"reason", "sent, but no complete answer arrived"}});
   ResolveAll(joined, RefusalVerdict(ClaimRefusal::kOutcomeUnknown));
 }
 
