--- a/src/libs/coordination/advice_requester.cc
+++ b/src/libs/coordination/advice_requester.cc
@@ -10,7 +10,7 @@
 
 // The advisor handles the requests of one instance sequentially and rejects
 // more than 32 in total. Successive leaders share that limit.
-constexpr size_t kMaxOutstandingRequests = 8;
+constexpr size_t kMaxRequests = 8;
 // Added to the time that the advisor needs for the request and for those queued
 // before it.
 constexpr Milliseconds kResponseMargin{1000};
@@ -31,8 +31,7 @@
 
 void AdviceRequester::Request(const StepRef& step, const AdviceTerms& terms,
                               const std::vector<std::string>& candidates) {
-  if (advisor_ == nullptr || book_.questions_out() >= kMaxOutstandingRequests)
-    return;
+  if (advisor_ == nullptr || book_.questions_out() >= kMaxRequests) return;
   const Time now = Now();
   std::vector<std::string> question = book_.NextQuestion(step, candidates, now);
   if (question.empty()) return;
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -313,7 +313,7 @@
   stored_blocks_.clear();
   started_jobs_.clear();
   published_ended_jobs_.clear();
-  finished_jobs_.clear();
+  ended_jobs_.clear();
   for (const auto& [id, job] : dependencies_.board->jobs()) {
     SyncJobFromBoard(id);
   }
@@ -380,8 +380,7 @@
   const BoardJob* job = dependencies_.board->Find(id);
   if (job == nullptr) return;
   if (ledger_.Find(id) == nullptr) {
-    if (IsTerminal(job->published_state) || finished_jobs_.count(id) > 0)
-      return;
+    if (IsTerminal(job->published_state) || ended_jobs_.count(id) > 0) return;
     ledger_.Add(*job->spec, Now());
   }
   if (job->cancelled) ledger_.Cancel(id);
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -220,7 +220,7 @@
   std::set<std::string> published_ended_jobs_;
   // Jobs that ended in this epoch and were removed from the ledger. The board
   // may still show them as unfinished and must not bring them back.
-  std::set<std::string> finished_jobs_;
+  std::set<std::string> ended_jobs_;
   // Ends that the next flush will record, by worker.
   std::map<std::string, LatestEnd> unrecorded_ends_;
   // A start that is decided and not yet recorded.
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -124,9 +124,8 @@
   std::map<StepRef, WaitReason> logged;
   for (const WaitDecision& wait : waits) {
     logged[wait.step] = wait.reason;
-    const auto before = logged_waits_.find(wait.step);
-    if (before != logged_waits_.end() && before->second == wait.reason)
-      continue;
+    const auto last = logged_waits_.find(wait.step);
+    if (last != logged_waits_.end() && last->second == wait.reason) continue;
     const Job* job = ledger_.Find(wait.step.job);
     const StepProgress* progress = ledger_.FindStep(wait.step);
     LogEvent(events::kStepWaits,
@@ -399,7 +398,7 @@
   }
   published_ended_jobs_.erase(id);
   ledger_.Remove(id);
-  finished_jobs_.insert(id);
+  ended_jobs_.insert(id);
 }
 
 void ClusterCoordinator::DropExpiredRecords() {
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // A longer time between two reads of the directory counts as an outage.
-constexpr Milliseconds kMaxDirectoryReadGap{2500};
+constexpr Milliseconds kMaxReadGap{2500};
 
 StartSenderSettings StartSenderSettingsFor(const WorkerBounds& bounds) {
   StartSenderSettings settings;
@@ -107,16 +107,14 @@
   tracker->Update(std::move(*registration), now);
   tracker->set_domain_closed(IsClosed(*tracker));
   if (resized) LogCapacity(*tracker, record.offset);
-  state.check_again = !tracker->reachable();
-  if (!tracker->synchronized() || state.check_again)
-    RequestReportIfDue(id, now);
+  state.recheck = !tracker->reachable();
+  if (!tracker->synchronized() || state.recheck) RequestReportIfDue(id, now);
 }
 
 // Logged once for each reason, not for each worker: the same fault usually
 // affects all workers.
 void WorkerFleet::LogBirthFault(const std::string& id, const BirthMark& birth) {
-  if (birth.fault.empty() || !logged_birth_faults_.insert(birth.fault).second)
-    return;
+  if (birth.fault.empty() || !logged_faults_.insert(birth.fault).second) return;
   LogEvent(events::kBirthUnreadable, {{"worker", id}, {"reason", birth.fault}});
 }
 
@@ -164,8 +162,7 @@
 }
 
 void WorkerFleet::OnDirectoryCaughtUp(Time now) {
-  if (now - last_directory_read_ > kMaxDirectoryReadGap)
-    directory_read_since_ = now;
+  if (now - last_directory_read_ > kMaxReadGap) directory_read_since_ = now;
   last_directory_read_ = now;
 }
 
@@ -199,11 +196,11 @@
   if (tracker != nullptr) tracker->Add(task, run, profile, now);
 }
 
-void WorkerFleet::OnEndsRecorded(const std::string& worker, int life,
+void WorkerFleet::OnEndsRecorded(const std::string& worker, int incarnation,
                                  int64_t number) {
   WorkerTracker* tracker = Find(worker);
   if (tracker == nullptr) return;
-  tracker->OnEndsRecorded(life, number);
+  tracker->OnEndsRecorded(incarnation, number);
   RequestReportIfDue(worker, Now());
 }
 
@@ -239,18 +236,18 @@
   const bool has_runs = !tracker->runs().empty();
   const bool nothing_to_ask =
       tracker->synchronized() && !has_runs && !unacknowledged;
-  if (nothing_to_ask && !state.check_again) return;
+  if (nothing_to_ask && !state.recheck) return;
   const bool unknown_service =
       !handlers_.is_known_service(tracker->registration().service);
   if (unknown_service && !has_runs) return;
   bool uncertain = !tracker->synchronized() || !tracker->reachable();
-  bool no_progress_yet = false;
+  bool starting = false;
   bool stopping = false;
   for (const auto& [task, run] : tracker->runs()) {
     uncertain = uncertain || run.stage == RunStage::kUnknown;
     stopping = stopping || run.stop_acknowledged.has_value();
-    no_progress_yet = no_progress_yet ||
-                      (run.stage == RunStage::kRunning && run.percent == 0);
+    starting =
+        starting || (run.stage == RunStage::kRunning && run.percent == 0);
   }
   // While the worker holds ends that are not recorded, a report would return at
   // once, so it is not requested as a long poll.
@@ -261,9 +258,7 @@
   // come while it waits.
   const bool can_wait = stable && EndsToAcknowledge(*tracker, state) == 0;
   Milliseconds wait{0};
-  if (can_wait)
-    wait =
-        no_progress_yet ? settings_.first_report_wait : settings_.report_wait;
+  if (can_wait) wait = starting ? settings_.first_wait : settings_.report_wait;
   // While a run is being stopped, the report returns as soon as it has ended. A
   // run that never started on the worker has no end to report and is settled by
   // the report after this one, so the wait is short.
@@ -299,7 +294,7 @@
   if (renew) {
     query.lease_until = tracker->DeadlineIn(settings_.bounds.lease_term(), now);
   }
-  state.check_again = false;
+  state.recheck = false;
   (extra ? state.extra_report_pending : state.report_pending) = true;
   const WorkerAddress address{id, tracker->registration().address};
   const int64_t recorded = query.recorded_ends;
@@ -348,8 +343,9 @@
               {"ends_before", tracker->processed_ends()}});
   }
   LogBirthFault(id, answer.report.birth);
-  if (tracker->IsOfFormerLife(answer.report, sent))
+  if (tracker->IsOfFormerLife(answer.report, sent)) {
     return RequestReportIfDue(id, now);
+  }
   state.departure.OnAnswer();
   const bool first = !tracker->synchronized();
   state.acknowledged_ends = std::max(state.acknowledged_ends, recorded);
--- a/src/libs/coordination/worker_fleet.h
+++ b/src/libs/coordination/worker_fleet.h
@@ -46,7 +46,7 @@
   // How long the first report after a start waits: short enough to move an
   // urgent task off a slow worker in time, long enough for a few percent of
   // progress.
-  Milliseconds first_report_wait{700};
+  Milliseconds first_wait{700};
 };
 
 class WorkerFleet {
@@ -110,7 +110,8 @@
   void RequestStop(const std::string& worker, const TaskRef& task, int run,
                    const std::string& reason);
   // The ends of that incarnation of the worker are recorded up to `number`.
-  void OnEndsRecorded(const std::string& worker, int life, int64_t number);
+  void OnEndsRecorded(const std::string& worker, int incarnation,
+                      int64_t number);
 
   // To be called several times a second: requests reports that are due, repeats
   // stops and reviews workers and gangs. Leases are renewed only if
@@ -125,7 +126,7 @@
     bool extra_report_pending = false;
     // A report is due although nothing is expected: the worker did not answer
     // before, and its directory record was rewritten since.
-    bool check_again = false;
+    bool recheck = false;
     Time next_report_time{};
     // The lease of the worker lasts at least until then.
     Time leased_until{};
@@ -181,7 +182,7 @@
   std::map<std::string, std::optional<WallTime>> ended_incarnations_;
   RefusedEntries refused_;
   // Reasons for unreadable start times that were already logged.
-  std::set<std::string> logged_birth_faults_;
+  std::set<std::string> logged_faults_;
   std::set<std::string> closed_domains_;
   bool may_renew_ = true;
   // Since when the directory has been read without a gap.
--- a/tests/auto/coordination/fake_formats.h
+++ b/tests/auto/coordination/fake_formats.h
@@ -1,6 +1,5 @@
-// Formats without a wire: a worker's entry says nothing but its id, that it is
-// unreadable, that it leaves, that it has shrunk, or the name of another
-// service.
+// Formats for tests. The value of a worker's directory record is one of the
+// constants below or any other text, which stands for a plain worker.
 #ifndef THORNPLANK_TESTS_AUTO_COORDINATION_FAKE_FORMATS_H_
 #define THORNPLANK_TESTS_AUTO_COORDINATION_FAKE_FORMATS_H_
 
@@ -13,12 +12,12 @@
 namespace thornplank::testing {
 
 inline constexpr char kUnreadable[] = "unreadable";
-inline constexpr char kStray[] = "stray";
+inline constexpr char kUnknownService[] = "stray";
 inline constexpr char kLeaving[] = "leaving";
 inline constexpr char kInDomainB[] = "in domain b";
-// Has two accelerators instead of eight.
+// The worker has two accelerators instead of eight.
 inline constexpr char kShrunk[] = "shrunk";
-// Followed by its birth in Unix milliseconds.
+// Followed by the start time of the worker in Unix milliseconds.
 inline constexpr char kBornAt[] = "born at ";
 
 class FakeFormats : public Formats {
@@ -35,7 +34,7 @@
                                                Error*) const override {
     if (record.value == kUnreadable) return std::nullopt;
     WorkerRegistration worker = MakeWorker(record.key, "r1");
-    if (record.value == kStray) worker.service = kStray;
+    if (record.value == kUnknownService) worker.service = kUnknownService;
     worker.draining = record.value == kLeaving;
     worker.failure_domain = record.value == kInDomainB ? "b" : "a";
     if (record.value == kShrunk) worker.capacity.accelerators = 2;
--- a/tests/auto/coordination/store_fixture.h
+++ b/tests/auto/coordination/store_fixture.h
@@ -1,4 +1,5 @@
-// A record store on the model of the users' store, on the loop of a test.
+// A RecordStore for tests that keeps its records in a UsersStoreModel, and can
+// fail.
 #ifndef THORNPLANK_TESTS_AUTO_COORDINATION_STORE_FIXTURE_H_
 #define THORNPLANK_TESTS_AUTO_COORDINATION_STORE_FIXTURE_H_
 
@@ -16,7 +17,7 @@
 
 namespace thornplank::testing {
 
-// What happens to the next appends.
+// How an append fails.
 enum class AppendFault { kNone, kRefused, kLostAnswer, kNotStored };
 
 class FakeRecordStore : public RecordStore {
@@ -25,12 +26,12 @@
 
   void Append(const AppendRequest& request, Milliseconds,
               std::function<void(const AppendResult&)> done) override {
-    if (latency.count() == 0) return Carry(request, done);
-    Later(latency, [this, request, done] { Carry(request, done); });
+    if (latency.count() == 0) return CarryOut(request, done);
+    RunLater(latency, [this, request, done] { CarryOut(request, done); });
   }
 
-  void Carry(const AppendRequest& request,
-             const std::function<void(const AppendResult&)>& done) {
+  void CarryOut(const AppendRequest& request,
+                const std::function<void(const AppendResult&)>& done) {
     ++appends;
     AppendFault fault = AppendFault::kNone;
     if (!faults.empty()) {
@@ -38,7 +39,7 @@
       faults.erase(faults.begin());
     }
     AppendResult result;
-    const bool refused = IsRefused(request) || IsAway(request.partition);
+    const bool refused = IsRefused(request) || IsUnavailable(request.partition);
     if (refused) fault = AppendFault::kRefused;
     if (fault == AppendFault::kRefused) {
       result.outcome = StoreOutcome::kRefused;
@@ -55,16 +56,16 @@
             Milliseconds,
             std::function<void(const ReadResult&)> done) override {
     ++reads;
-    if (!up) {
-      return Later(refuses ? Milliseconds(1) : wait,
-                   [done] { done(ReadResult()); });
+    if (!reachable) {
+      return RunLater(fails_at_once ? Milliseconds(1) : wait,
+                      [done] { done(ReadResult()); });
     }
     if (model.end(partition) > from || wait.count() == 0) {
       const ReadResult result = model.Read(partition, from);
       return boost::asio::post(io_, [done, result] { done(result); });
     }
-    // Looks again soon, as a long poll would answer.
-    Later(Milliseconds(5), [this, partition, from, wait, done] {
+    // Emulates a long poll by reading again every 5 ms.
+    RunLater(Milliseconds(5), [this, partition, from, wait, done] {
       Read(partition, from, std::max(wait - Milliseconds(5), Milliseconds(0)),
            Milliseconds(0), done);
     });
@@ -73,23 +74,25 @@
   void ReadNewest(const Partition& partition, const std::string& after_key,
                   Milliseconds,
                   std::function<void(const NewestPage&)> done) override {
-    const NewestPage page = up && !IsAway(partition)
+    const NewestPage page = reachable && !IsUnavailable(partition)
                                 ? model.Newest(partition, after_key, page_size)
                                 : NewestPage();
     boost::asio::post(io_, [done = std::move(done), page] { done(page); });
   }
 
   standins::UsersStoreModel model;
+  // Faults of the next appends, in order.
   std::vector<AppendFault> faults;
   size_t page_size = 500;
-  // Until an append arrives.
+  // Before an append is carried out.
   Milliseconds latency{0};
-  bool up = true;
-  // Reads fail at once while it is down; else they hang for their wait.
-  bool refuses = false;
-  // The other partitions of its stream are away.
-  std::optional<Partition> alone;
-  // Appends of this producer alone are refused.
+  bool reachable = true;
+  // While `reachable` is false, reads fail at once if this is set, and after
+  // their wait otherwise.
+  bool fails_at_once = false;
+  // If set, the other partitions of its stream are unavailable.
+  std::optional<Partition> available_partition;
+  // Appends of this producer are refused; "" for none.
   std::string refused_producer;
   int appends = 0;
   int reads = 0;
@@ -100,12 +103,13 @@
            request.producer->producer == refused_producer;
   }
 
-  bool IsAway(const Partition& partition) const {
-    return alone && alone->stream == partition.stream &&
-           alone->number != partition.number;
+  bool IsUnavailable(const Partition& partition) const {
+    return available_partition &&
+           available_partition->stream == partition.stream &&
+           available_partition->number != partition.number;
   }
 
-  void Later(Milliseconds delay, std::function<void()> action) {
+  void RunLater(Milliseconds delay, std::function<void()> action) {
     auto timer = std::make_shared<boost::asio::steady_timer>(io_, delay);
     timer->async_wait([timer, action = std::move(action)](
                           const boost::system::error_code& code) {
@@ -116,7 +120,8 @@
   boost::asio::io_context& io_;
 };
 
-// Runs the loop until `condition` holds; false after a generous limit.
+// Runs the loop until `condition` holds or `limit` has passed. Returns whether
+// the condition holds.
 inline bool RunUntil(boost::asio::io_context& io,
                      const std::function<bool()>& condition,
                      Duration limit = std::chrono::seconds(20)) {
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -1,4 +1,5 @@
-// Entries on one store: one leads at a time, and work goes on when it changes.
+// Tests with several entries on one store: one leads at a time, and jobs
+// continue when the leader changes.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -26,7 +27,7 @@
       .count();
 }
 
-// Workers by their models; answers come on the loop.
+// Calls to workers that are models; answers are posted to the loop.
 class FakeWorkerCalls : public WorkerCalls {
  public:
   explicit FakeWorkerCalls(boost::asio::io_context& io) : io_(io) {}
@@ -64,19 +65,20 @@
   }
 
   std::map<std::string, standins::UsersExecutorModel> models;
-  // By orders, in their order.
+  // Tasks of all stop orders, in order.
   std::vector<TaskRef> stopped;
 
  private:
   boost::asio::io_context& io_;
 };
 
-// One entry: its view of the board and its coordinator.
+// One entry: its copy of the board and its coordinator.
 class Entry {
  public:
   Entry(boost::asio::io_context& io, FakeRecordStore& store,
-        FakeWorkerCalls& calls, const std::string& name, Milliseconds pace)
-      : tail_(io, store, TailSettings(pace), Handlers()),
+        FakeWorkerCalls& calls, const std::string& name,
+        Milliseconds read_interval)
+      : tail_(io, store, TailSettings(read_interval), Handlers()),
         coordinator_(io, store, calls, formats_, CoordinatorSettings(name),
                      Dependencies(), metrics_) {
     tail_.Start();
@@ -90,11 +92,11 @@
   }
 
  private:
-  static RecordTailSettings TailSettings(Milliseconds pace) {
+  static RecordTailSettings TailSettings(Milliseconds read_interval) {
     RecordTailSettings settings;
     settings.partition = kBoard;
     settings.long_poll_wait = Milliseconds(100);
-    settings.min_read_interval = pace;
+    settings.min_read_interval = read_interval;
     return settings;
   }
   static ClusterCoordinatorSettings CoordinatorSettings(
@@ -167,9 +169,11 @@
     Append(kBoard, JobBoard::Submission(job));
   }
 
-  // `pace`: between two reads of a busy board.
-  Entry& Add(const std::string& name, Milliseconds pace = Milliseconds(0)) {
-    entries.push_back(std::make_unique<Entry>(io, store, calls, name, pace));
+  // `read_interval`: least time between two reads of the board.
+  Entry& Add(const std::string& name,
+             Milliseconds read_interval = Milliseconds(0)) {
+    entries.push_back(
+        std::make_unique<Entry>(io, store, calls, name, read_interval));
     return *entries.back();
   }
 
@@ -181,8 +185,8 @@
     return count;
   }
 
-  // Runs of each task, however they ended.
-  std::map<std::string, int> AllRuns() const {
+  // Number of runs of each task, however they ended.
+  std::map<std::string, int> RunCounts() const {
     std::map<std::string, int> runs;
     for (const auto& [id, model] : calls.models) {
       for (const auto& run : model.history()) {
@@ -192,8 +196,8 @@
     return runs;
   }
 
-  // Runs of each task that were done.
-  std::map<std::string, int> DoneRuns() const {
+  // Number of runs of each task that were completed.
+  std::map<std::string, int> CompletedRunCounts() const {
     std::map<std::string, int> done;
     for (const auto& [id, model] : calls.models) {
       for (const auto& run : model.history()) {
@@ -209,7 +213,7 @@
   std::vector<std::unique_ptr<Entry>> entries;
 };
 
-TEST_CASE("of entries that start together just one leads") {
+TEST_CASE("of entries that start together exactly one leads") {
   Cluster cluster;
   for (const char* name : {"a", "b", "c", "d"}) {
     cluster.Add(name);
@@ -221,11 +225,11 @@
   CHECK(cluster.leaders() == 1);
 }
 
-TEST_CASE("a busy board does not keep a vacant lead from being taken") {
+TEST_CASE("vacant leadership is taken while the board is busy") {
   Cluster cluster;
   Entry& first = cluster.Add("a");
   REQUIRE(RunUntil(cluster.io, [&] { return first.coordinator().leading(); }));
-  // Followers read too seldom to know where the board ends.
+  // Followers read too rarely to know where the board ends.
   cluster.Add("b", Milliseconds(470));
   cluster.Add("c", Milliseconds(470));
   cluster.store.latency = Milliseconds(4);
@@ -243,7 +247,7 @@
   timer.cancel();
 }
 
-TEST_CASE("a claim with a lost answer is known by its record") {
+TEST_CASE("a claim with a lost answer is recognized by its record") {
   Cluster cluster;
   cluster.store.faults = {AppendFault::kLostAnswer};
   Entry& entry = cluster.Add("a");
@@ -258,7 +262,7 @@
   cluster.Submit({MakeStep(6, 2), MakeStep(2, 8, {0})}, 50);
   REQUIRE(RunUntil(cluster.io,
                    [&] { return other.state(kJob) == JobState::kCompleted; }));
-  const auto done = cluster.DoneRuns();
+  const auto done = cluster.CompletedRunCounts();
   CHECK(done.size() == 8);
   for (const auto& entry : done) {
     CAPTURE(entry.first);
@@ -266,14 +270,15 @@
   }
 }
 
-TEST_CASE("work goes on under another leader, and no task is done twice") {
+TEST_CASE("jobs continue under another leader, and no task is run twice") {
   for (const bool graceful : {true, false}) {
     CAPTURE(graceful);
     Cluster cluster;
     cluster.Add("a");
     REQUIRE(RunUntil(cluster.io, [&] { return cluster.leaders() == 1; }));
     cluster.Submit({MakeStep(6, 2), MakeStep(2, 8, {0})}, 400);
-    REQUIRE(RunUntil(cluster.io, [&] { return !cluster.DoneRuns().empty(); }));
+    REQUIRE(RunUntil(cluster.io,
+                     [&] { return !cluster.CompletedRunCounts().empty(); }));
     bool released = false;
     if (graceful) {
       cluster.entries[0]->coordinator().Release(Milliseconds(500),
@@ -285,44 +290,48 @@
     REQUIRE(RunUntil(cluster.io, [&] {
       return successor.state(kJob) == JobState::kCompleted;
     }));
-    // What ran was taken over, not begun again.
-    for (const auto& entry : cluster.AllRuns()) {
+    // Runs were taken over, not started again.
+    for (const auto& entry : cluster.RunCounts()) {
       CAPTURE(entry.first);
       CHECK(entry.second == 1);
     }
   }
 }
 
-// A store that lost a part of its partitions: who can submit is served.
-TEST_CASE("jobs start, end and change their leader with the board alone") {
+// Guards against a dependency on other partitions: when a store has lost some
+// of them, jobs that can be submitted must also run.
+TEST_CASE("jobs run and leaders change while only the board is available") {
   Cluster cluster;
-  cluster.store.alone = kBoard;
+  cluster.store.available_partition = kBoard;
   Entry& first = cluster.Add("a");
   REQUIRE(RunUntil(cluster.io, [&] { return first.coordinator().leading(); }));
   cluster.Submit({MakeStep(4, 2)}, 300);
-  REQUIRE(RunUntil(cluster.io, [&] { return cluster.AllRuns().size() == 4; }));
+  REQUIRE(
+      RunUntil(cluster.io, [&] { return cluster.RunCounts().size() == 4; }));
   cluster.entries.clear();
   Entry& successor = cluster.Add("b");
   CHECK(RunUntil(cluster.io, [&] {
     return successor.state(kJob) == JobState::kCompleted;
   }));
-  for (const auto& entry : cluster.AllRuns()) {
+  for (const auto& entry : cluster.RunCounts()) {
     CAPTURE(entry.first);
     CHECK(entry.second == 1);
   }
 }
 
-TEST_CASE("a job's end is told while the progress of its tasks cannot be") {
+TEST_CASE("the end of a job is published while progress writes fail") {
   Cluster cluster;
   cluster.Add("a");
   Entry& other = cluster.Add("b");
   REQUIRE(RunUntil(cluster.io, [&] { return cluster.leaders() == 1; }));
   cluster.Submit({MakeStep(4, 2)}, 300);
-  REQUIRE(RunUntil(cluster.io, [&] { return cluster.AllRuns().size() == 4; }));
+  REQUIRE(
+      RunUntil(cluster.io, [&] { return cluster.RunCounts().size() == 4; }));
   cluster.store.refused_producer = "progress";
   CHECK(RunUntil(cluster.io,
                  [&] { return other.state(kJob) == JobState::kCompleted; }));
-  // A successor that reads progress without the ends begins nothing again.
+  // A successor reads progress that lacks the ends, and must not start any task
+  // again.
   cluster.entries.clear();
   cluster.store.refused_producer.clear();
   Entry& successor = cluster.Add("c");
@@ -330,13 +339,13 @@
       RunUntil(cluster.io, [&] { return successor.coordinator().leading(); }));
   RunUntil(
       cluster.io, [] { return false; }, std::chrono::milliseconds(500));
-  for (const auto& entry : cluster.AllRuns()) {
+  for (const auto& entry : cluster.RunCounts()) {
     CAPTURE(entry.first);
     CHECK(entry.second == 1);
   }
 }
 
-TEST_CASE("a leader that the store fences stops leading") {
+TEST_CASE("a leader that is fenced by the store steps down") {
   Cluster cluster;
   Entry& entry = cluster.Add("a");
   REQUIRE(RunUntil(cluster.io, [&] { return entry.coordinator().leading(); }));
@@ -348,8 +357,9 @@
   CHECK(RunUntil(cluster.io, [&] { return !entry.coordinator().leading(); }));
 }
 
-// The members that are not told would end unsaved, and later.
-TEST_CASE("a gang of which one member gives way is stopped as a whole") {
+// Guards against a stop of one member alone: the others would end without
+// saving their work, and later.
+TEST_CASE("a gang of which one member is preempted is stopped as a whole") {
   Cluster cluster;
   Entry& entry = cluster.Add("a");
   REQUIRE(RunUntil(cluster.io, [&] { return entry.coordinator().leading(); }));
@@ -357,7 +367,8 @@
   gang.gang = true;
   gang.checkpointable = true;
   cluster.Submit({gang}, 60000);
-  REQUIRE(RunUntil(cluster.io, [&] { return cluster.AllRuns().size() == 2; }));
+  REQUIRE(
+      RunUntil(cluster.io, [&] { return cluster.RunCounts().size() == 2; }));
   cluster.Submit({MakeStep(1, 8)}, 50, "fedcba9876543210", 0);
   REQUIRE(RunUntil(cluster.io, [&] { return !cluster.calls.stopped.empty(); }));
   REQUIRE(cluster.calls.stopped.size() == 2);
@@ -369,12 +380,13 @@
   }));
 }
 
-TEST_CASE("a cancelled job's runs are stopped and none starts any more") {
+TEST_CASE("the runs of a cancelled job are stopped and no other one starts") {
   Cluster cluster;
   Entry& entry = cluster.Add("a");
   REQUIRE(RunUntil(cluster.io, [&] { return entry.coordinator().leading(); }));
   cluster.Submit({MakeStep(4, 1), MakeStep(4, 1, {0})}, 60000);
-  REQUIRE(RunUntil(cluster.io, [&] { return cluster.DoneRuns().size() == 4; }));
+  REQUIRE(RunUntil(cluster.io,
+                   [&] { return cluster.CompletedRunCounts().size() == 4; }));
   cluster.Append(kBoard, JobBoard::Cancellation(kJob));
   CHECK(RunUntil(cluster.io, [&] {
     for (const auto& [id, model] : cluster.calls.models) {
@@ -384,7 +396,7 @@
     }
     return entry.state(kJob) == JobState::kCancelled;
   }));
-  CHECK(cluster.DoneRuns().size() == 4);
+  CHECK(cluster.CompletedRunCounts().size() == 4);
 }
 
 }  // namespace
--- a/tests/auto/coordination/tst_fenced_writer.cc
+++ b/tests/auto/coordination/tst_fenced_writer.cc
@@ -1,4 +1,5 @@
-// Appends under an epoch: each record once and in order, whatever is lost.
+// Tests that each record is appended once and in order, whichever requests or
+// answers are lost.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -21,7 +22,8 @@
   return settings;
 }
 
-// Sets the epoch, as the claim does; the writer goes on behind it.
+// Sets the epoch of the producer as a claim does, with sequence number 0. The
+// writer continues with 1.
 void Fence(FakeRecordStore* store, int64_t epoch) {
   AppendRequest request;
   request.partition = kPartition;
@@ -36,11 +38,11 @@
     std::vector<Fault> faults;
   };
   const std::vector<Row> rows = {
-      {"nothing goes wrong", {}},
+      {"no fault", {}},
       {"refused twice", {Fault::kRefused, Fault::kRefused}},
       {"an answer is lost", {Fault::kLostAnswer}},
       {"an append is lost", {Fault::kNotStored}},
-      {"all of it",
+      {"all faults",
        {Fault::kLostAnswer, Fault::kRefused, Fault::kNotStored,
         Fault::kLostAnswer, Fault::kNone, Fault::kLostAnswer}},
   };
@@ -67,7 +69,7 @@
   }
 }
 
-TEST_CASE("writes that wait go out in one append") {
+TEST_CASE("queued writes are combined into one append") {
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Fence(&store, 1);
--- a/tests/auto/coordination/tst_job_board.cc
+++ b/tests/auto/coordination/tst_job_board.cc
@@ -1,4 +1,4 @@
-// The fold of the shared stream.
+// Tests of the state that the board derives from its records.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 JobDefinition Definition() { return MakeJob(kJob, {MakeStep(2, 1)}); }
 
-TEST_CASE("the order of records decides, and an end stays") {
+TEST_CASE("a published end is final, whatever records follow it") {
   const WallTime now = FromUnixMilliseconds(5000);
   const KeyedRecord submitted = JobBoard::Submission(Definition());
   const KeyedRecord cancelled = JobBoard::Cancellation(kJob);
@@ -36,10 +36,10 @@
       {"cancelled too late",
        {submitted, completed, cancelled},
        JobState::kCompleted},
-      {"a repeat that comes late",
+      {"a late duplicate of the submission",
        {submitted, completed, submitted},
        JobState::kCompleted},
-      {"an older state that comes late",
+      {"a late record of an older state",
        {submitted, completed, running},
        JobState::kCompleted},
       {"state before its submission",
@@ -57,25 +57,25 @@
   }
 }
 
-TEST_CASE("entries are known until their record is dropped") {
+TEST_CASE("an entry is known until its record is dropped") {
   const EntryRecord first{"127.0.0.1:1", FromUnixMilliseconds(5000)};
   const EntryRecord moved{"127.0.0.1:2", FromUnixMilliseconds(6000)};
   struct Row {
     const char* name;
     std::vector<KeyedRecord> records;
-    // Of instance "a"; "" when it is not known.
+    // Of instance "a"; "" if it is not known.
     std::string address;
   };
   const std::vector<Row> rows = {
       {"never written", {JobBoard::Entry("b", first)}, ""},
       {"written", {JobBoard::Entry("a", first)}, "127.0.0.1:1"},
-      {"at another address since",
+      {"written again with another address",
        {JobBoard::Entry("a", first), JobBoard::Entry("a", moved)},
        "127.0.0.1:2"},
       {"dropped",
        {JobBoard::Entry("a", first), JobBoard::Entry("a", std::nullopt)},
        ""},
-      {"of another writer", {{"ea", "no record of ours", 0}}, ""},
+      {"not readable", {{"ea", "no record of ours", 0}}, ""},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("a job that nobody submitted is not shown") {
+TEST_CASE("a job without a submission is not found") {
   JobBoard board;
   board.Apply(JobBoard::Cancellation(kJob));
   CHECK(board.Find(kJob) == nullptr);
@@ -116,7 +116,7 @@
   CHECK(board.jobs().empty());
 }
 
-TEST_CASE("why a job failed is kept beside its state, and goes with it") {
+TEST_CASE("the reason of a failed job is kept and dropped with its state") {
   JobBoard board;
   board.Apply(JobBoard::Submission(Definition()));
   board.Apply(JobBoard::Failure(kJob, "why"));
@@ -145,7 +145,7 @@
   CHECK(board.leader().released);
 }
 
-TEST_CASE("progress lies behind all other keys and changes no board") {
+TEST_CASE("keys of progress sort after all others and don't change the board") {
   const ProgressBlockRef block{{"0123456789abcdef", 2, 7}, 3};
   const KeyedRecord progress = JobBoard::Progress(block, "any bytes");
   CHECK(JobBoard::ParseProgressKey(progress.key) == block);
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("records that cannot be read are passed over") {
+TEST_CASE("records that cannot be read are ignored") {
   JobBoard board;
   for (const char* key : {"j", "", "jx", "sx", "leader", "zz"}) {
     CAPTURE(key);
--- a/tests/auto/coordination/tst_progress_write_limiter.cc
+++ b/tests/auto/coordination/tst_progress_write_limiter.cc
@@ -1,4 +1,4 @@
-// How often the progress of tasks is recorded.
+// Tests of how often the progress of tasks is written.
 #include <doctest/doctest.h>
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 namespace thornplank::testing {
 namespace {
 
-// 350 workers ended 50 tasks a second, one by one: half of the store's calls
-// were the leader's records of these ends.
-TEST_CASE("ends that come one by one are recorded together") {
+// Guards against one write for each end: with 350 workers that end 50 tasks a
+// second, one by one, these writes were half of all calls to the store.
+TEST_CASE("ends that come one by one are written together") {
   struct Row {
     const char* name;
     int64_t apart_ms;
-    // Each comes with a start.
+    // Whether each end comes with a start.
     bool starts;
     int most_records;
     int least_records;
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("a start is recorded at once, whatever was recorded a moment ago") {
+TEST_CASE("a start is written at once, however recent the last write is") {
   ProgressWriteLimiter pace(Milliseconds(100));
   CHECK(pace.IsDue(/*starts_wait=*/false, At(0)));
   pace.OnRecorded(At(0));
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -1,4 +1,5 @@
-// Following a partition: nothing missed, nothing old after new.
+// Tests of following a partition: no record is missed, and no old value
+// replaces a new one.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -69,28 +70,28 @@
   store->model.Append(request);
 }
 
-// Reads that fail at once in 300 ms, with the time that passes between two.
-int FailedReads(Milliseconds max_retry_delay) {
+// Returns the number of failed reads within 300 ms while reads fail at once.
+int CountFailedReads(Milliseconds max_retry_delay) {
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Follower follower(io, store);
   REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   follower.tail().set_max_retry_delay(max_retry_delay);
-  store.up = false;
-  store.refuses = true;
+  store.reachable = false;
+  store.fails_at_once = true;
   const auto end = std::chrono::steady_clock::now() + Milliseconds(300);
   RunUntil(io, [&] { return std::chrono::steady_clock::now() >= end; });
   return follower.failures;
 }
 
-// As many entries as a store can serve a few reads a second keep it from coming
-// back if each asks as often as a few may.
-TEST_CASE("a lost stream is asked for ever more seldom, up to a bound") {
-  // 5, 10, 20, 40, 80, 160 ms and on, a quarter more or less.
-  CHECK(FailedReads(Milliseconds(1200)) <= 8);
+// Guards against a store that cannot recover because many entries retry as
+// often as a few may.
+TEST_CASE("the delay between failed reads grows up to a limit") {
+  // Delays of 5, 10, 20, 40, 80, 160 ms and so on, a quarter more or less.
+  CHECK(CountFailedReads(Milliseconds(1200)) <= 8);
 }
 
-TEST_CASE("a follower has the newest records, old and new ones") {
+TEST_CASE("a follower gets the newest values, stored before and after it") {
   boost::asio::io_context io;
   FakeRecordStore store(io);
   store.page_size = 3;
@@ -108,74 +109,76 @@
   }));
 }
 
-TEST_CASE("a follower begins anew when the history is dropped") {
+TEST_CASE("a follower reads a new snapshot when the history is dropped") {
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Put(&store, "a", "1");
   Put(&store, "b", "1");
   Follower follower(io, store);
   REQUIRE(RunUntil(io, [&] { return follower.values.size() == 2; }));
-  store.up = false;
+  store.reachable = false;
   Put(&store, "a", std::nullopt);
   Put(&store, "c", "1");
   store.model.DropHistory();
   REQUIRE(RunUntil(io, [&] { return follower.failures > 0; }));
-  store.up = true;
+  store.reachable = true;
   CHECK(RunUntil(io, [&] {
     return follower.snapshots == 2 && follower.values.count("c") == 1;
   }));
   CHECK(follower.values.count("a") == 0);
 }
 
-TEST_CASE("what is known is as old as the last read that reached the end") {
+TEST_CASE("as_of is the time of the last read that reached the end") {
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Put(&store, "a", "1");
   Follower follower(io, store);
   REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
-  store.up = false;
+  store.reachable = false;
   REQUIRE(RunUntil(io, [&] { return follower.failures > 1; }));
   const BootTime as_of = follower.tail().as_of();
   REQUIRE(RunUntil(io, [&] { return follower.failures > 3; }));
   CHECK(follower.tail().as_of() == as_of);
-  store.up = true;
+  store.reachable = true;
   CHECK(RunUntil(io, [&] { return follower.tail().as_of() > as_of; }));
 }
 
-// Beyond any limit of these tests: whatever waits for it does not come.
+// Longer than any limit of these tests: what waits for it does not happen.
 constexpr std::chrono::hours kLongWait{1};
 
-TEST_CASE("an idle stream is back with the store, not a whole wait later") {
+// Guards against a read after a failure that waits for a record: on an idle
+// stream it would show only after the whole wait that the store is back.
+TEST_CASE("an idle stream is read again as soon as the store is back") {
   boost::asio::io_context io;
   FakeRecordStore store(io);
-  store.refuses = true;
+  store.fails_at_once = true;
   Follower follower(io, store, kLongWait);
   REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
-  store.up = false;
+  store.reachable = false;
   REQUIRE(RunUntil(io, [&] { return follower.failures > 1; }));
   const BootTime as_of = follower.tail().as_of();
-  store.up = true;
+  store.reachable = true;
   CHECK(RunUntil(io, [&] { return follower.tail().as_of() > as_of; }));
 }
 
-TEST_CASE("a lost stream is read at once when another one is back") {
+TEST_CASE("a stream that was lost is read at once when another one is back") {
   boost::asio::io_context io;
   FakeRecordStore store(io);
-  store.refuses = true;
+  store.fails_at_once = true;
   Follower follower(io, store, Milliseconds(50), /*retry=*/kLongWait);
   REQUIRE(RunUntil(io, [&] { return follower.tail().has_snapshot(); }));
   const int before = store.reads;
   follower.tail().RetryIfLost(Milliseconds(500));
   CHECK(store.reads == before);
-  store.up = false;
+  store.reachable = false;
   REQUIRE(RunUntil(io, [&] { return follower.failures > 0; }));
   const BootTime as_of = follower.tail().as_of();
-  store.up = true;
+  store.reachable = true;
   follower.tail().RetryIfLost(Milliseconds(500));
   CHECK(RunUntil(io, [&] { return follower.tail().as_of() > as_of; }));
 }
 
-TEST_CASE("a look ahead of the pace gets what was just stored") {
+TEST_CASE("a read outside of the interval gets what was just stored") {
   boost::asio::io_context io;
   FakeRecordStore store(io);
   Follower follower(io, store);
--- a/tests/auto/coordination/tst_refused_entries.cc
+++ b/tests/auto/coordination/tst_refused_entries.cc
@@ -1,4 +1,4 @@
-// An entry that names no worker is told once for each fault.
+// Tests that an unreadable directory record is logged once for each fault.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -11,32 +11,32 @@
 
 Error Fault(const std::string& reason) { return {"read worker", "w", reason}; }
 
-TEST_CASE("a fault is told when it shows first and when it changes") {
+TEST_CASE("a fault is logged when it is first seen and when it changes") {
   struct Row {
     const char* name;
     std::vector<std::string> reasons;
-    int told;
+    int logged;
   };
   const std::vector<Row> rows = {
       {"once", {"no zone"}, 1},
       {"the same at each heartbeat", {"no zone", "no zone", "no zone"}, 1},
       {"another fault", {"no zone", "no zone", "no state"}, 2},
-      {"back and forth", {"no zone", "no state", "no zone"}, 3},
+      {"alternating faults", {"no zone", "no state", "no zone"}, 3},
       {"without a reason", {"", "", ""}, 1},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
     RefusedEntries refused;
-    int told = 0;
+    int logged = 0;
     for (const std::string& reason : row.reasons) {
-      told += refused.LogIfNew("w", Fault(reason)) ? 1 : 0;
+      logged += refused.LogIfNew("w", Fault(reason)) ? 1 : 0;
     }
-    CHECK(told == row.told);
+    CHECK(logged == row.logged);
     CHECK(refused.size() == 1);
   }
 }
 
-TEST_CASE("an entry that was mended or removed is told anew") {
+TEST_CASE("a fault is logged again after the record was valid or removed") {
   RefusedEntries refused;
   REQUIRE(refused.LogIfNew("w", Fault("no zone")));
   refused.Forget("w");
--- a/tests/auto/coordination/tst_stream_reachability.cc
+++ b/tests/auto/coordination/tst_stream_reachability.cc
@@ -1,4 +1,4 @@
-// Contact with a stream is told when it is lost and when it is back, once each.
+// Tests that the loss and the return of a stream are logged once each.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -13,7 +13,7 @@
 namespace thornplank::testing {
 namespace {
 
-TEST_CASE("each loss and each return is one line") {
+TEST_CASE("each loss and each return is logged as one event") {
   constexpr char kPath[] = "tst_stream_contact.log";
   std::remove(kPath);
   Error error;
--- a/tests/auto/coordination/tst_worker_fleet.cc
+++ b/tests/auto/coordination/tst_worker_fleet.cc
@@ -1,4 +1,4 @@
-// Calls of workers: what each kind of answer does to the belief on a worker.
+// Tests of the calls to workers and of what each kind of answer changes.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -10,34 +10,42 @@
 namespace thornplank::testing {
 namespace {
 
-// Workers that answer a part of their orders late or never: the run begins with
-// the copy that arrives first, and nothing is held for one that had no answer.
+// Guards against tasks that don't start, or are taken as ended, on workers that
+// answer some orders late or never: a run starts with the first copy that
+// arrives.
 TEST_CASE("a start order without an answer is sent again") {
   constexpr StartOutcome kNone = StartOutcome::kNoAnswer;
   struct Row {
     const char* name;
     std::vector<StartOutcome> answers;
     int copies;
-    // Known to run; else nothing is known until a report.
+    // Whether the run is known to run; otherwise its state is unknown until a
+    // report.
     bool runs;
   };
   const std::vector<Row> rows = {
       {"answered", {StartOutcome::kAccepted}, 1, true},
-      {"the second is answered", {kNone, StartOutcome::kAccepted}, 2, true},
-      {"the third is", {kNone, kNone, StartOutcome::kAccepted}, 3, true},
-      {"none is", {kNone, kNone, kNone, kNone}, 3, false},
-      {"the first may have run when the second is refused",
-       {kNone, StartOutcome::kRefused},
+      {"the second copy is answered",
+       {kNone, StartOutcome::kAccepted},
+       2,
+       true},
+      {"the third copy is answered",
+       {kNone, kNone, StartOutcome::kAccepted},
+       3,
+       true},
+      {"no copy is answered", {kNone, kNone, kNone, kNone}, 3, false},
+      {"the second copy is refused", {kNone, StartOutcome::kRefused}, 2, false},
+      {"the ticket of the second copy is refused",
+       {kNone, StartOutcome::kTicketRefused},
        2,
        false},
-      {"or has no ticket", {kNone, StartOutcome::kTicketRefused}, 2, false},
-      {"or is fenced", {kNone, StartOutcome::kFenced}, 2, false},
+      {"the second copy is fenced", {kNone, StartOutcome::kFenced}, 2, false},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
     Fixture fixture;
-    fixture.calls.first_starts = row.answers;
-    fixture.calls.status = CallOutcome::kNoAnswer;
+    fixture.calls.first_start_answers = row.answers;
+    fixture.calls.status_outcome = CallOutcome::kNoAnswer;
     fixture.Start();
     CHECK(fixture.calls.starts == row.copies);
     CHECK(fixture.ends.empty());
@@ -48,18 +56,18 @@
   }
 }
 
-// An urgent gang waited up to a quarter of a second for room that was free: the
-// ends of runs that were told to stop were asked for in that pace.
-TEST_CASE("the end of a run that stops is told as it comes") {
+// Guards against polling for the ends of stopped runs every 250 ms: an urgent
+// gang would wait that long for resources that are already free.
+TEST_CASE("the end of a stopped run is reported at once") {
   Fixture fixture;
   fixture.calls.report.running = {{kTask, 1, "", 10}};
-  fixture.calls.answers_waiting = true;
+  fixture.calls.answer_long_polls = true;
   fixture.Start();
-  fixture.calls.answers_waiting = false;
+  fixture.calls.answer_long_polls = false;
   fixture.fleet.RequestStop("w1", kTask, 1, "gives way");
   CHECK(fixture.calls.stops == 1);
   fixture.fleet.Tick(Fixture::Now() + std::chrono::seconds(1), true);
-  REQUIRE(fixture.calls.waiting != nullptr);
+  REQUIRE(fixture.calls.pending_long_poll != nullptr);
   CHECK(fixture.ends.empty());
   fixture.calls.report.running.clear();
   RunEndReport end;
@@ -68,15 +76,15 @@
   end.run = 1;
   end.end = RunEnd::kStopped;
   fixture.calls.report.ended = {end};
-  fixture.calls.AnswerWaiting();
+  fixture.calls.AnswerLongPoll();
   CHECK(fixture.ends == std::vector<RunEnd>{RunEnd::kStopped});
 }
 
-TEST_CASE("what the answer to a start does") {
+TEST_CASE("each answer to a start order settles what it proves") {
   struct Row {
     const char* name;
     StartOutcome answer;
-    // Ends as lost.
+    // Whether the run ends as lost.
     bool settled;
     bool worker_known;
     int fenced;
@@ -91,26 +99,27 @@
   for (const Row& row : rows) {
     CAPTURE(row.name);
     Fixture fixture;
-    fixture.calls.start = row.answer;
+    fixture.calls.start_answer = row.answer;
     fixture.Start();
     CHECK(fixture.ends.size() == (row.settled ? 1 : 0));
-    CHECK(fixture.knows_worker() == row.worker_known);
+    CHECK(fixture.has_worker() == row.worker_known);
     CHECK(fixture.fenced == row.fenced);
   }
 }
 
-TEST_CASE("tasks that fill are slowed beside a serving task in need") {
+TEST_CASE(
+    "filler tasks are slowed down when a serving task misses its target") {
   struct Row {
     std::string name;
     int64_t tail;
     CallOutcome answer;
-    std::vector<int> told;
+    std::vector<int> sent;
   };
   const std::vector<Row> rows = {
-      {"all is well", 40, CallOutcome::kOk, {}},
-      {"the tail is over its target", 150, CallOutcome::kOk, {25, 6, 0}},
-      {"near its target", 95, CallOutcome::kOk, {66, 44, 29}},
-      {"told again until it is confirmed",
+      {"tail latency is low", 40, CallOutcome::kOk, {}},
+      {"tail latency is above the target", 150, CallOutcome::kOk, {25, 6, 0}},
+      {"tail latency is near the target", 95, CallOutcome::kOk, {66, 44, 29}},
+      {"sent again until it is confirmed",
        150,
        CallOutcome::kNoAnswer,
        {25, 6, 0}},
@@ -119,7 +128,7 @@
   for (const Row& row : rows) {
     CAPTURE(row.name);
     Fixture fixture;
-    fixture.calls.pace = row.answer;
+    fixture.calls.pace_outcome = row.answer;
     RunProfile filler;
     filler.fills = true;
     fixture.fleet.Add("w1", kTask, 1, filler, Fixture::Now());
@@ -131,16 +140,16 @@
                                     {serving, 1, "", 100, row.tail}};
     for (int i = 0; i < 3; ++i) {
       fixture.fleet.Tick(Fixture::Now() + std::chrono::seconds(1), true);
-      fixture.calls.AnswerWaiting();
+      fixture.calls.AnswerLongPoll();
     }
-    CHECK(fixture.calls.paces == row.told);
+    CHECK(fixture.calls.sent_paces == row.sent);
   }
 }
 
-TEST_CASE("a stop that finds nobody is repeated after a pause") {
+TEST_CASE("a stop without an answer is repeated after a delay") {
   Fixture fixture;
   fixture.Start();
-  fixture.calls.stop = CallOutcome::kNoAnswer;
+  fixture.calls.stop_outcome = CallOutcome::kNoAnswer;
   fixture.fleet.RequestStop("w1", kTask, 1, "test");
   REQUIRE(fixture.calls.stops == 1);
   fixture.fleet.Tick(Fixture::Now() + Milliseconds(100), /*may_renew=*/true);
@@ -149,25 +158,26 @@
   CHECK(fixture.calls.stops == 2);
 }
 
-TEST_CASE("nothing begins in a failure domain that takes no new work") {
+TEST_CASE("no task is started in a closed failure domain") {
   struct Row {
     const char* name;
-    // Closed before the order is sent, or while it has no answer.
+    // Whether the domains are closed before the order is sent, or while it has
+    // no answer.
     bool before;
     std::set<std::string> closed;
     int orders;
   };
   const std::vector<Row> rows = {
-      {"another one is closed", true, {"b"}, 3},
+      {"another domain is closed", true, {"b"}, 3},
       {"closed after the decision", true, {"a"}, 0},
       {"closed while the order has no answer", false, {"a"}, 1},
-      {"with another", true, {"a", "b"}, 0},
+      {"closed together with another", true, {"a", "b"}, 0},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
     Fixture fixture;
     fixture.fleet.OnDirectoryRecord({"w1", "listed", 1}, Fixture::Now());
-    fixture.calls.start = StartOutcome::kNoAnswer;
+    fixture.calls.start_answer = StartOutcome::kNoAnswer;
     fixture.fleet.Add("w1", kTask, 1, RunProfile(), Fixture::Now());
     if (row.before) {
       fixture.fleet.CloseDomains(row.closed);
@@ -176,23 +186,26 @@
     }
     fixture.fleet.SendStart("w1", kTask, 1, {});
     CHECK(fixture.calls.starts == row.orders);
-    // What was never sent is settled; what may have begun is not.
+    // A run whose order was never sent ends; one that may have started does
+    // not.
     CHECK(fixture.ends.size() == (row.orders == 0 ? 1 : 0));
   }
 }
 
-// Guards against starts that were decided while the worker was larger: between
-// the decision and the order lies a record in the store.
-TEST_CASE("nothing begins on a worker that has shrunk below what it holds") {
+// Guards against starts that were decided while the worker had more capacity:
+// the start is written to the store between the decision and the order.
+TEST_CASE(
+    "no task is started on a worker with less capacity than its runs need") {
   struct Row {
     const char* name;
-    // Its entries before the order is sent, and while it has no answer.
+    // Directory records that are read before the order is sent, and while it
+    // has no answer.
     std::vector<std::string> before;
     std::vector<std::string> during;
     int orders;
   };
   const std::vector<Row> rows = {
-      {"as it was", {"listed"}, {}, 3},
+      {"unchanged", {"listed"}, {}, 3},
       {"shrunk after the decision", {kShrunk}, {}, 0},
       {"shrunk, and grown again", {kShrunk, "listed"}, {}, 3},
       {"shrunk while the order has no answer", {}, {kShrunk}, 1},
@@ -200,7 +213,7 @@
   for (const Row& row : rows) {
     CAPTURE(row.name);
     Fixture fixture;
-    fixture.calls.start = StartOutcome::kNoAnswer;
+    fixture.calls.start_answer = StartOutcome::kNoAnswer;
     RunProfile profile;
     profile.need.accelerators = 4;
     fixture.fleet.Add("w1", kTask, 1, profile, Fixture::Now());
@@ -218,45 +231,46 @@
   }
 }
 
-TEST_CASE("a worker that moves is judged by the domain where it stands") {
+TEST_CASE("a worker that has moved counts to its new failure domain") {
   Fixture fixture;
   fixture.fleet.CloseDomains({"b"});
-  const auto belief = [&fixture] {
+  const auto domain_closed = [&fixture] {
     return fixture.fleet.trackers().at("w1").domain_closed();
   };
-  CHECK_FALSE(belief());
+  CHECK_FALSE(domain_closed());
   fixture.fleet.OnDirectoryRecord({"w1", kInDomainB, 1}, Fixture::Now());
-  CHECK(belief());
+  CHECK(domain_closed());
   fixture.fleet.CloseDomains({});
-  CHECK_FALSE(belief());
+  CHECK_FALSE(domain_closed());
 }
 
-TEST_CASE("a worker of a service that nobody configured is not looked at") {
+TEST_CASE("a worker of a service that is not configured is not called") {
   Fixture fixture;
   const int before = fixture.calls.reports;
-  fixture.fleet.OnDirectoryRecord({"w9", kStray, 1}, Fixture::Now());
+  fixture.fleet.OnDirectoryRecord({"w9", kUnknownService, 1}, Fixture::Now());
   fixture.fleet.Tick(Fixture::Now() + std::chrono::seconds(1), true);
   CHECK(fixture.calls.reports == before);
 }
 
-TEST_CASE("a worker that does not answer is asked on, but not renewed") {
+TEST_CASE(
+    "a worker that does not answer is called, but its lease not renewed") {
   Fixture fixture;
-  fixture.calls.status = CallOutcome::kNoAnswer;
-  fixture.calls.answers_waiting = true;
+  fixture.calls.status_outcome = CallOutcome::kNoAnswer;
+  fixture.calls.answer_long_polls = true;
   fixture.Start();
   const int before = fixture.calls.reports;
   Time now = Fixture::Now();
   for (int i = 0; i < 5; ++i) {
     now += Milliseconds(300);
     fixture.fleet.Tick(now, /*may_renew=*/true);
-    // Only the first, before its silence showed.
+    // Only the first call, before it had no answer.
     CHECK(fixture.calls.renewed == (i == 0));
   }
   CHECK(fixture.calls.reports == before + 5);
   CHECK(fixture.ends.empty());
 }
 
-TEST_CASE("nothing is started by one that may lead no more") {
+TEST_CASE("nothing is started by an entry that may no longer be the leader") {
   Fixture fixture;
   fixture.fleet.Tick(Fixture::Now(), /*may_renew=*/false);
   fixture.Start();
@@ -265,14 +279,14 @@
   CHECK(fixture.ends[0] == RunEnd::kLost);
 }
 
-TEST_CASE("leases and stops fit what the workers promise") {
+TEST_CASE("leases and stops respect the bounds of the workers") {
   struct Row {
     const char* name;
     Milliseconds longest_lease;
     Milliseconds stop;
   };
   const std::vector<Row> rows = {
-      {"as by default", Milliseconds(10000), Milliseconds(400)},
+      {"defaults", Milliseconds(10000), Milliseconds(400)},
       {"short leases", Milliseconds(3000), Milliseconds(200)},
       {"slow stops", Milliseconds(6000), Milliseconds(1500)},
   };
@@ -282,10 +296,10 @@
     bounds.longest_lease = row.longest_lease;
     bounds.stop = row.stop;
     Fixture fixture(bounds);
-    // The worker's clock, as its first report has it, begins at zero.
+    // The clock of the worker starts at zero with its first report.
     const Time begin = Fixture::Now();
     fixture.Start();
-    // Behind the pause after the first report.
+    // After the delay that follows the first report.
     fixture.fleet.Tick(Fixture::Now() + std::chrono::seconds(1),
                        /*may_renew=*/true);
     REQUIRE(fixture.calls.renewed);
@@ -293,7 +307,7 @@
     CHECK(fixture.calls.lease_until <= row.longest_lease + slack);
     fixture.fleet.RequestStop("w1", kTask, 1, "test");
     REQUIRE(fixture.calls.stops == 1);
-    // A worker that takes its time is not told again before it is over.
+    // The stop is not repeated while the worker may still be stopping the run.
     fixture.fleet.Tick(Fixture::Now() + row.stop, /*may_renew=*/true);
     CHECK(fixture.calls.stops == 1);
     fixture.fleet.Tick(Fixture::Now() + row.stop + std::chrono::seconds(1),
@@ -302,7 +316,7 @@
   }
 }
 
-TEST_CASE("a stop is sent for a run once, and again only without an end") {
+TEST_CASE("a stop is sent once for a run that is being stopped") {
   Fixture fixture;
   fixture.Start();
   fixture.fleet.RequestStop("w1", kTask, 1, "test");
--- a/tests/auto/coordination/tst_worker_fleet_lives.cc
+++ b/tests/auto/coordination/tst_worker_fleet_incarnations.cc
@@ -1,4 +1,5 @@
-// Workers that restart, leave, or are listed wrongly: what has ended there.
+// Tests of workers that restart, leave, or have wrong directory records: which
+// of their runs have ended.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -10,35 +11,35 @@
 namespace thornplank::testing {
 namespace {
 
-// Guards against a worker that is dead by its id for as long as its leader
-// leads.
-TEST_CASE(
-    "a life that is over stays so; another one under its id is a new one") {
+// Guards against a worker that a leader never uses again because an earlier
+// incarnation with the same id has ended.
+TEST_CASE("a new incarnation is used although it has the id of an ended one") {
   struct Row {
     const char* name;
     const char* entry;
     bool known;
   };
   const std::vector<Row> rows = {
-      {"listed as it was", "born at 5000", false},
-      {"born anew", "born at 9000", true},
+      {"the ended incarnation", "born at 5000", false},
+      {"a new incarnation", "born at 9000", true},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
     Fixture fixture;
     fixture.fleet.OnDirectoryRecord({"w1", "born at 5000", 1}, Fixture::Now());
-    fixture.calls.start = StartOutcome::kOtherLife;
+    fixture.calls.start_answer = StartOutcome::kOtherLife;
     fixture.Start();
-    REQUIRE_FALSE(fixture.knows_worker());
+    REQUIRE_FALSE(fixture.has_worker());
     fixture.fleet.OnDirectoryRecord({"w1", row.entry, 2}, Fixture::Now());
-    CHECK(fixture.knows_worker() == row.known);
+    CHECK(fixture.has_worker() == row.known);
   }
 }
 
-// Guards against ends that a worker forgets by the numbers of its last life.
-TEST_CASE("ends are told as recorded once, and to the life that counted them") {
+// Guards against acknowledging ends of a previous incarnation: the worker would
+// forget ends of the present one that have the same numbers.
+TEST_CASE("ends are acknowledged once, to the incarnation that counted them") {
   Fixture fixture;
-  fixture.calls.answers_waiting = true;
+  fixture.calls.answer_long_polls = true;
   fixture.calls.report.birth.born = FromUnixMilliseconds(5000);
   fixture.calls.report.ended = {{7, kTask, 1, RunEnd::kDone, ""}};
   fixture.Start();
@@ -51,12 +52,13 @@
   fixture.fleet.OnEndsRecorded("w1", 0, 7);
   tick();
   CHECK(fixture.calls.recorded_ends.back() == 7);
-  // Another run, so that the worker is asked on: the number is known there.
+  // Another run, so that further reports are requested; the worker already
+  // knows the number.
   fixture.fleet.Add("w1", kTask, 2, RunProfile(), now);
   fixture.fleet.SendStart("w1", kTask, 2, {});
   tick();
   CHECK(fixture.calls.recorded_ends.back() == 0);
-  // An end of its while another run goes on.
+  // That run ends while another one continues.
   fixture.calls.report.ended = {{8, kTask, 2, RunEnd::kDone, ""}};
   fixture.fleet.Add("w1", {kTask.step, 1}, 1, RunProfile(), now);
   fixture.fleet.SendStart("w1", {kTask.step, 1}, 1, {});
@@ -64,7 +66,7 @@
   tick();
   fixture.fleet.OnEndsRecorded("w1", 0, 8);
   tick();
-  CHECK(fixture.calls.waits_that_tell == 0);
+  CHECK(fixture.calls.polls_with_ends == 0);
   fixture.calls.report.running.clear();
   fixture.calls.report.birth.born = FromUnixMilliseconds(9000);
   fixture.calls.report.ended.clear();
@@ -75,12 +77,12 @@
   CHECK(fixture.calls.recorded_ends.back() == 0);
 }
 
-TEST_CASE("orders of the life before are stopped in the next one") {
+TEST_CASE("orders to the previous incarnation are stopped in the next one") {
   Fixture fixture;
   fixture.calls.report.birth.born = FromUnixMilliseconds(5000);
   fixture.fleet.OnDirectoryRecord({"w2", "born at 5000", 1}, Fixture::Now());
   fixture.fleet.Add("w2", kTask, 1, RunProfile(), Fixture::Now());
-  fixture.calls.start = StartOutcome::kNoAnswer;
+  fixture.calls.start_answer = StartOutcome::kNoAnswer;
   fixture.fleet.SendStart("w2", kTask, 1, {});
   fixture.calls.report.birth.born = FromUnixMilliseconds(9000);
   Time now = Fixture::Now();
@@ -93,17 +95,17 @@
   CHECK(fixture.ends[0] == RunEnd::kLost);
 }
 
-TEST_CASE("a life that is over stays so, though it is still listed") {
+TEST_CASE("an ended incarnation is not used while it is still listed") {
   Fixture fixture;
-  fixture.calls.start = StartOutcome::kOtherLife;
+  fixture.calls.start_answer = StartOutcome::kOtherLife;
   fixture.Start();
   fixture.fleet.OnDirectoryRecord({"w1", "listed", 1}, Fixture::Now());
-  CHECK_FALSE(fixture.knows_worker());
+  CHECK_FALSE(fixture.has_worker());
   fixture.fleet.OnDirectoryRecord({"w2", "listed", 2}, Fixture::Now());
   CHECK(fixture.fleet.trackers().count("w2") == 1);
 }
 
-TEST_CASE("an entry that cannot be read names no worker, whatever it was") {
+TEST_CASE("a worker whose directory record cannot be read counts as missing") {
   struct Row {
     const char* name;
     std::string key;
@@ -112,13 +114,13 @@
     bool missing;
   };
   const std::vector<Row> rows = {
-      {"a good entry", "w1", {"listed"}, true, false},
-      {"a known worker's entry is overwritten",
+      {"a valid record", "w1", {"listed"}, true, false},
+      {"the record of a known worker is overwritten",
        "w1",
        {kUnreadable},
        true,
        true},
-      {"and written anew by the worker",
+      {"overwritten, and written again by the worker",
        "w1",
        {kUnreadable, "listed"},
        true,
@@ -139,18 +141,18 @@
   }
 }
 
-TEST_CASE("what runs on a worker whose entry was overwritten goes on") {
+TEST_CASE("runs continue on a worker whose directory record was overwritten") {
   Fixture fixture;
   fixture.Start();
   fixture.fleet.OnDirectoryRecord({"w1", kUnreadable, 1}, Fixture::Now());
   fixture.calls.report.running = {{kTask, 1, "", 10, 0}};
   fixture.fleet.Tick(Fixture::Now() + std::chrono::seconds(1), true);
-  fixture.calls.AnswerWaiting();
+  fixture.calls.AnswerLongPoll();
   CHECK(fixture.calls.renewed);
   CHECK(fixture.ends.empty());
 }
 
-TEST_CASE("what runs on a worker that has left as announced has ended") {
+TEST_CASE("runs have ended on a worker that has left as announced") {
   for (const bool announced : {true, false}) {
     CAPTURE(announced);
     Fixture fixture;
@@ -164,14 +166,14 @@
     fixture.fleet.OnDirectoryRecord({"w1", std::nullopt, 2}, now);
     REQUIRE(fixture.ends.size() == (announced ? 1 : 0));
     if (announced) CHECK(fixture.ends[0] == RunEnd::kWorkerLeft);
-    CHECK(fixture.knows_worker() == !announced);
+    CHECK(fixture.has_worker() == !announced);
   }
 }
 
-// Many workers are taken away at two seconds' notice: what ran there begins
-// elsewhere when their heartbeats end, not when their leases do, 5 s later.
-TEST_CASE(
-    "what runs on a worker that is found gone after its notice has ended") {
+// Guards against pending_long_poll for the leases of workers that are removed
+// at two seconds' notice: their tasks must start elsewhere when their
+// heartbeats end, 5 s before their leases do.
+TEST_CASE("runs have ended on a worker that is gone after its notice") {
   for (const bool announced : {true, false}) {
     CAPTURE(announced);
     Fixture fixture;
@@ -180,8 +182,8 @@
     fixture.fleet.OnDirectoryCaughtUp(now);
     fixture.fleet.OnDirectoryRecord({"w1", announced ? kLeaving : "listed", 1},
                                     now);
-    fixture.calls.status = CallOutcome::kConnectionRefused;
-    fixture.calls.answers_waiting = true;
+    fixture.calls.status_outcome = CallOutcome::kConnectionRefused;
+    fixture.calls.answer_long_polls = true;
     for (int i = 0; i < 24; ++i) {
       now += Milliseconds(100);
       fixture.fleet.OnDirectoryCaughtUp(now);
@@ -189,14 +191,14 @@
     }
     REQUIRE(fixture.ends.size() == (announced ? 1 : 0));
     if (announced) CHECK(fixture.ends[0] == RunEnd::kWorkerLeft);
-    CHECK(fixture.knows_worker() == !announced);
+    CHECK(fixture.has_worker() == !announced);
   }
 }
 
-// Guards against a worker that fell silent, lost its runs, and is never asked
-// again: only those with runs or ends were, and a silent one gets no runs.
-TEST_CASE(
-    "a silent worker with nothing on it is asked again when it is listed") {
+// Guards against a worker that did not answer, lost its runs, and is never
+// called again: only workers with runs or ends are called, and one that does
+// not answer gets no runs.
+TEST_CASE("a silent worker without runs is called again when it is listed") {
   struct Row {
     const char* name;
     bool listed_again;
@@ -205,15 +207,15 @@
   };
   const std::vector<Row> rows = {
       {"it answers", true, true, WorkerBelief::kUsable},
-      {"it does not", true, false, WorkerBelief::kSilent},
-      {"nothing is heard of it", false, true, WorkerBelief::kSilent},
+      {"it does not answer", true, false, WorkerBelief::kSilent},
+      {"its record is not written again", false, true, WorkerBelief::kSilent},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
     Fixture fixture;
-    fixture.calls.answers_waiting = true;
+    fixture.calls.answer_long_polls = true;
     fixture.Start();
-    fixture.calls.status = CallOutcome::kNoAnswer;
+    fixture.calls.status_outcome = CallOutcome::kNoAnswer;
     Time now = Fixture::Now();
     const auto tick = [&fixture, &now](int times) {
       for (int i = 0; i < times; ++i) {
@@ -224,14 +226,15 @@
     tick(30);
     REQUIRE(fixture.ends.size() == 1);
     CHECK(fixture.ends[0] == RunEnd::kWorkerSilent);
-    if (row.answers) fixture.calls.status = CallOutcome::kOk;
+    if (row.answers) fixture.calls.status_outcome = CallOutcome::kOk;
     const int asked = fixture.calls.reports;
     if (row.listed_again) {
       fixture.fleet.OnDirectoryRecord({"w1", "listed", 2}, now);
     }
     tick(5);
     CHECK(fixture.fleet.trackers().at("w1").belief(now) == row.belief);
-    // Once for each entry: a worker that is gone is not asked for ever.
+    // Once for each record, so that a worker that is gone is not called
+    // forever.
     CHECK(fixture.calls.reports == asked + (row.listed_again ? 1 : 0));
   }
 }
--- a/tests/auto/coordination/worker_fleet_fixture.h
+++ b/tests/auto/coordination/worker_fleet_fixture.h
@@ -1,4 +1,4 @@
-// A fleet of one worker, whose calls are answered as a test says.
+// A fleet of one worker, "w1", whose calls are answered as a test specifies.
 #ifndef THORNPLANK_TESTS_AUTO_COORDINATION_WORKER_FLEET_FIXTURE_H_
 #define THORNPLANK_TESTS_AUTO_COORDINATION_WORKER_FLEET_FIXTURE_H_
 
@@ -18,15 +18,15 @@
 
 inline const TaskRef kTask{{"0123456789abcdef", 0, 0}, 0};
 
-// Answers every call at once, as told.
-class ScriptedCalls : public WorkerCalls {
+// Answers every call at once with the values of the public members.
+class ScriptedWorkerCalls : public WorkerCalls {
  public:
   void Start(const WorkerAddress&, const StartOrder&, Milliseconds,
              std::function<void(const StartAnswer&)> done) override {
     StartAnswer answer;
-    answer.outcome = start;
-    if (static_cast<size_t>(starts) < first_starts.size()) {
-      answer.outcome = first_starts[static_cast<size_t>(starts)];
+    answer.outcome = start_answer;
+    if (static_cast<size_t>(starts) < first_start_answers.size()) {
+      answer.outcome = first_start_answers[static_cast<size_t>(starts)];
     }
     ++starts;
     if (on_start) on_start();
@@ -35,64 +35,65 @@
   void Stop(const WorkerAddress&, const StopOrder&, Milliseconds,
             std::function<void(CallOutcome, const Error&)> done) override {
     ++stops;
-    done(stop, Error());
+    done(stop_outcome, Error());
   }
   void SetPace(const WorkerAddress&, const PaceOrder& order, Milliseconds,
                std::function<void(CallOutcome, const Error&)> done) override {
-    paces.push_back(order.percent);
-    done(pace, Error());
+    sent_paces.push_back(order.percent);
+    done(pace_outcome, Error());
   }
   void Status(const WorkerAddress&, const StatusQuery& query, Milliseconds,
               std::function<void(const StatusAnswer&)> done) override {
     ++reports;
     recorded_ends.push_back(query.recorded_ends);
-    if (query.recorded_ends > 0 && query.wait.count() > 0) ++waits_that_tell;
+    if (query.recorded_ends > 0 && query.wait.count() > 0) ++polls_with_ends;
     renewed = query.lease_until.has_value();
     if (renewed) lease_until = *query.lease_until;
-    if (query.wait.count() > 0 && !answers_waiting) {
-      waiting = std::move(done);
+    if (query.wait.count() > 0 && !answer_long_polls) {
+      pending_long_poll = std::move(done);
       return;
     }
     done(Answer());
   }
 
-  // The report that waits comes now.
-  void AnswerWaiting() {
-    REQUIRE(waiting != nullptr);
-    std::exchange(waiting, nullptr)(Answer());
+  // Answers the pending long poll for a report.
+  void AnswerLongPoll() {
+    REQUIRE(pending_long_poll != nullptr);
+    std::exchange(pending_long_poll, nullptr)(Answer());
   }
 
   StatusAnswer Answer() const {
     StatusAnswer answer;
-    answer.outcome = status;
+    answer.outcome = status_outcome;
     answer.report = report;
     return answer;
   }
 
-  StartOutcome start = StartOutcome::kAccepted;
-  // Happens before the answer.
+  StartOutcome start_answer = StartOutcome::kAccepted;
+  // Runs before a start order is answered.
   std::function<void()> on_start;
-  // Of the first orders; `start` of those after them.
-  std::vector<StartOutcome> first_starts;
-  CallOutcome stop = CallOutcome::kOk;
-  CallOutcome pace = CallOutcome::kOk;
-  std::vector<int> paces;
+  // Answers to the first start orders; later ones get `start`.
+  std::vector<StartOutcome> first_start_answers;
+  CallOutcome stop_outcome = CallOutcome::kOk;
+  CallOutcome pace_outcome = CallOutcome::kOk;
+  std::vector<int> sent_paces;
   WorkerStatusReport report;
-  CallOutcome status = CallOutcome::kOk;
-  // Whether reports that wait for an end are answered.
-  bool answers_waiting = false;
+  CallOutcome status_outcome = CallOutcome::kOk;
+  // Whether long polls for a report are answered at once.
+  bool answer_long_polls = false;
   int starts = 0;
   int stops = 0;
   int reports = 0;
-  // As each report was asked for.
+  // StatusQuery::recorded_ends of each request.
   std::vector<int64_t> recorded_ends;
-  // Reports that wait and tell ends: a worker that has restarted meanwhile
-  // would forget what ends there while they wait.
-  int waits_that_tell = 0;
+  // Number of long polls that also acknowledge ends. There must be none: a
+  // worker that has restarted meanwhile would forget the ends that come during
+  // the wait.
+  int polls_with_ends = 0;
   bool renewed = false;
-  // On the worker's clock, of the last renewal.
+  // Of the last renewal, on the clock of the worker.
   Milliseconds lease_until{0};
-  std::function<void(const StatusAnswer&)> waiting;
+  std::function<void(const StatusAnswer&)> pending_long_poll;
 };
 
 class Fixture {
@@ -118,7 +119,7 @@
     handlers.on_progress = [](const RunReport&) {};
     handlers.profile_of = [](const TaskRef&) { return RunProfile(); };
     handlers.is_known_service = [](const std::string& service) {
-      return service != kStray;
+      return service != kUnknownService;
     };
     handlers.on_ticket_refused = [](const StepRef&, const std::string&) {};
     handlers.on_change = [] {};
@@ -131,9 +132,9 @@
     fleet.SendStart("w1", kTask, 1, {});
   }
 
-  bool knows_worker() const { return fleet.trackers().count("w1") > 0; }
+  bool has_worker() const { return fleet.trackers().count("w1") > 0; }
 
-  ScriptedCalls calls;
+  ScriptedWorkerCalls calls;
   FakeFormats formats;
   std::vector<RunEnd> ends;
   int fenced = 0;
