--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -265,8 +265,9 @@
                                                                : kFollowerPace);
       SpreadRetries();
       coordinator_.OnBoardCaughtUp(board_tail_.latency());
-      if (board_contact_.OnReadSucceeded(board_tail_.next_offset()))
+      if (board_contact_.OnReadSucceeded(board_tail_.next_offset())) {
         WakeStreams();
+      }
       survey_.OnReadSucceeded();
       roll_.OnBoardCaughtUp();
     };
