--- a/benchmarks/burst_loop.cc
+++ b/benchmarks/burst_loop.cc
@@ -29,7 +29,7 @@
 constexpr int kBaselineTries = 4;
 constexpr int kGuaranteedSlots = 50;
 
-std::unique_ptr<SlotShare> MakeShare(Way way) {
+std::unique_ptr<SlotSharingPolicy> MakeShare(Way way) {
   if (way == Way::kAllSlots) {
     return std::make_unique<AllSlots>();
   }
@@ -105,12 +105,12 @@
       routers_.push_back(
           std::make_unique<RequestRouter>(options, MakeShare(way_)));
       RequestRouter& router = *routers_.back();
-      router.SetAccounts(
+      router.SetAccountLimits(
           MakeAccounts(static_cast<int>(load_.account_weights.size()),
                        kGuaranteedSlots),
           now_);
       router.SetExecutors(executors, now_);
-      router.SetPeers(names[static_cast<size_t>(entry)], names, now_);
+      router.SetLiveEntries(names[static_cast<size_t>(entry)], names, now_);
       // Heartbeats of different entries are not at the same time.
       At(now_ + milliseconds(options_.heartbeat_ms * entry / kEntries),
          [this, entry] { Heartbeat(entry); });
@@ -176,7 +176,7 @@
 
   void ScheduleTick(int entry) {
     const std::optional<Time> wake =
-        routers_[static_cast<size_t>(entry)]->NextWake();
+        routers_[static_cast<size_t>(entry)]->NextTickTime();
     const Time soonest = now_ + milliseconds(1);
     const Time next = std::max(
         soonest, std::min(wake.value_or(Time::max()), now_ + milliseconds(20)));
@@ -208,7 +208,7 @@
         At(now_ + 2 * kOneWay, [this, entry, executor] {
           AttemptResult result;
           result.outcome = AttemptOutcome::kAnswered;
-          Carry(entry, routers_[static_cast<size_t>(entry)]->ProbeResult(
+          Carry(entry, routers_[static_cast<size_t>(entry)]->HandleProbeResult(
                            executor, result, now_));
         });
       }
@@ -256,7 +256,7 @@
     result.outcome = outcome;
     result.latency = now_ - caller.sent;
     Carry(entry,
-          routers_[static_cast<size_t>(entry)]->Complete(
+          routers_[static_cast<size_t>(entry)]->CompleteAttempt(
               std::to_string(number),
               "executor-" + std::to_string(1000 + executor), result, now_));
   }
--- a/src/libs/requests/claim_flow.cc
+++ b/src/libs/requests/claim_flow.cc
@@ -17,7 +17,7 @@
   result.self = settings.self;
   result.window = settings.claim_window;
   result.max_key_time_ahead = settings.max_key_time_ahead;
-  result.clock_margin = settings.clock_margin;
+  result.max_clock_skew = settings.clock_margin;
   result.max_keys = settings.max_claim_keys;
   return result;
 }
@@ -171,7 +171,7 @@
   std::optional<ClaimEvent> event;
   {
     std::lock_guard<std::mutex> lock(mutex_);
-    event = table_.Fold(record, time);
+    event = table_.Apply(record, time);
   }
   if (event) HandleEvent(*event);
 }
@@ -211,7 +211,7 @@
 
 void ClaimFlow::Impl::FoldGap() {
   std::lock_guard<std::mutex> lock(mutex_);
-  table_.NoteGap(std::chrono::system_clock::now());
+  table_.HandleGap(std::chrono::system_clock::now());
 }
 
 bool ClaimFlow::Impl::MaySend(const std::string& claim_id) const {
--- a/src/libs/requests/routing_log.cc
+++ b/src/libs/requests/routing_log.cc
@@ -40,7 +40,7 @@
               {"executor", action.executor},
               {"reason", "its request already has an outcome"}});
   }
-  void operator()(const ExecutorTakenOut& action) const {
+  void operator()(const ExecutorEjected& action) const {
     LogEvent(events::kExecutorTakenOut,
              {{"executor", action.executor}, {"reason", action.reason}});
   }
@@ -48,7 +48,7 @@
     LogEvent(events::kExecutorProbed,
              {{"executor", action.executor}, {"reason", "due for a probe"}});
   }
-  void operator()(const ExecutorBack& action) const {
+  void operator()(const ExecutorReinstated& action) const {
     LogEvent(events::kExecutorBack,
              {{"executor", action.executor}, {"reason", action.reason}});
   }
--- a/src/libs/state/job_stream_fold.cc
+++ b/src/libs/state/job_stream_fold.cc
@@ -34,7 +34,7 @@
   return Apply(record, *typed);
 }
 
-void JobStreamFold::LoseBefore(int64_t first_kept) {
+void JobStreamFold::SkipLostRecords(int64_t first_kept) {
   if (first_kept <= next_offset_) return;
   complete_ = false;
   kept_.clear();
@@ -84,12 +84,12 @@
                   cancelled->job);
   }
   if (const auto* placed = std::get_if<PlacedRecord>(&typed)) {
-    if (!epochs_.InForce(placed->epoch)) return {};
+    if (!epochs_.IsInForce(placed->epoch)) return {};
     return change(jobs_.Place(*placed, record.time), Kind::kPlaced,
                   placed->job);
   }
   if (const auto* phase = std::get_if<PhaseRecord>(&typed)) {
-    if (!epochs_.InForce(phase->epoch)) return {};
+    if (!epochs_.IsInForce(phase->epoch)) return {};
     return change(jobs_.ChangePhase(*phase, record.time), Kind::kPhase,
                   phase->job);
   }
@@ -106,12 +106,12 @@
   const auto whole = collector_.Add(part);
   if (!whole) return {};
   if (complete_) {
-    newest_snapshot_covers_ = std::max(newest_snapshot_covers_, part.covers);
+    newest_snapshot_end_ = std::max(newest_snapshot_end_, part.covers);
     return {};
   }
   if (part.covers < kept_from_) return {};
   if (!Install(*whole)) return {};
-  newest_snapshot_covers_ = std::max(newest_snapshot_covers_, part.covers);
+  newest_snapshot_end_ = std::max(newest_snapshot_end_, part.covers);
   return {Kind::kRestored, ""};
 }
 
--- a/tests/auto/routing/tst_admission.cc
+++ b/tests/auto/routing/tst_admission.cc
@@ -24,12 +24,12 @@
   Busy(int executors, int max_queued) : router(RouterOptions{}) {
     AccountLimits limits = MakeAccount("a");
     limits.max_queued = max_queued;
-    router.SetAccounts({limits}, At(0));
+    router.SetAccountLimits({limits}, At(0));
     router.SetExecutors(MakeExecutors(executors, 1), At(0));
-    router.SetPeers("entry-1", {}, At(0));
+    router.SetLiveEntries("entry-1", {}, At(0));
     const SendAttempt first = Submit("first", 9000, 0).at(0);
-    router.Complete("first", first.executor,
-                    MakeResult(AttemptOutcome::kAnswered, 100), At(100));
+    router.CompleteAttempt("first", first.executor,
+                           MakeResult(AttemptOutcome::kAnswered, 100), At(100));
     for (int i = 0; i < executors; ++i) {
       running = Submit("running-" + std::to_string(i), 9000, 100).at(0);
     }
@@ -49,9 +49,9 @@
   Busy busy(1, 100);
   busy.Submit("short", 1000, 100);
   busy.Submit("long", 9000, 100);
-  const RoutingActions actions =
-      busy.router.Complete(busy.running.request_id, busy.running.executor,
-                           MakeResult(AttemptOutcome::kAnswered, 100), At(930));
+  const RoutingActions actions = busy.router.CompleteAttempt(
+      busy.running.request_id, busy.running.executor,
+      MakeResult(AttemptOutcome::kAnswered, 100), At(930));
   CHECK(Only<FinishNotRun>(actions).at(0).request_id == "short");
   CHECK(Only<SendAttempt>(actions).at(0).request_id == "long");
 }
@@ -74,7 +74,7 @@
     busy.Submit("r" + std::to_string(i), 9000, 100);
   }
   CHECK(busy.router.demand().accounts.at(0).queued == 12);
-  CHECK(busy.router.NextWake().has_value());
+  CHECK(busy.router.NextTickTime().has_value());
   busy.router.Tick(At(4100));
   CHECK(busy.router.demand().accounts.at(0).queued == 2);
 }
