--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -227,8 +227,9 @@
   WorkerTracker* tracker = Find(id);
   CallState& state = call_states_[id];
   if (tracker == nullptr || state.report_pending ||
-      now < state.next_report_time)
+      now < state.next_report_time) {
     return;
+  }
   if (tracker->registration().address.empty()) return;
   const bool unrecorded = tracker->processed_ends() > tracker->recorded_ends();
   const bool unacknowledged =
