--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -73,9 +73,9 @@
     BeginClaim();
   }
   if (phase_ == Phase::kLeading) {
-    const BootTime written = BootClock::now();
+    const BootTime boot_now = BootClock::now();
     const bool may_renew =
-        written - leadership_confirmed_ < settings_.leadership_timeout;
+        boot_now - leadership_confirmed_ < settings_.leadership_timeout;
     fleet_->Tick(now, may_renew);
     StopOutdatedRuns();
     const auto heartbeat = election_.settings().heartbeat_interval;
@@ -111,12 +111,12 @@
       const LeaderRecord& leader = dependencies_.board->leader();
       election_.OnLeaderRecord(leader, Now());
       LogLeader(leader);
-      const bool mine = leader.holder == settings_.holder;
-      if (mine && leader.epoch == claimed_epoch_ && !leader.released &&
+      const bool is_own = leader.holder == settings_.holder;
+      if (is_own && leader.epoch == claimed_epoch_ && !leader.released &&
           (phase_ == Phase::kFollowing || phase_ == Phase::kClaiming)) {
         BeginLeadership(leader.epoch);
       }
-      if (!mine && phase_ != Phase::kFollowing && leader.epoch > epoch_ &&
+      if (!is_own && phase_ != Phase::kFollowing && leader.epoch > epoch_ &&
           phase_ != Phase::kClaiming) {
         ScheduleStepDown("another entry leads");
       }
@@ -154,14 +154,14 @@
 void ClusterCoordinator::BeginClaim() {
   phase_ = Phase::kClaiming;
   dependencies_.refresh_board([this, generation = generation_,
-                               current = *generation_](bool current_view) {
+                               current = *generation_](bool is_current) {
     if (*generation != current || phase_ != Phase::kClaiming) return;
-    const bool vacant =
-        current_view && !released_ &&
+    const bool still_vacant =
+        is_current && !released_ &&
         election_.ShouldClaim(dependencies_.board->leader(), Now());
-    if (vacant) return SendClaim();
+    if (still_vacant) return SendClaim();
     phase_ = Phase::kFollowing;
-    if (!current_view) next_claim_time_ = Now() + kClaimRetry;
+    if (!is_current) next_claim_time_ = Now() + kClaimRetry;
   });
 }
 
@@ -318,7 +318,7 @@
     SyncJobFromBoard(id);
   }
   const Time now = Now();
-  size_t inherited = 0;
+  size_t restored_steps = 0;
   for (const auto& [ref, blocks] : loaded_progress_) {
     for (const auto& [number, block] : blocks) {
       stored_blocks_.insert({ref, number});
@@ -333,7 +333,7 @@
                {{"key", ref.ToString()}});
     }
     InheritRuns(ref, now);
-    ++inherited;
+    ++restored_steps;
   }
   for (const auto& [ref, blocks] : loaded_progress_) {
     const BoardJob* job = dependencies_.board->Find(ref.job);
@@ -347,7 +347,7 @@
            {{"epoch", epoch_},
             {"board_next", dependencies_.board_next_offset()},
             {"jobs", ledger_.jobs().size()},
-            {"steps", inherited}});
+            {"steps", restored_steps}});
   WriteHeartbeat(/*released=*/false, nullptr);
 
   RecordTailSettings tail;
@@ -452,13 +452,13 @@
 void ClusterCoordinator::WriteHeartbeat(bool released,
                                         FencedWriter::StoredCallback stored) {
   last_heartbeat_ = Now();
-  const BootTime begun = BootClock::now();
+  const BootTime sent_at = BootClock::now();
   board_writer_->Write({JobBoard::Leader({settings_.holder, epoch_, released})},
-                       [this, begun, generation = generation_,
+                       [this, sent_at, generation = generation_,
                         current = *generation_, stored = std::move(stored)] {
                          if (*generation != current) return;
                          leadership_confirmed_ =
-                             std::max(leadership_confirmed_, begun);
+                             std::max(leadership_confirmed_, sent_at);
                          if (stored) stored();
                        });
 }
--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -159,7 +159,7 @@
   void StopOutdatedRuns();
   void FlushProgress();
   void PublishEndedJobs();
-  void OnProgressStored(const std::vector<std::string>& begun,
+  void OnProgressStored(const std::vector<std::string>& started,
                         const std::map<std::string, LatestEnd>& ends);
   void PublishJobStates(const std::vector<std::string>& changed);
   void DropProgressRecords(const std::string& job,
--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -141,15 +141,15 @@
 }
 
 void ClusterCoordinator::RequestAdvice(const std::vector<WaitDecision>& waits) {
-  std::set<StepRef> open;
+  std::set<StepRef> waiting_steps;
   for (const WaitDecision& wait : waits) {
     const Job* job = ledger_.Find(wait.step.job);
     if (!job->spec.policy.advice) continue;
-    open.insert(wait.step);
+    waiting_steps.insert(wait.step);
     if (wait.candidates.empty()) continue;
     advice_->Request(wait.step, *job->spec.policy.advice, wait.candidates);
   }
-  advice_->RetainOnly(open);
+  advice_->RetainOnly(waiting_steps);
 }
 
 void ClusterCoordinator::RecordWaitMetrics(const StartDecision& decision,
@@ -309,17 +309,17 @@
     DropProgressRecords(job, &records);
   }
   const std::set<std::string> started_jobs = std::exchange(started_jobs_, {});
-  std::vector<std::string> begun(started_jobs.begin(), started_jobs.end());
+  std::vector<std::string> started(started_jobs.begin(), started_jobs.end());
   std::map<std::string, LatestEnd> ends = std::exchange(unrecorded_ends_, {});
-  if (records.empty()) return OnProgressStored(begun, ends);
+  if (records.empty()) return OnProgressStored(started, ends);
   progress_write_limiter_.OnRecorded(Now());
   std::vector<PendingStart> starts = std::exchange(pending_starts_, {});
   progress_writer_->Write(
-      std::move(records), [this, begun = std::move(begun),
+      std::move(records), [this, started = std::move(started),
                            ends = std::move(ends), starts = std::move(starts),
                            generation = generation_, current = *generation_] {
         if (*generation != current) return;
-        OnProgressStored(begun, ends);
+        OnProgressStored(started, ends);
         for (const PendingStart& start : starts) {
           const Job* job = ledger_.Find(start.task.step.job);
           if (job == nullptr) continue;
@@ -332,14 +332,14 @@
 }
 
 void ClusterCoordinator::OnProgressStored(
-    const std::vector<std::string>& begun,
+    const std::vector<std::string>& started,
     const std::map<std::string, LatestEnd>& ends) {
   for (const auto& [worker, latest] : ends) {
     fleet_->OnEndsRecorded(worker, latest.incarnation, latest.number);
   }
   // The end of a job that has ended meanwhile is already published.
   std::vector<std::string> running;
-  for (const std::string& id : begun) {
+  for (const std::string& id : started) {
     const Job* job = ledger_.Find(id);
     if (job == nullptr || IsTerminal(job->state)) continue;
     running.push_back(id);
@@ -369,12 +369,12 @@
   }
   last_heartbeat_ = Now();
   records.push_back(JobBoard::Leader({settings_.holder, epoch_, released_}));
-  const BootTime begun = BootClock::now();
+  const BootTime sent_at = BootClock::now();
   board_writer_->Write(
-      std::move(records), [this, begun, ended = std::move(ended),
+      std::move(records), [this, sent_at, ended = std::move(ended),
                            generation = generation_, current = *generation_] {
         if (*generation != current) return;
-        leadership_confirmed_ = std::max(leadership_confirmed_, begun);
+        leadership_confirmed_ = std::max(leadership_confirmed_, sent_at);
         published_ended_jobs_.insert(ended.begin(), ended.end());
       });
 }
--- a/src/libs/coordination/metered_record_store.cc
+++ b/src/libs/coordination/metered_record_store.cc
@@ -50,9 +50,9 @@
                                 Milliseconds timeout,
                                 std::function<void(const AppendResult&)> done) {
   store_.Append(request, timeout,
-                [this, begun = Now(),
+                [this, start_time = Now(),
                  done = std::move(done)](const AppendResult& result) {
-                  meter_.Note("append", ToLabel(result.outcome), begun);
+                  meter_.Note("append", ToLabel(result.outcome), start_time);
                   done(result);
                 });
 }
@@ -64,9 +64,9 @@
                               std::function<void(const ReadResult&)> done) {
   const char* call = wait.count() > 0 ? "follow" : "read";
   store_.Read(partition, from, wait, timeout,
-              [this, call, begun = Now(),
+              [this, call, start_time = Now(),
                done = std::move(done)](const ReadResult& result) {
-                meter_.Note(call, ToLabel(result.outcome), begun);
+                meter_.Note(call, ToLabel(result.outcome), start_time);
                 done(result);
               });
 }
@@ -74,12 +74,13 @@
 void MeteredRecordStore::ReadNewest(
     const Partition& partition, const std::string& after_key,
     Milliseconds timeout, std::function<void(const NewestPage&)> done) {
-  store_.ReadNewest(
-      partition, after_key, timeout,
-      [this, begun = Now(), done = std::move(done)](const NewestPage& page) {
-        meter_.Note("newest", page.ok ? "read" : "failed", begun);
-        done(page);
-      });
+  store_.ReadNewest(partition, after_key, timeout,
+                    [this, start_time = Now(),
+                     done = std::move(done)](const NewestPage& page) {
+                      meter_.Note("newest", page.ok ? "read" : "failed",
+                                  start_time);
+                      done(page);
+                    });
 }
 
 }  // namespace thornplank
--- a/src/libs/coordination/metered_worker_calls.cc
+++ b/src/libs/coordination/metered_worker_calls.cc
@@ -54,21 +54,21 @@
 void MeteredWorkerCalls::Start(const WorkerAddress& worker,
                                const StartOrder& order, Milliseconds timeout,
                                std::function<void(const StartAnswer&)> done) {
-  calls_.Start(
-      worker, order, timeout,
-      [this, begun = Now(), done = std::move(done)](const StartAnswer& answer) {
-        meter_.Note("start", ToLabel(answer.outcome), begun);
-        done(answer);
-      });
+  calls_.Start(worker, order, timeout,
+               [this, start_time = Now(),
+                done = std::move(done)](const StartAnswer& answer) {
+                 meter_.Note("start", ToLabel(answer.outcome), start_time);
+                 done(answer);
+               });
 }
 
 void MeteredWorkerCalls::Stop(
     const WorkerAddress& worker, const StopOrder& order, Milliseconds timeout,
     std::function<void(CallOutcome, const Error&)> done) {
   calls_.Stop(worker, order, timeout,
-              [this, begun = Now(), done = std::move(done)](
+              [this, start_time = Now(), done = std::move(done)](
                   CallOutcome outcome, const Error& error) {
-                meter_.Note("stop", ToLabel(outcome), begun);
+                meter_.Note("stop", ToLabel(outcome), start_time);
                 done(outcome, error);
               });
 }
@@ -77,9 +77,9 @@
     const WorkerAddress& worker, const PaceOrder& order, Milliseconds timeout,
     std::function<void(CallOutcome, const Error&)> done) {
   calls_.SetPace(worker, order, timeout,
-                 [this, begun = Now(), done = std::move(done)](
+                 [this, start_time = Now(), done = std::move(done)](
                      CallOutcome outcome, const Error& error) {
-                   meter_.Note("pace", ToLabel(outcome), begun);
+                   meter_.Note("pace", ToLabel(outcome), start_time);
                    done(outcome, error);
                  });
 }
@@ -91,9 +91,9 @@
   // as another kind of call.
   const char* call = query.wait.count() > 0 ? "follow" : "report";
   calls_.Status(worker, query, timeout,
-                [this, call, begun = Now(),
+                [this, call, start_time = Now(),
                  done = std::move(done)](const StatusAnswer& answer) {
-                  meter_.Note(call, ToLabel(answer.outcome), begun);
+                  meter_.Note(call, ToLabel(answer.outcome), start_time);
                   done(answer);
                 });
 }
--- a/tests/auto/coordination/tst_stream_reachability.cc
+++ b/tests/auto/coordination/tst_stream_reachability.cc
@@ -14,7 +14,7 @@
 namespace {
 
 TEST_CASE("each loss and each return is logged as one event") {
-  constexpr char kPath[] = "tst_stream_contact.log";
+  constexpr char kPath[] = "tst_stream_reachability.log";
   std::remove(kPath);
   Error error;
   REQUIRE(
--- a/tests/auto/coordination/tst_worker_fleet.cc
+++ b/tests/auto/coordination/tst_worker_fleet.cc
@@ -231,7 +231,7 @@
   }
 }
 
-TEST_CASE("a worker that has moved counts to its new failure domain") {
+TEST_CASE("a worker that has moved belongs to its new failure domain") {
   Fixture fixture;
   fixture.fleet.CloseDomains({"b"});
   const auto domain_closed = [&fixture] {
