--- a/src/libs/coordination/record_tail.h
+++ b/src/libs/coordination/record_tail.h
@@ -29,9 +29,8 @@
   // Between the starts of two reads; limits the load of a busy stream.
   Milliseconds min_read_interval{0};
   // Delay after a failed read. Each further failure doubles it, up to
-  // `max_retry_delay`. A random quarter, drawn with `seed`, is added or taken
-  // off, so that many entries that lost the store at the same moment don't
-  // retry together.
+  // `max_retry_delay`. It varies by up to a quarter, drawn with `seed`, so that
+  // many entries that lost the store at the same moment don't retry together.
   Milliseconds initial_retry_delay{150};
   Milliseconds max_retry_delay{1200};
   uint32_t seed = 0;
--- a/tests/auto/coordination/tst_record_tail.cc
+++ b/tests/auto/coordination/tst_record_tail.cc
@@ -87,7 +87,8 @@
 // Guards against a store that cannot recover because many entries retry as
 // often as a few may.
 TEST_CASE("the delay between failed reads grows up to a limit") {
-  // Delays of 5, 10, 20, 40, 80, 160 ms and so on, a quarter more or less.
+  // Delays of 5, 10, 20, 40, 80, 160 ms and so on, up to a quarter more or
+  // less.
   CHECK(CountFailedReads(Milliseconds(1200)) <= 8);
 }
 
