--- a/tests/auto/coordination/tst_worker_fleet_incarnations.cc
+++ b/tests/auto/coordination/tst_worker_fleet_incarnations.cc
@@ -170,9 +170,9 @@
   }
 }
 
-// Guards against pending_long_poll for the leases of workers that are removed
-// at two seconds' notice: their tasks must start elsewhere when their
-// heartbeats end, 5 s before their leases do.
+// Guards against waiting for the leases of workers that are removed at two
+// seconds' notice: their tasks must start elsewhere when their heartbeats end,
+// 5 s before their leases do.
 TEST_CASE("runs have ended on a worker that is gone after its notice") {
   for (const bool announced : {true, false}) {
     CAPTURE(announced);
--- a/tests/auto/coordination/worker_fleet_fixture.h
+++ b/tests/auto/coordination/worker_fleet_fixture.h
@@ -72,7 +72,7 @@
   StartOutcome start_answer = StartOutcome::kAccepted;
   // Runs before a start order is answered.
   std::function<void()> on_start;
-  // Answers to the first start orders; later ones get `start`.
+  // Answers to the first start orders; later ones get `start_answer`.
   std::vector<StartOutcome> first_start_answers;
   CallOutcome stop_outcome = CallOutcome::kOk;
   CallOutcome pace_outcome = CallOutcome::kOk;
