--- a/src/libs/coordination/cluster_coordinator.h
+++ b/src/libs/coordination/cluster_coordinator.h
@@ -159,7 +159,7 @@
   void StopOutdatedRuns();
   void FlushProgress();
   void PublishEndedJobs();
-  void OnProgressStored(const std::vector<std::string>& begun,
+  void OnProgressStored(const std::vector<std::string>& started,
                         const std::map<std::string, LatestEnd>& ends);
   void PublishJobStates(const std::vector<std::string>& changed);
   void DropProgressRecords(const std::string& job,
@@ -220,7 +220,7 @@
   std::set<std::string> published_ended_jobs_;
   // Jobs that ended in this epoch and were removed from the ledger. The board
   // may still show them as unfinished and must not bring them back.
-  std::set<std::string> finished_jobs_;
+  std::set<std::string> ended_jobs_;
   // Ends that the next flush will record, by worker.
   std::map<std::string, LatestEnd> unrecorded_ends_;
   // A start that is decided and not yet recorded.
