--- a/src/libs/scheduling/cell_layout.cc
+++ b/src/libs/scheduling/cell_layout.cc
@@ -27,7 +27,7 @@
 int CellLayout::Add(Cell cell) {
   cell.slots.assign(cell.shape.members, CellSlot());
   for (size_t i = 0; i < cells_.size(); ++i) {
-    if (!cells_[i].retired || cells_[i].users > 0) continue;
+    if (!cells_[i].retired || cells_[i].allocations > 0) continue;
     cells_[i] = std::move(cell);
     return static_cast<int>(i);
   }
@@ -36,20 +36,20 @@
 }
 
 void CellLayout::Retire(int cell) {
-  if (cells_[cell].users == 0) Unplace(cell);
+  if (cells_[cell].allocations == 0) Unplace(cell);
   cells_[cell].retired = true;
   Commit();
 }
 
-void CellLayout::Use(int cell, int slot, int accelerators) {
+void CellLayout::AllocateSlot(int cell, int slot, int accelerators) {
   cells_[cell].slots[slot].used += accelerators;
-  ++cells_[cell].users;
+  ++cells_[cell].allocations;
 }
 
-void CellLayout::Unuse(int cell, int slot, int accelerators) {
+void CellLayout::FreeSlot(int cell, int slot, int accelerators) {
   cells_[cell].slots[slot].used -= accelerators;
-  --cells_[cell].users;
-  if (cells_[cell].retired && cells_[cell].users == 0) Unplace(cell);
+  --cells_[cell].allocations;
+  if (cells_[cell].retired && cells_[cell].allocations == 0) Unplace(cell);
   Commit();
 }
 
@@ -57,11 +57,13 @@
   cells_[cell].lent_to = event;
 }
 
-void CellLayout::SetFixed(int cell, bool fixed) { cells_[cell].fixed = fixed; }
+void CellLayout::SetPinned(int cell, bool pinned) {
+  cells_[cell].pinned = pinned;
+}
 
 bool CellLayout::IsMovable(const Cell& cell) const {
-  if (cell.users > 0 || cell.retired) return false;
-  return !cell.fixed || !IsUsable(cell);
+  if (cell.allocations > 0 || cell.retired) return false;
+  return !cell.pinned || !IsUsable(cell);
 }
 
 bool CellLayout::IsUsable(const Cell& cell) const {
@@ -80,26 +82,26 @@
   return missing;
 }
 
-void CellLayout::RefreshRoom() {
-  room_ = cluster_.CapacityByWorker();
+void CellLayout::RecomputeUnreserved() {
+  unreserved_ = cluster_.CapacityByWorker();
   for (const Cell& cell : cells_) {
     if (!cell.placed) continue;
     for (const CellSlot& slot : cell.slots) {
-      room_[slot.worker] -= cell.shape.accelerators_per_member;
+      unreserved_[slot.worker] -= cell.shape.accelerators_per_member;
     }
   }
 }
 
-void CellLayout::Remember(int cell) {
-  moves_.push_back({cell, cells_[cell].slots, cells_[cell].placed});
+void CellLayout::SaveForUndo(int cell) {
+  undo_log_.push_back({cell, cells_[cell].slots, cells_[cell].placed});
 }
 
 void CellLayout::Unplace(int index) {
   Cell& cell = cells_[index];
   if (!cell.placed) return;
-  Remember(index);
+  SaveForUndo(index);
   for (CellSlot& slot : cell.slots) {
-    room_[slot.worker] += cell.shape.accelerators_per_member;
+    unreserved_[slot.worker] += cell.shape.accelerators_per_member;
     slot.worker = kNoWorker;
   }
   cell.placed = false;
@@ -107,21 +109,21 @@
 
 void CellLayout::PlaceAt(int index, const std::vector<WorkerIndex>& workers) {
   Cell& cell = cells_[index];
-  Remember(index);
+  SaveForUndo(index);
   for (size_t i = 0; i < cell.slots.size(); ++i) {
     cell.slots[i].worker = workers[i];
-    room_[workers[i]] -= cell.shape.accelerators_per_member;
+    unreserved_[workers[i]] -= cell.shape.accelerators_per_member;
   }
   cell.placed = true;
 }
 
-void CellLayout::Undo() {
-  for (auto move = moves_.rbegin(); move != moves_.rend(); ++move) {
-    cells_[move->cell].slots = std::move(move->slots);
-    cells_[move->cell].placed = move->placed;
+void CellLayout::Rollback() {
+  for (auto saved = undo_log_.rbegin(); saved != undo_log_.rend(); ++saved) {
+    cells_[saved->cell].slots = std::move(saved->slots);
+    cells_[saved->cell].placed = saved->placed;
   }
-  moves_.clear();
-  RefreshRoom();
+  undo_log_.clear();
+  RecomputeUnreserved();
 }
 
 bool CellLayout::PlaceRackCell(int index, const AcceleratorsByWorker& room,
@@ -152,9 +154,9 @@
   }
 }
 
-bool CellLayout::PlaceChosen(const std::vector<int>& moving,
-                             const AcceleratorsByWorker& room,
-                             const PlacementCost& cost) {
+bool CellLayout::PlaceInOrder(const std::vector<int>& moving,
+                              const AcceleratorsByWorker& room,
+                              const PlacementCost& cost) {
   AcceleratorsByWorker left = room;
   const auto take = [this, &left](int index) {
     for (const CellSlot& slot : cells_[index].slots) {
@@ -178,13 +180,13 @@
   return true;
 }
 
-void CellLayout::ClearOverfull() {
+void CellLayout::UnplaceOvercommitted() {
   for (size_t i = 0; i < cells_.size(); ++i) {
     if (!IsMovable(cells_[i]) || !cells_[i].placed) continue;
     const std::vector<CellSlot>& slots = cells_[i].slots;
     const bool overfull = std::any_of(
         slots.begin(), slots.end(),
-        [this](const CellSlot& slot) { return room_[slot.worker] < 0; });
+        [this](const CellSlot& slot) { return unreserved_[slot.worker] < 0; });
     if (overfull) Unplace(static_cast<int>(i));
   }
 }
@@ -207,7 +209,7 @@
   while (next < missing.size()) {
     const int index = missing[next];
     if (!cells_[index].is_unit()) {
-      PlaceRackCell(index, room_, no_cost);
+      PlaceRackCell(index, unreserved_, no_cost);
       ++next;
       continue;
     }
@@ -216,7 +218,7 @@
     while (next < missing.size() && cells_[missing[next]].shape == shape) {
       batch.push_back(missing[next++]);
     }
-    PlaceUnits(batch, room_, no_cost);
+    PlaceUnits(batch, unreserved_, no_cost);
   }
 }
 
@@ -236,7 +238,7 @@
   std::shuffle(first->begin(), first->end(), random_);
 }
 
-bool CellLayout::RebuildWithFewer(int missing) {
+bool CellLayout::RebuildWithFewerMissing(int missing) {
   std::vector<int> first;
   for (int attempt = 0; attempt < kRepairAttempts; ++attempt) {
     Rebuild(&first);
@@ -260,8 +262,8 @@
                      [this](int index) { return IsUsable(cells_[index]); });
 }
 
-bool CellLayout::Settle(const std::vector<int>& usable) {
-  ClearOverfull();
+bool CellLayout::ResolveOvercommit(const std::vector<int>& usable) {
+  UnplaceOvercommitted();
   PlaceMissing({});
   std::vector<int> first;
   for (int attempt = 0; !AreUsable(usable); ++attempt) {
@@ -273,20 +275,20 @@
 
 void CellLayout::Repair() {
   Commit();
-  RefreshRoom();
-  ClearOverfull();
+  RecomputeUnreserved();
+  UnplaceOvercommitted();
   PlaceMissing({});
   Commit();
   // Keep the old layout unless a new one serves more.
   int missing = CountMissing();
-  while (missing > 0 && RebuildWithFewer(missing)) {
+  while (missing > 0 && RebuildWithFewerMissing(missing)) {
     Commit();
     missing = CountMissing();
   }
-  Undo();
+  Rollback();
 }
 
-bool CellLayout::LiesOnFree(const std::vector<int>& cells) const {
+bool CellLayout::FitsFreeAccelerators(const std::vector<int>& cells) const {
   AcceleratorsByWorker free = cluster_.FreeByWorker();
   for (const int index : cells) {
     const Cell& cell = cells_[index];
@@ -299,8 +301,8 @@
 }
 
 // Free accelerators outside of the cells that cannot be moved.
-AcceleratorsByWorker CellLayout::FreeRoomWithoutMovable() const {
-  AcceleratorsByWorker room = room_;
+AcceleratorsByWorker CellLayout::FreeOutsideUnmovableCells() const {
+  AcceleratorsByWorker room = unreserved_;
   for (const Cell& cell : cells_) {
     if (!IsMovable(cell) || !cell.placed) continue;
     for (const CellSlot& slot : cell.slots) {
@@ -318,26 +320,27 @@
   Commit();
   const std::vector<int> usable = UsableCells();
   for (const int index : moving) Unplace(index);
-  const bool placed = PlaceChosen(moving, room_, cost);
-  if (placed && LiesOnFree(moving)) {
+  const bool placed = PlaceInOrder(moving, unreserved_, cost);
+  if (placed && FitsFreeAccelerators(moving)) {
     Commit();
     return;
   }
-  Undo();
+  Rollback();
   for (const int index : moving) Unplace(index);
-  if (PlaceChosen(moving, FreeRoomWithoutMovable(), cost)) {
-    for (const int index : moving) ++cells_[index].users;  // not to be moved
-    const bool settled = Settle(usable);
-    for (const int index : moving) --cells_[index].users;
+  if (PlaceInOrder(moving, FreeOutsideUnmovableCells(), cost)) {
+    for (const int index : moving)
+      ++cells_[index].allocations;  // not to be moved
+    const bool settled = ResolveOvercommit(usable);
+    for (const int index : moving) --cells_[index].allocations;
     if (settled) {
       Commit();
       return;
     }
   }
-  Undo();
+  Rollback();
   if (!placed) return;
   for (const int index : moving) Unplace(index);
-  PlaceChosen(moving, room_, cost);
+  PlaceInOrder(moving, unreserved_, cost);
   Commit();
 }
 
@@ -348,18 +351,19 @@
   const std::vector<int> usable = UsableCells();
   for (const int index : moving) Unplace(index);
   for (size_t i = 0; i < moving.size(); ++i) PlaceAt(moving[i], workers[i]);
-  for (const int index : moving) ++cells_[index].users;  // not to be moved
-  bool settled = Settle(usable);
+  for (const int index : moving)
+    ++cells_[index].allocations;  // not to be moved
+  bool settled = ResolveOvercommit(usable);
   for (const int index : moving) {
-    --cells_[index].users;
+    --cells_[index].allocations;
     for (const CellSlot& slot : cells_[index].slots) {
-      settled = settled && room_[slot.worker] >= 0;
+      settled = settled && unreserved_[slot.worker] >= 0;
     }
   }
   if (settled) {
     Commit();
   } else {
-    Undo();
+    Rollback();
   }
   return settled;
 }
--- a/src/libs/scheduling/cell_layout.h
+++ b/src/libs/scheduling/cell_layout.h
@@ -52,13 +52,13 @@
   Shape shape;
   std::vector<CellSlot> slots;
   // Slots in use; the cell cannot be moved while above 0.
-  int users = 0;
+  int allocations = 0;
   // Invariant: all slots name a worker when placed, none does otherwise. A
   // cell in use may lie on a worker that can no longer be used.
   bool placed = false;
-  // Stays where it is while its workers can be used, also without users.
-  bool fixed = false;
-  // No longer declared. Its index is used again once it has no users.
+  // Stays where it is while its workers can be used, also without allocations.
+  bool pinned = false;
+  // No longer declared. Its index is used again once it has no allocations.
   bool retired = false;
 
   bool is_unit() const { return shape.members == 1; }
@@ -72,13 +72,13 @@
 
   // Returns the index of the new cell, which is not placed yet.
   int Add(Cell cell);
-  // Gives up the place of a cell without users.
+  // Gives up the place of a cell without allocations.
   void Retire(int cell);
   const std::vector<Cell>& cells() const { return cells_; }
-  void Use(int cell, int slot, int accelerators);
-  void Unuse(int cell, int slot, int accelerators);
+  void AllocateSlot(int cell, int slot, int accelerators);
+  void FreeSlot(int cell, int slot, int accelerators);
   void SetLentTo(int cell, const std::string& event);
-  void SetFixed(int cell, bool fixed);
+  void SetPinned(int cell, bool pinned);
 
   // Whether each slot of the cell lies on a worker that may be used.
   bool IsUsable(const Cell& cell) const;
@@ -98,51 +98,52 @@
                   const std::vector<std::vector<WorkerIndex>>& workers);
 
  private:
-  struct Move {
+  struct SavedPlace {
     int cell = 0;
     std::vector<CellSlot> slots;
     bool placed = false;
   };
 
   bool IsMovable(const Cell& cell) const;
-  void RefreshRoom();
-  void Remember(int cell);
+  void RecomputeUnreserved();
+  void SaveForUndo(int cell);
   void Unplace(int cell);
   void PlaceAt(int cell, const std::vector<WorkerIndex>& workers);
-  void Undo();
-  void Commit() { moves_.clear(); }
+  void Rollback();
+  void Commit() { undo_log_.clear(); }
 
   bool PlaceRackCell(int cell, const AcceleratorsByWorker& room,
                      const PlacementCost& cost);
   void PlaceUnits(const std::vector<int>& units,
                   const AcceleratorsByWorker& room, const PlacementCost& cost);
-  bool PlaceChosen(const std::vector<int>& moving,
-                   const AcceleratorsByWorker& room, const PlacementCost& cost);
-  bool LiesOnFree(const std::vector<int>& cells) const;
-  AcceleratorsByWorker FreeRoomWithoutMovable() const;
+  bool PlaceInOrder(const std::vector<int>& moving,
+                    const AcceleratorsByWorker& room,
+                    const PlacementCost& cost);
+  bool FitsFreeAccelerators(const std::vector<int>& cells) const;
+  AcceleratorsByWorker FreeOutsideUnmovableCells() const;
   // Unplaces movable cells from workers whose cells exceed their room.
-  void ClearOverfull();
+  void UnplaceOvercommitted();
   // Places every missing movable cell, those of `first` before the others.
   void PlaceMissing(const std::vector<int>& first);
   // Tries a whole new layout; `first` are the cells that found no place in
   // the earlier attempts and go first.
   void Rebuild(std::vector<int>* first);
   // Tries new layouts until fewer than `missing` cells are missing.
-  bool RebuildWithFewer(int missing);
+  bool RebuildWithFewerMissing(int missing);
   std::vector<int> UsableCells() const;
   bool AreUsable(const std::vector<int>& cells) const;
   // Clears what is overfull and places it anew; false when that costs one of
   // `usable` its place.
-  bool Settle(const std::vector<int>& usable);
+  bool ResolveOvercommit(const std::vector<int>& usable);
 
   const ClusterModel& cluster_;
   std::mt19937_64 random_;
   std::vector<Cell> cells_;
   // Capacity of each worker minus its cells. Invariant outside of a method:
   // negative only where cells in use lie on unusable workers.
-  AcceleratorsByWorker room_;
+  AcceleratorsByWorker unreserved_;
   // Places before the changes that are not committed yet.
-  std::vector<Move> moves_;
+  std::vector<SavedPlace> undo_log_;
 };
 
 }  // namespace thornplank
--- a/src/libs/scheduling/cluster_model.cc
+++ b/src/libs/scheduling/cluster_model.cc
@@ -38,7 +38,7 @@
 int ClusterModel::unheld(WorkerIndex index) const {
   const Worker& worker = workers_[index];
   if (worker.refusing) return 0;
-  return std::max(0, capacity(index) - worker.held - worker.unknown_held);
+  return std::max(0, capacity(index) - worker.held - worker.untracked_held);
 }
 
 int ClusterModel::total_capacity() const {
@@ -89,8 +89,8 @@
   workers_[worker].claimed -= accelerators;
 }
 
-void ClusterModel::SetUnknownHeld(WorkerIndex worker, int accelerators) {
-  workers_[worker].unknown_held = accelerators;
+void ClusterModel::SetUntrackedHeld(WorkerIndex worker, int accelerators) {
+  workers_[worker].untracked_held = accelerators;
 }
 
 bool ClusterModel::leaving(WorkerIndex index) const {
--- a/src/libs/scheduling/cluster_model.h
+++ b/src/libs/scheduling/cluster_model.h
@@ -68,7 +68,7 @@
   void Claim(WorkerIndex worker, int accelerators);
   void Unclaim(WorkerIndex worker, int accelerators);
   // Leases in the worker's own table that are not ours.
-  void SetUnknownHeld(WorkerIndex worker, int accelerators);
+  void SetUntrackedHeld(WorkerIndex worker, int accelerators);
 
   bool leaving(WorkerIndex worker) const;
   bool lost(WorkerIndex worker) const { return workers_[worker].lost; }
@@ -90,11 +90,11 @@
     bool lost = false;
     bool quarantined = false;
     bool refusing = false;
-    // held + unknown_held may exceed the accelerators for a moment only when
+    // held + untracked_held may exceed the accelerators for a moment only when
     // the worker itself reports leases that are not ours.
     int held = 0;
     int claimed = 0;
-    int unknown_held = 0;
+    int untracked_held = 0;
   };
 
   int RackIndex(const std::string& name);
--- a/src/libs/scheduling/cluster_survey.cc
+++ b/src/libs/scheduling/cluster_snapshot.cc
@@ -1,4 +1,4 @@
-#include "scheduling/cluster_survey.h"
+#include "scheduling/cluster_snapshot.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-ClusterSurvey::ClusterSurvey(const SchedulerState& state, Time now)
+ClusterSnapshot::ClusterSnapshot(const SchedulerState& state, Time now)
     : total_capacity(state.cluster.total_capacity()) {
   gangs.reserve(state.gangs.gangs().size());
   for (const auto& entry : state.gangs.gangs()) {
@@ -19,10 +19,10 @@
     const JobRecord* job = state.FindJob(gang.job());
     GangView view;
     view.gang = &gang;
-    view.borrower = !job || !job->use;
+    view.borrower = !job || !job->allocation;
     view.urgent = job && job->spec.priority == Priority::kUrgent;
-    view.leaving = gang.phase == JobPhase::kCheckpointing ||
-                   gang.phase == JobPhase::kStopping;
+    view.stopping = gang.phase == JobPhase::kCheckpointing ||
+                    gang.phase == JobPhase::kStopping;
     view.expected_end = state.ExpectedEnd(gang, now);
     if (view.borrower) borrowed[gang.account()] += gang.accelerators();
     gangs.push_back(view);
@@ -30,8 +30,8 @@
   for (const auto& entry : state.accounts) total_weight += entry.second.weight;
 }
 
-double ClusterSurvey::BorrowedOverShare(const SchedulerState& state,
-                                        const std::string& account) const {
+double ClusterSnapshot::BorrowedToShareRatio(const SchedulerState& state,
+                                             const std::string& account) const {
   const auto found = borrowed.find(account);
   if (found == borrowed.end()) return 0;
   const double weight = state.Account(account).weight;
@@ -40,7 +40,7 @@
   return share > 0 ? found->second / share : 0;
 }
 
-std::vector<ExpectedRelease> ClusterSurvey::Releases() const {
+std::vector<ExpectedRelease> ClusterSnapshot::Releases() const {
   std::vector<ExpectedRelease> releases;
   for (const GangView& view : gangs) {
     for (const MemberRecord& record : view.gang->members()) {
@@ -52,29 +52,29 @@
   return releases;
 }
 
-AcceleratorsByWorker ClusterSurvey::Outlasting(const ClusterModel& cluster,
-                                               Time at) const {
-  AcceleratorsByWorker outlasting(cluster.size());
+AcceleratorsByWorker ClusterSnapshot::InUseAt(const ClusterModel& cluster,
+                                              Time at) const {
+  AcceleratorsByWorker in_use(cluster.size());
   for (WorkerIndex i = 0; i < cluster.size(); ++i) {
-    outlasting[i] = cluster.claimed(i);
+    in_use[i] = cluster.claimed(i);
   }
   for (const GangView& view : gangs) {
     if (view.expected_end <= at) continue;
     for (const MemberRecord& record : view.gang->members()) {
       if (IsHeld(record)) {
-        outlasting[record.worker] += record.member.accelerators;
+        in_use[record.worker] += record.member.accelerators;
       }
     }
   }
-  return outlasting;
+  return in_use;
 }
 
-AcceleratorsByWorker ClusterSurvey::Reclaimable(const ClusterModel& cluster,
-                                                bool urgent_too) const {
+AcceleratorsByWorker ClusterSnapshot::Reclaimable(const ClusterModel& cluster,
+                                                  bool urgent_too) const {
   AcceleratorsByWorker room(cluster.size(), 0);
   for (const GangView& view : gangs) {
-    if (!view.borrower && !view.leaving) continue;
-    if (view.urgent && !view.leaving && !urgent_too) continue;
+    if (!view.borrower && !view.stopping) continue;
+    if (view.urgent && !view.stopping && !urgent_too) continue;
     for (const MemberRecord& record : view.gang->members()) {
       if (!IsHeld(record) || cluster.capacity(record.worker) == 0) continue;
       room[record.worker] += record.member.accelerators;
@@ -83,8 +83,8 @@
   return room;
 }
 
-std::vector<Time> ClusterSurvey::RackEnds(const ClusterModel& cluster,
-                                          Time now) const {
+std::vector<Time> ClusterSnapshot::RackEndTimes(const ClusterModel& cluster,
+                                                Time now) const {
   std::vector<Time> ends(cluster.rack_count(), now);
   for (const GangView& view : gangs) {
     for (const MemberRecord& record : view.gang->members()) {
@@ -95,12 +95,12 @@
   return ends;
 }
 
-std::vector<double> ClusterSurvey::DisplacementCost(const SchedulerState& state,
-                                                    Time now) const {
+std::vector<double> ClusterSnapshot::DisplacementCost(
+    const SchedulerState& state, Time now) const {
   std::vector<double> lost(state.cluster.size(), 0);
   std::vector<int> held(state.cluster.size(), 0);
   for (const GangView& view : gangs) {
-    if (!view.borrower || view.leaving) continue;
+    if (!view.borrower || view.stopping) continue;
     const double work_lost = state.WorkLost(*view.gang, now);
     for (const MemberRecord& record : view.gang->members()) {
       if (!IsHeld(record)) continue;
--- a/src/libs/scheduling/event_calendar.cc
+++ b/src/libs/scheduling/event_calendar.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // A borrower should run for at least this many times what saving it takes.
-constexpr int kUsefulWorkPerLead = 3;
+constexpr int kMinRunTimePerLeadTime = 3;
 
 }  // namespace
 
@@ -21,11 +21,11 @@
   return nullptr;
 }
 
-bool EventCalendar::KeepsOff(const EventReservation& event, Time now,
-                             Time expected_end, Duration lead) {
+bool EventCalendar::MustAvoid(const EventReservation& event, Time now,
+                              Time expected_end, Duration lead_time) {
   if (event.start <= now) return true;
   if (expected_end <= event.start) return false;
-  return now + lead * (1 + kUsefulWorkPerLead) > event.start;
+  return now + lead_time * (1 + kMinRunTimePerLeadTime) > event.start;
 }
 
 }  // namespace thornplank
--- a/src/libs/scheduling/event_calendar.h
+++ b/src/libs/scheduling/event_calendar.h
@@ -18,14 +18,14 @@
   const EventReservation* Find(const std::string& name) const;
 
   // Whether a borrower that would start now, end at `expected_end` and need
-  // `lead` to be saved and stopped must keep off the event's accelerators.
+  // `lead_time` to be saved and stopped must keep off the event's accelerators.
   // One that crosses the start may use them only when it can do useful work
   // first and still be saved in time.
-  static bool KeepsOff(const EventReservation& event, Time now,
-                       Time expected_end, Duration lead);
-  // When a borrower that needs `lead` has to be moved off.
-  static Time ClearAt(const EventReservation& event, Duration lead) {
-    return event.start - lead;
+  static bool MustAvoid(const EventReservation& event, Time now,
+                        Time expected_end, Duration lead_time);
+  // When a borrower that needs `lead_time` has to be moved off.
+  static Time ReclaimTime(const EventReservation& event, Duration lead_time) {
+    return event.start - lead_time;
   }
 
  private:
--- a/src/libs/scheduling/fault_ledger.cc
+++ b/src/libs/scheduling/failure_tracker.cc
@@ -1,4 +1,4 @@
-#include "scheduling/fault_ledger.h"
+#include "scheduling/failure_tracker.h"
 
 #include <algorithm>
 
@@ -6,20 +6,20 @@
 namespace {
 
 // Quarantine never lasts longer than this many times its first length.
-constexpr int kLongestQuarantine = 16;
+constexpr int kMaxQuarantineFactor = 16;
 
 }  // namespace
 
-FaultLedger::FaultLedger(FaultLimits limits) : limits_(limits) {}
+FailureTracker::FailureTracker(FailureLimits limits) : limits_(limits) {}
 
-bool FaultLedger::IsSuspected(const Worker& worker) const {
-  return worker.state != WorkerState::kGood ||
+bool FailureTracker::IsSuspected(const Worker& worker) const {
+  return worker.state != WorkerState::kHealthy ||
          static_cast<int>(worker.failed_jobs.size()) >=
              limits_.jobs_to_suspect_worker;
 }
 
-void FaultLedger::Quarantine(Worker& worker, Time now) {
-  const Duration longest = limits_.quarantine_time * kLongestQuarantine;
+void FailureTracker::Quarantine(Worker& worker, Time now) {
+  const Duration longest = limits_.quarantine_time * kMaxQuarantineFactor;
   worker.quarantine_time = worker.quarantine_time == Duration::zero()
                                ? limits_.quarantine_time
                                : std::min(longest, worker.quarantine_time * 2);
@@ -27,8 +27,8 @@
   worker.probe_at = now + worker.quarantine_time;
 }
 
-bool FaultLedger::Failed(const std::string& job, WorkerIndex index,
-                         int worker_count, Time now) {
+bool FailureTracker::RecordFailure(const std::string& job, WorkerIndex index,
+                                   int worker_count, Time now) {
   Worker& worker = workers_[index];
   worker.failed_jobs.insert(job);
   ++jobs_[job].failed_on[index];
@@ -46,16 +46,16 @@
   return true;
 }
 
-bool FaultLedger::Succeeded(const std::string& job, WorkerIndex index) {
+bool FailureTracker::RecordSuccess(const std::string& job, WorkerIndex index) {
   jobs_.erase(job);
   const auto found = workers_.find(index);
   if (found == workers_.end()) return false;
-  const bool was_good = found->second.state == WorkerState::kGood;
+  const bool was_good = found->second.state == WorkerState::kHealthy;
   workers_.erase(found);
   return !was_good;
 }
 
-bool FaultLedger::IsBadJob(const std::string& id) const {
+bool FailureTracker::IsBadJob(const std::string& id) const {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return false;
   const Job& job = found->second;
@@ -73,7 +73,7 @@
          failures_on_good >= 2 * limits_.failures_to_judge_job - 1;
 }
 
-void FaultLedger::Forget(const std::string& id) {
+void FailureTracker::ForgetJob(const std::string& id) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
   if (IsBadJob(id)) {
@@ -86,38 +86,38 @@
   jobs_.erase(found);
 }
 
-FaultLedger::WorkerState FaultLedger::state(WorkerIndex worker) const {
+FailureTracker::WorkerState FailureTracker::state(WorkerIndex worker) const {
   const auto found = workers_.find(worker);
-  return found == workers_.end() ? WorkerState::kGood : found->second.state;
+  return found == workers_.end() ? WorkerState::kHealthy : found->second.state;
 }
 
-bool FaultLedger::IsProbeDue(WorkerIndex worker, Time now) const {
+bool FailureTracker::IsProbeDue(WorkerIndex worker, Time now) const {
   const auto found = workers_.find(worker);
   return found != workers_.end() &&
          found->second.state == WorkerState::kQuarantined &&
          found->second.probe_at <= now;
 }
 
-void FaultLedger::ProbeStarted(WorkerIndex worker) {
+void FailureTracker::StartProbe(WorkerIndex worker) {
   workers_[worker].state = WorkerState::kProbing;
 }
 
-void FaultLedger::ProbeAbandoned(WorkerIndex worker) {
+void FailureTracker::AbandonProbe(WorkerIndex worker) {
   const auto found = workers_.find(worker);
   if (found == workers_.end()) return;
   if (found->second.state != WorkerState::kProbing) return;
   found->second.state = WorkerState::kQuarantined;
 }
 
-std::vector<WorkerIndex> FaultLedger::quarantined() const {
+std::vector<WorkerIndex> FailureTracker::quarantined() const {
   std::vector<WorkerIndex> found;
   for (const auto& [index, worker] : workers_) {
-    if (worker.state != WorkerState::kGood) found.push_back(index);
+    if (worker.state != WorkerState::kHealthy) found.push_back(index);
   }
   return found;
 }
 
-std::optional<Time> FaultLedger::NextProbe() const {
+std::optional<Time> FailureTracker::NextProbe() const {
   std::optional<Time> next;
   for (const auto& entry : workers_) {
     const Worker& worker = entry.second;
--- a/src/libs/scheduling/fault_ledger.h
+++ b/src/libs/scheduling/failure_tracker.h
@@ -5,8 +5,8 @@
 // workers that are not suspected themselves. A suspected worker goes into
 // quarantine, never more of them at once than a set share, and comes back
 // through a probe.
-#ifndef THORNPLANK_SCHEDULING_FAULT_LEDGER_H_
-#define THORNPLANK_SCHEDULING_FAULT_LEDGER_H_
+#ifndef THORNPLANK_SCHEDULING_FAILURE_TRACKER_H_
+#define THORNPLANK_SCHEDULING_FAILURE_TRACKER_H_
 
 #include <map>
 #include <optional>
@@ -19,7 +19,7 @@
 
 namespace thornplank {
 
-struct FaultLimits {
+struct FailureLimits {
   // Distinct jobs that have to fail on a worker without a success between.
   int jobs_to_suspect_worker = 3;
   // Failures on distinct unsuspected workers that make a job bad.
@@ -30,33 +30,33 @@
   Duration quarantine_time = std::chrono::seconds(60);
 };
 
-class FaultLedger {
+class FailureTracker {
  public:
-  enum class WorkerState { kGood, kQuarantined, kProbing };
+  enum class WorkerState { kHealthy, kQuarantined, kProbing };
 
-  explicit FaultLedger(FaultLimits limits);
+  explicit FailureTracker(FailureLimits limits);
 
   // A member of `job` failed on `worker`. Quarantines the worker when it is
   // due and fewer than the allowed share of `worker_count` are; returns
   // whether that happened now. Quarantine lasts twice as long after a failed
   // probe.
-  bool Failed(const std::string& job, WorkerIndex worker, int worker_count,
-              Time now);
+  bool RecordFailure(const std::string& job, WorkerIndex worker,
+                     int worker_count, Time now);
   // A member of `job` ran on `worker` to its end. Returns whether that ended
   // the worker's quarantine.
-  bool Succeeded(const std::string& job, WorkerIndex worker);
+  bool RecordSuccess(const std::string& job, WorkerIndex worker);
   // Whether the job failed wherever it ran.
   bool IsBadJob(const std::string& job) const;
   // Forgets the job; when it was bad, its failures no longer count against
   // the workers.
-  void Forget(const std::string& job);
+  void ForgetJob(const std::string& job);
 
   WorkerState state(WorkerIndex worker) const;
   // In quarantine for long enough to take one gang as a probe.
   bool IsProbeDue(WorkerIndex worker, Time now) const;
-  void ProbeStarted(WorkerIndex worker);
+  void StartProbe(WorkerIndex worker);
   // The probe ended without an answer, for instance by being cancelled.
-  void ProbeAbandoned(WorkerIndex worker);
+  void AbandonProbe(WorkerIndex worker);
   std::vector<WorkerIndex> quarantined() const;
   // When the next worker becomes due for a probe.
   std::optional<Time> NextProbe() const;
@@ -65,7 +65,7 @@
   struct Worker {
     // Jobs that failed here since the last success.
     std::set<std::string> failed_jobs;
-    WorkerState state = WorkerState::kGood;
+    WorkerState state = WorkerState::kHealthy;
     Time probe_at;
     Duration quarantine_time = Duration::zero();
   };
@@ -78,11 +78,11 @@
   bool IsSuspected(const Worker& worker) const;
   void Quarantine(Worker& worker, Time now);
 
-  const FaultLimits limits_;
+  const FailureLimits limits_;
   std::map<WorkerIndex, Worker> workers_;
   std::map<std::string, Job> jobs_;
 };
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_SCHEDULING_FAULT_LEDGER_H_
+#endif  // THORNPLANK_SCHEDULING_FAILURE_TRACKER_H_
--- a/src/libs/scheduling/feasibility.cc
+++ b/src/libs/scheduling/feasibility.cc
@@ -1,6 +1,6 @@
 // Whether guarantees fit together and whether a job can ever run.
 #include "scheduling/cluster_model.h"
-#include "scheduling/guarantee_witness.h"
+#include "scheduling/guarantee_placement.h"
 #include "scheduling/job_scheduler.h"
 #include "scheduling/placement_search.h"
 
@@ -16,12 +16,12 @@
 }
 
 // Workers that leave may be declared back, so they count as if they stayed.
-std::vector<WorkerInfo> Staying(std::vector<WorkerInfo> workers) {
+std::vector<WorkerInfo> AssumeStaying(std::vector<WorkerInfo> workers) {
   for (WorkerInfo& worker : workers) worker.leaving = false;
   return workers;
 }
 
-std::string CannotHold(const Shape& shape, const ClusterModel& cluster) {
+std::string InfeasibleReason(const Shape& shape, const ClusterModel& cluster) {
   if (shape.accelerators_per_member > cluster.largest_worker()) {
     return "a member needs " + std::to_string(shape.accelerators_per_member) +
            " accelerators and the largest worker has " +
@@ -38,20 +38,20 @@
   return "the workers do not hold " + shape.ToString();
 }
 
-bool IsSensible(const Shape& shape) {
+bool IsValidShape(const Shape& shape) {
   return shape.members > 0 && shape.accelerators_per_member > 0;
 }
 
 // Whether the account's own guarantee could hold the job.
-bool IsWithinGuarantee(const JobSpec& job, const AccountGuarantee& account,
-                       const ClusterModel& cluster) {
-  GuaranteeWitness witness(cluster, 0);
+bool GuaranteeCanHold(const JobSpec& job, const AccountGuarantee& account,
+                      const ClusterModel& cluster) {
+  GuaranteePlacement placement(cluster, 0);
   std::vector<CellDemand> demands;
   for (const GuaranteedShape& shape : account.shapes) {
     demands.push_back({{account.account, ""}, shape});
   }
-  witness.SetDemands(demands);
-  return witness.CouldEverHold({account.account, ""}, job.shape);
+  placement.SetDemands(demands);
+  return placement.CanEverHold({account.account, ""}, job.shape);
 }
 
 }  // namespace
@@ -59,19 +59,19 @@
 std::optional<std::string> CheckJobCanEverRun(
     const JobSpec& job, const std::vector<WorkerInfo>& workers,
     const std::vector<AccountGuarantee>& guarantees) {
-  if (!IsSensible(job.shape)) {
+  if (!IsValidShape(job.shape)) {
     return "members and accelerators must be at least 1";
   }
   const AccountGuarantee* account = FindAccount(guarantees, job.account);
   if (!account) return "account " + job.account + " is not declared";
   ClusterModel cluster;
-  cluster.SetWorkers(Staying(workers));
+  cluster.SetWorkers(AssumeStaying(workers));
   if (!Fits(cluster, job.shape, cluster.CapacityByWorker())) {
-    return CannotHold(job.shape, cluster);
+    return InfeasibleReason(job.shape, cluster);
   }
   // Jobs of an event have the event's shapes beside the guarantee.
   if (account->borrowing || !job.event.empty()) return std::nullopt;
-  if (IsWithinGuarantee(job, *account, cluster)) return std::nullopt;
+  if (GuaranteeCanHold(job, *account, cluster)) return std::nullopt;
   return "account " + job.account + " may not borrow and its guarantee does " +
          "not hold " + job.shape.ToString();
 }
@@ -80,24 +80,25 @@
     const std::vector<WorkerInfo>& workers,
     const std::vector<AccountGuarantee>& guarantees) {
   ClusterModel cluster;
-  cluster.SetWorkers(Staying(workers));
+  cluster.SetWorkers(AssumeStaying(workers));
   std::vector<CellDemand> demands;
   for (const AccountGuarantee& guarantee : guarantees) {
     for (const GuaranteedShape& guaranteed : guarantee.shapes) {
-      if (!IsSensible(guaranteed.shape) || guaranteed.count < 0) {
+      if (!IsValidShape(guaranteed.shape) || guaranteed.count < 0) {
         return guarantee.account +
                ": members and accelerators must be at least 1";
       }
       if (!Fits(cluster, guaranteed.shape, cluster.CapacityByWorker())) {
-        return guarantee.account + ": " + CannotHold(guaranteed.shape, cluster);
+        return guarantee.account + ": " +
+               InfeasibleReason(guaranteed.shape, cluster);
       }
       demands.push_back({{guarantee.account, ""}, guaranteed});
     }
   }
-  GuaranteeWitness witness(cluster, 0);
-  witness.SetDemands(demands);
+  GuaranteePlacement placement(cluster, 0);
+  placement.SetDemands(demands);
   for (const AccountGuarantee& guarantee : guarantees) {
-    const std::string text = witness.Shortfall({guarantee.account, ""});
+    const std::string text = placement.Shortfall({guarantee.account, ""});
     if (!text.empty()) {
       return "the guarantees do not fit together: " + guarantee.account + ": " +
              text;
--- a/src/libs/scheduling/fragmentation_score.cc
+++ b/src/libs/scheduling/fragmentation_score.cc
@@ -7,7 +7,7 @@
 
 // A rack that cannot serve the shape now counts this share of its slots, so
 // that a rack which is closer to serving it is broken up later.
-constexpr double kPartialShare = 0.2;
+constexpr double kPartialRackShare = 0.2;
 
 }  // namespace
 
@@ -21,12 +21,13 @@
   shapes_ = std::move(shapes);
 }
 
-double FragmentationScore::Served(const Shape& shape, int slots) const {
+double FragmentationScore::ServedAccelerators(const Shape& shape,
+                                              int slots) const {
   const int size = shape.accelerators_per_member;
   if (shape.adjacency == Adjacency::kAnywhere) return 1.0 * slots * size;
   const int gangs = slots / shape.members;
   const int rest = slots - gangs * shape.members;
-  return 1.0 * size * (gangs * shape.members + kPartialShare * rest);
+  return 1.0 * size * (gangs * shape.members + kPartialRackShare * rest);
 }
 
 double FragmentationScore::Loss(int rack, const Placement& share,
@@ -48,8 +49,9 @@
       lost_slots += before / size - std::max(0, after) / size;
     }
     slots = std::max(slots, lost_slots);
-    loss += weighted.weight * (Served(weighted.shape, slots) -
-                               Served(weighted.shape, slots - lost_slots));
+    loss += weighted.weight *
+            (ServedAccelerators(weighted.shape, slots) -
+             ServedAccelerators(weighted.shape, slots - lost_slots));
   }
   return loss;
 }
--- a/src/libs/scheduling/fragmentation_score.h
+++ b/src/libs/scheduling/fragmentation_score.h
@@ -36,7 +36,7 @@
 
  private:
   // Accelerators of `slots` member slots in one rack that serve the shape.
-  double Served(const Shape& shape, int slots) const;
+  double ServedAccelerators(const Shape& shape, int slots) const;
 
   const ClusterModel& cluster_;
   std::vector<WeightedShape> shapes_;
--- a/src/libs/scheduling/gang.cc
+++ b/src/libs/scheduling/gang.cc
@@ -25,7 +25,7 @@
   if (state == MemberState::kConfirmed) record.confirmed_at = now;
 }
 
-std::optional<Duration> Gang::LeastSavedProgress() const {
+std::optional<Duration> Gang::MinSavedProgress() const {
   std::optional<Duration> least;
   for (const MemberRecord& record : members_) {
     if (record.state != MemberState::kCheckpointed) continue;
--- a/src/libs/scheduling/gang.h
+++ b/src/libs/scheduling/gang.h
@@ -26,7 +26,7 @@
 inline constexpr int kMemberStates = 6;
 
 // What becomes of the job once the last lease of the gang is gone.
-enum class GangEnd { kRequeue, kCancel, kFail, kFinish };
+enum class JobDisposition { kRequeue, kCancel, kFail, kFinish };
 
 struct MemberRecord {
   GangMember member;
@@ -61,15 +61,15 @@
   }
   // The least over the members that saved their state; nullopt when one of
   // them did not report it. A finished member has nothing to go on with.
-  std::optional<Duration> LeastSavedProgress() const;
-  void SetLapse(int member, std::optional<Time> lapses_at) {
+  std::optional<Duration> MinSavedProgress() const;
+  void SetLapseTime(int member, std::optional<Time> lapses_at) {
     members_[member].lapses_at = lapses_at;
   }
 
   // kStarting, kRunning, kCheckpointing or kStopping.
   // Invariant: kRunning only while every member is confirmed or finished.
   JobPhase phase = JobPhase::kStarting;
-  GangEnd end = GangEnd::kRequeue;
+  JobDisposition disposition = JobDisposition::kRequeue;
   std::string end_reason;
   Time granted_at;
   // When the throttle was lifted.
--- a/src/libs/scheduling/gang_lifecycle.cc
+++ b/src/libs/scheduling/gang_lifecycle.cc
@@ -7,10 +7,10 @@
 namespace thornplank {
 namespace {
 
-bool IsEnding(const Gang& gang) { return gang.phase == JobPhase::kStopping; }
+bool IsStopping(const Gang& gang) { return gang.phase == JobPhase::kStopping; }
 
 // Whether a member in `state` should appear in its worker's lease table.
-bool MustBeListed(MemberState state) {
+bool ShouldBeListed(MemberState state) {
   return state != MemberState::kPending && state != MemberState::kGone;
 }
 
@@ -47,44 +47,47 @@
   gang->phase = phase;
   Gang& added = gangs_.Add(std::move(gang));
   if (phase == JobPhase::kStarting) {
-    LiftThrottleIfWhole(added, now, actions);
+    LiftThrottleIfAllConfirmed(added, now, actions);
     return;
   }
   added.started_at = now - ran_for;
   if (phase == JobPhase::kRunning) return;
   // What the checkpoint was asked for is not known here: stop and place anew.
   added.phase = JobPhase::kRunning;
-  Stop(added, "being stopped at takeover", GangEnd::kRequeue, now, actions);
+  Stop(added, "being stopped at takeover", JobDisposition::kRequeue, now,
+       actions);
 }
 
-void GangLifecycle::Checkpoint(Gang& gang, const std::string& why,
+void GangLifecycle::Checkpoint(Gang& gang, const std::string& reason,
                                Duration deadline, Time now,
                                SchedulerActions* actions) {
   if (gang.phase == JobPhase::kStarting) {
     // Nothing has run yet, so there is nothing to save.
-    Stop(gang, why, GangEnd::kRequeue, now, actions);
+    Stop(gang, reason, JobDisposition::kRequeue, now, actions);
     return;
   }
   if (gang.phase != JobPhase::kRunning) return;
   gang.phase = JobPhase::kCheckpointing;
-  gang.end_reason = why;
+  gang.end_reason = reason;
   gang.checkpoint_asked_at = now;
   gang.deadline = now + deadline;
-  observer_.OnPhase(gang, JobPhase::kCheckpointing, why);
-  actions->push_back(CheckpointGang{gang.job(), gang.id(), why});
+  observer_.OnPhase(gang, JobPhase::kCheckpointing, reason);
+  actions->push_back(CheckpointGang{gang.job(), gang.id(), reason});
 }
 
-void GangLifecycle::Stop(Gang& gang, const std::string& why, GangEnd end,
-                         Time now, SchedulerActions* actions) {
+void GangLifecycle::Stop(Gang& gang, const std::string& reason,
+                         JobDisposition disposition, Time now,
+                         SchedulerActions* actions) {
   (void)now;
-  if (end == GangEnd::kCancel || !IsEnding(gang)) gang.end = end;
-  if (IsEnding(gang)) return;
+  if (disposition == JobDisposition::kCancel || !IsStopping(gang))
+    gang.disposition = disposition;
+  if (IsStopping(gang)) return;
   gang.phase = JobPhase::kStopping;
-  gang.end_reason = why;
-  if (end != GangEnd::kFinish) {
-    observer_.OnPhase(gang, JobPhase::kStopping, why);
+  gang.end_reason = reason;
+  if (disposition != JobDisposition::kFinish) {
+    observer_.OnPhase(gang, JobPhase::kStopping, reason);
   }
-  actions->push_back(StopGang{gang.job(), gang.id(), why});
+  actions->push_back(StopGang{gang.job(), gang.id(), reason});
 }
 
 void GangLifecycle::MemberResult(Gang& gang, int member, MemberOutcome outcome,
@@ -104,7 +107,7 @@
     case MemberOutcome::kFinished:
       gangs_.SetState(gang, member, MemberState::kFinished, now);
       FinishIfAllFinished(gang, now, actions);
-      CheckpointedIfAll(gang, now, actions);
+      CompleteCheckpointIfAllSaved(gang, now, actions);
       return;
     case MemberOutcome::kGone:
       MemberGone(gang, member, reason, now, actions);
@@ -116,11 +119,11 @@
                                     SchedulerActions* actions) {
   if (gang.members()[member].state != MemberState::kPending) return;
   gangs_.SetState(gang, member, MemberState::kConfirmed, now);
-  LiftThrottleIfWhole(gang, now, actions);
+  LiftThrottleIfAllConfirmed(gang, now, actions);
 }
 
-void GangLifecycle::LiftThrottleIfWhole(Gang& gang, Time now,
-                                        SchedulerActions* actions) {
+void GangLifecycle::LiftThrottleIfAllConfirmed(Gang& gang, Time now,
+                                               SchedulerActions* actions) {
   if (gang.phase != JobPhase::kStarting) return;
   if (gang.count(MemberState::kConfirmed) != gang.size()) return;
   gang.phase = JobPhase::kRunning;
@@ -137,13 +140,13 @@
   // A refused grant holds nothing; a failed task holds its lease until stopped.
   const MemberState state = refused ? MemberState::kGone : MemberState::kFailed;
   gangs_.SetState(gang, member, state, now);
-  if (!IsEnding(gang)) {
+  if (!IsStopping(gang)) {
     observer_.OnMemberFailed(gang, record, refused, reason, now);
-    const std::string why = (refused ? "refused by " : "failed on ") +
-                            record.member.worker + ": " + reason;
-    Stop(gang, why, GangEnd::kRequeue, now, actions);
+    const std::string stop_reason = (refused ? "refused by " : "failed on ") +
+                                    record.member.worker + ": " + reason;
+    Stop(gang, stop_reason, JobDisposition::kRequeue, now, actions);
   }
-  EndIfAllGone(gang);
+  RemoveIfAllGone(gang);
 }
 
 void GangLifecycle::MemberGone(Gang& gang, int member,
@@ -151,22 +154,25 @@
                                SchedulerActions* actions) {
   const std::string worker = gang.members()[member].member.worker;
   if (!gangs_.SetState(gang, member, MemberState::kGone, now)) return;
-  if (!IsEnding(gang)) {
+  if (!IsStopping(gang)) {
     Stop(gang, "lost its member on " + worker + ": " + reason,
-         GangEnd::kRequeue, now, actions);
+         JobDisposition::kRequeue, now, actions);
   }
-  EndIfAllGone(gang);
+  RemoveIfAllGone(gang);
 }
 
 void GangLifecycle::FinishIfAllFinished(Gang& gang, Time now,
                                         SchedulerActions* actions) {
   if (gang.count(MemberState::kFinished) != gang.size()) return;
-  if (gang.end == GangEnd::kCancel || gang.end == GangEnd::kFail) return;
-  const bool stop_sent = IsEnding(gang);
-  gang.end = GangEnd::kFinish;
+  if (gang.disposition == JobDisposition::kCancel ||
+      gang.disposition == JobDisposition::kFail)
+    return;
+  const bool stop_sent = IsStopping(gang);
+  gang.disposition = JobDisposition::kFinish;
   observer_.OnFinished(gang, now);
   if (stop_sent) return;
-  Stop(gang, "finished, leases released", GangEnd::kFinish, now, actions);
+  Stop(gang, "finished, leases released", JobDisposition::kFinish, now,
+       actions);
 }
 
 void GangLifecycle::CheckpointDone(Gang& gang, Time now,
@@ -174,11 +180,11 @@
   if (gang.phase != JobPhase::kCheckpointing) return;
   gang.checkpointed = true;
   observer_.OnCheckpointed(gang, now - gang.checkpoint_asked_at);
-  Stop(gang, gang.end_reason, GangEnd::kRequeue, now, actions);
+  Stop(gang, gang.end_reason, JobDisposition::kRequeue, now, actions);
 }
 
-void GangLifecycle::CheckpointedIfAll(Gang& gang, Time now,
-                                      SchedulerActions* actions) {
+void GangLifecycle::CompleteCheckpointIfAllSaved(Gang& gang, Time now,
+                                                 SchedulerActions* actions) {
   const int saved = gang.count(MemberState::kCheckpointed) +
                     gang.count(MemberState::kFinished);
   if (saved == gang.size()) CheckpointDone(gang, now, actions);
@@ -198,7 +204,7 @@
       if (known == MemberState::kCheckpointed) return;
       gangs_.SetState(gang, member, MemberState::kCheckpointed, now);
       gang.SetSavedProgress(member, lease.progress);
-      CheckpointedIfAll(gang, now, actions);
+      CompleteCheckpointIfAllSaved(gang, now, actions);
       return;
     case LeaseState::kFinished:
       if (known == MemberState::kFinished) return;
@@ -208,16 +214,18 @@
       MemberFailed(gang, member, false, lease.reason, now, actions);
       return;
     case LeaseState::kGone:
-      if (!MustBeListed(known)) return;
+      if (!ShouldBeListed(known)) return;
       MemberGone(gang, member, "not known to the worker", now, actions);
       return;
   }
 }
 
-int GangLifecycle::Report(WorkerIndex worker, const std::string& worker_name,
-                          const std::vector<LeaseReport>& leases, Time asked_at,
-                          Time now, SchedulerActions* actions) {
-  int unknown_held = 0;
+int GangLifecycle::ApplyWorkerReport(WorkerIndex worker,
+                                     const std::string& worker_name,
+                                     const std::vector<LeaseReport>& leases,
+                                     Time asked_at, Time now,
+                                     SchedulerActions* actions) {
+  int untracked_held = 0;
   std::unordered_set<std::string> listed;
   for (const LeaseReport& lease : leases) {
     const auto [gang, member] = gangs_.FindLease(lease.lease_id);
@@ -231,7 +239,7 @@
       continue;
     }
     if (lease.state == LeaseState::kGone) continue;
-    unknown_held += lease.accelerators;
+    untracked_held += lease.accelerators;
     actions->push_back(
         StopLease{worker_name, lease.lease_id, "not held by any current gang"});
   }
@@ -239,14 +247,14 @@
     Gang* gang = gangs_.Find(id);
     for (int i = 0; gang && i < gang->size(); ++i) {
       const MemberRecord& record = gang->members()[i];
-      if (record.worker != worker || !MustBeListed(record.state)) continue;
+      if (record.worker != worker || !ShouldBeListed(record.state)) continue;
       if (record.confirmed_at >= asked_at) continue;
       if (listed.count(record.member.lease_id) > 0) continue;
       MemberGone(*gang, i, "not known to the worker", now, actions);
       gang = gangs_.Find(id);  // it may have ended
     }
   }
-  return unknown_held;
+  return untracked_held;
 }
 
 void GangLifecycle::WorkerLost(WorkerIndex worker, Time lapses_at, Time now,
@@ -257,14 +265,14 @@
     for (int i = 0; i < gang.size(); ++i) {
       if (gang.members()[i].worker != worker) continue;
       name = gang.members()[i].member.worker;
-      gang.SetLapse(i, lapses_at);
+      gang.SetLapseTime(i, lapses_at);
     }
     Stop(gang, "lost its member on " + name + ": worker cannot be reached",
-         GangEnd::kRequeue, now, actions);
+         JobDisposition::kRequeue, now, actions);
   }
 }
 
-void GangLifecycle::EndIfAllGone(Gang& gang) {
+void GangLifecycle::RemoveIfAllGone(Gang& gang) {
   if (gang.count(MemberState::kGone) != gang.size()) return;
   observer_.OnEnded(gang);
   gangs_.Remove(gang.id());
@@ -278,13 +286,13 @@
 
 void GangLifecycle::TickGang(Gang& gang, Time now, SchedulerActions* actions) {
   if (gang.phase == JobPhase::kStarting && gang.deadline <= now) {
-    Stop(gang, "not all members confirmed in time", GangEnd::kRequeue, now,
-         actions);
+    Stop(gang, "not all members confirmed in time", JobDisposition::kRequeue,
+         now, actions);
   }
   if (gang.phase == JobPhase::kCheckpointing && gang.deadline <= now) {
     observer_.OnCheckpointHung(gang);
     Stop(gang, gang.end_reason + "; checkpoint not done in time",
-         GangEnd::kRequeue, now, actions);
+         JobDisposition::kRequeue, now, actions);
   }
   const std::string id = gang.id();
   for (int i = 0; gangs_.Find(id) && i < gang.size(); ++i) {
--- a/src/libs/scheduling/gang_lifecycle.h
+++ b/src/libs/scheduling/gang_lifecycle.h
@@ -52,19 +52,19 @@
                 Time now, SchedulerActions* actions);
   // Does nothing to a gang that is already being saved or stopped, except
   // that `end` is taken over when the job was cancelled.
-  void Checkpoint(Gang& gang, const std::string& why, Duration deadline,
+  void Checkpoint(Gang& gang, const std::string& reason, Duration deadline,
                   Time now, SchedulerActions* actions);
-  void Stop(Gang& gang, const std::string& why, GangEnd end, Time now,
-            SchedulerActions* actions);
+  void Stop(Gang& gang, const std::string& reason, JobDisposition disposition,
+            Time now, SchedulerActions* actions);
 
   void MemberResult(Gang& gang, int member, MemberOutcome outcome,
                     const std::string& reason, Time now,
                     SchedulerActions* actions);
   void CheckpointDone(Gang& gang, Time now, SchedulerActions* actions);
   // Returns the accelerators held on `worker` by leases that are not ours.
-  int Report(WorkerIndex worker, const std::string& worker_name,
-             const std::vector<LeaseReport>& leases, Time asked_at, Time now,
-             SchedulerActions* actions);
+  int ApplyWorkerReport(WorkerIndex worker, const std::string& worker_name,
+                        const std::vector<LeaseReport>& leases, Time asked_at,
+                        Time now, SchedulerActions* actions);
   void WorkerLost(WorkerIndex worker, Time lapses_at, Time now,
                   SchedulerActions* actions);
   void Tick(Time now, SchedulerActions* actions);
@@ -81,10 +81,12 @@
   void ApplyLeaseState(Gang& gang, int member, const LeaseReport& lease,
                        Time now, SchedulerActions* actions);
   void FinishIfAllFinished(Gang& gang, Time now, SchedulerActions* actions);
-  void CheckpointedIfAll(Gang& gang, Time now, SchedulerActions* actions);
-  void LiftThrottleIfWhole(Gang& gang, Time now, SchedulerActions* actions);
+  void CompleteCheckpointIfAllSaved(Gang& gang, Time now,
+                                    SchedulerActions* actions);
+  void LiftThrottleIfAllConfirmed(Gang& gang, Time now,
+                                  SchedulerActions* actions);
   // Removes the gang when no lease is left; `gang` is then invalid.
-  void EndIfAllGone(Gang& gang);
+  void RemoveIfAllGone(Gang& gang);
   void TickGang(Gang& gang, Time now, SchedulerActions* actions);
 
   const SchedulerOptions& options_;
--- a/src/libs/scheduling/gang_table.cc
+++ b/src/libs/scheduling/gang_table.cc
@@ -11,7 +11,7 @@
     leases_[record.member.lease_id] = {&added, i};
     if (record.state == MemberState::kGone) continue;
     cluster_.Hold(record.worker, record.member.accelerators);
-    ++on_worker_[record.worker][added.id()];
+    ++members_by_worker_[record.worker][added.id()];
   }
   gangs_[added.id()] = std::move(gang);
   return added;
@@ -38,7 +38,7 @@
   if (record.state == MemberState::kGone) return false;
   if (state == MemberState::kGone) {
     cluster_.Release(record.worker, record.member.accelerators);
-    std::map<std::string, int>& held = on_worker_[record.worker];
+    std::map<std::string, int>& held = members_by_worker_[record.worker];
     if (--held[gang.id()] == 0) held.erase(gang.id());
   }
   gang.SetState(member, state, now);
@@ -56,8 +56,8 @@
 
 std::vector<std::string> GangTable::GangsOn(WorkerIndex worker) const {
   std::vector<std::string> ids;
-  const auto held = on_worker_.find(worker);
-  if (held == on_worker_.end()) return ids;
+  const auto held = members_by_worker_.find(worker);
+  if (held == members_by_worker_.end()) return ids;
   for (const auto& [id, count] : held->second) ids.push_back(id);
   return ids;
 }
--- a/src/libs/scheduling/gang_table.h
+++ b/src/libs/scheduling/gang_table.h
@@ -47,7 +47,8 @@
   std::unordered_map<std::string, std::pair<Gang*, int>> leases_;
   // By worker, how many members of each gang may be held there.
   // Invariant: no count is 0.
-  std::unordered_map<WorkerIndex, std::map<std::string, int>> on_worker_;
+  std::unordered_map<WorkerIndex, std::map<std::string, int>>
+      members_by_worker_;
 };
 
 }  // namespace thornplank
--- a/src/libs/scheduling/guarantee_witness.cc
+++ b/src/libs/scheduling/guarantee_placement.cc
@@ -1,4 +1,4 @@
-#include "scheduling/guarantee_witness.h"
+#include "scheduling/guarantee_placement.h"
 
 #include <algorithm>
 #include <map>
@@ -15,7 +15,7 @@
 }
 
 // `event` is not empty.
-bool IsOnlyFor(const Cell& cell, const std::string& event) {
+bool IsReservedForEvent(const Cell& cell, const std::string& event) {
   if (cell.retired) return false;
   return cell.owner.event == event || cell.lent_to == event;
 }
@@ -48,10 +48,11 @@
 
 }  // namespace
 
-GuaranteeWitness::GuaranteeWitness(const ClusterModel& cluster, uint64_t seed)
+GuaranteePlacement::GuaranteePlacement(const ClusterModel& cluster,
+                                       uint64_t seed)
     : cluster_(cluster), layout_(cluster, seed) {}
 
-void GuaranteeWitness::SetDemands(const std::vector<CellDemand>& demands) {
+void GuaranteePlacement::SetDemands(const std::vector<CellDemand>& demands) {
   std::vector<bool> kept(cells().size(), false);
   std::vector<Cell> added;
   for (const CellDemand& demand : demands) {
@@ -60,7 +61,8 @@
     for (const bool in_use : {true, false}) {
       for (size_t i = 0; i < cells().size() && missing > 0; ++i) {
         const Cell& cell = cells()[i];
-        if (kept[i] || cell.retired || (cell.users > 0) != in_use) continue;
+        if (kept[i] || cell.retired || (cell.allocations > 0) != in_use)
+          continue;
         if (!(cell.owner == demand.owner)) continue;
         if (!(cell.declared == demand.guaranteed.shape)) continue;
         kept[i] = true;
@@ -76,9 +78,9 @@
   layout_.Repair();
 }
 
-void GuaranteeWitness::Repair() { layout_.Repair(); }
+void GuaranteePlacement::Repair() { layout_.Repair(); }
 
-std::vector<int> GuaranteeWitness::CellsOf(const CellOwner& owner) const {
+std::vector<int> GuaranteePlacement::CellsOf(const CellOwner& owner) const {
   std::vector<int> found;
   for (size_t i = 0; i < cells().size(); ++i) {
     if (IsOpenTo(cells()[i], owner)) found.push_back(static_cast<int>(i));
@@ -87,10 +89,10 @@
 }
 
 // Members of `shape` that the unused part of the cell holds.
-int GuaranteeWitness::FreeMembers(const Cell& cell, const Shape& shape,
-                                  bool as_if_unused) const {
+int GuaranteePlacement::CountFreeMembers(const Cell& cell, const Shape& shape,
+                                         bool assume_unused) const {
   const int size = cell.shape.accelerators_per_member;
-  if (as_if_unused) {
+  if (assume_unused) {
     return cell.shape.members * (size / shape.accelerators_per_member);
   }
   if (!cell.placed) return 0;
@@ -105,8 +107,8 @@
 // Order of preference: an unused cell of exactly this shape; for members that
 // are independent, the account's one-member cells, those in use first; a rack
 // cell partly in use; the smallest unused rack cell; any mixture.
-std::optional<std::vector<int>> GuaranteeWitness::ChooseCells(
-    const CellOwner& owner, const Shape& shape, bool as_if_unused) const {
+std::optional<std::vector<int>> GuaranteePlacement::ChooseCells(
+    const CellOwner& owner, const Shape& shape, bool assume_unused) const {
   struct Option {
     int cell;
     int members;
@@ -117,9 +119,9 @@
   std::vector<Option> options;
   for (const int index : CellsOf(owner)) {
     const Cell& cell = cells()[index];
-    const int members = FreeMembers(cell, shape, as_if_unused);
+    const int members = CountFreeMembers(cell, shape, assume_unused);
     if (members == 0) continue;
-    const bool in_use = cell.users > 0 && !as_if_unused;
+    const bool in_use = cell.allocations > 0 && !assume_unused;
     const bool exact = !cell.is_unit() && !in_use && cell.shape == shape;
     if (exact) return std::vector<int>{index};
     options.push_back(
@@ -162,28 +164,28 @@
   return std::nullopt;
 }
 
-std::optional<CellUse> GuaranteeWitness::Take(const CellOwner& owner,
-                                              const Shape& shape,
-                                              const PlacementCost& cost) {
+std::optional<CellAllocation> GuaranteePlacement::Allocate(
+    const CellOwner& owner, const Shape& shape, const PlacementCost& cost) {
   const std::optional<std::vector<int>> chosen =
       ChooseCells(owner, shape, false);
   if (!chosen) return std::nullopt;
   std::vector<int> moving;
   for (const int index : *chosen) {
-    if (cells()[index].users == 0 && !cells()[index].fixed) {
+    if (cells()[index].allocations == 0 && !cells()[index].pinned) {
       moving.push_back(index);
     }
   }
   if (!moving.empty()) layout_.Relocate(moving, cost);
-  CellUse use = FillSlots(*chosen, shape);
-  if (static_cast<int>(use.slots.size()) == shape.members) return use;
-  Release(use);
+  CellAllocation allocation = AllocateSlots(*chosen, shape);
+  if (static_cast<int>(allocation.slots.size()) == shape.members)
+    return allocation;
+  Release(allocation);
   return std::nullopt;
 }
 
 // Slots on free accelerators come first.
-CellUse GuaranteeWitness::FillSlots(const std::vector<int>& chosen,
-                                    const Shape& shape) {
+CellAllocation GuaranteePlacement::AllocateSlots(const std::vector<int>& chosen,
+                                                 const Shape& shape) {
   struct Slot {
     int cell;
     int slot;
@@ -203,30 +205,30 @@
   std::stable_sort(
       slots.begin(), slots.end(),
       [](const Slot& a, const Slot& b) { return a.free && !b.free; });
-  CellUse use;
+  CellAllocation allocation;
   for (const Slot& slot : slots) {
     const Cell& cell = cells()[slot.cell];
     const int left =
         cell.shape.accelerators_per_member - cell.slots[slot.slot].used;
     int members = left / shape.accelerators_per_member;
     while (members-- > 0 &&
-           static_cast<int>(use.slots.size()) < shape.members) {
-      layout_.Use(slot.cell, slot.slot, shape.accelerators_per_member);
-      use.slots.push_back(
+           static_cast<int>(allocation.slots.size()) < shape.members) {
+      layout_.AllocateSlot(slot.cell, slot.slot, shape.accelerators_per_member);
+      allocation.slots.push_back(
           {slot.cell, slot.slot, shape.accelerators_per_member});
-      use.workers.push_back(cell.slots[slot.slot].worker);
+      allocation.workers.push_back(cell.slots[slot.slot].worker);
     }
   }
-  return use;
+  return allocation;
 }
 
-std::optional<int> GuaranteeWitness::ExactRackCell(
+std::optional<int> GuaranteePlacement::FindExactRackCell(
     const CellOwner& owner, const Shape& shape,
     const std::vector<WorkerIndex>& at) const {
   if (!IsSingleRack(cluster_, at)) return std::nullopt;
   for (const int index : CellsOf(owner)) {
     const Cell& cell = cells()[index];
-    if (cell.is_unit() || cell.users > 0) continue;
+    if (cell.is_unit() || cell.allocations > 0) continue;
     if (cell.shape.members != shape.members) continue;
     if (cell.shape.accelerators_per_member != shape.accelerators_per_member) {
       continue;
@@ -236,19 +238,20 @@
   return std::nullopt;
 }
 
-std::optional<CellUse> GuaranteeWitness::TakeAt(
+std::optional<CellAllocation> GuaranteePlacement::AllocateAt(
     const CellOwner& owner, const Shape& shape,
     const std::vector<WorkerIndex>& workers) {
   std::vector<int> moving;
   std::vector<std::vector<WorkerIndex>> places;
-  if (const std::optional<int> exact = ExactRackCell(owner, shape, workers)) {
+  if (const std::optional<int> exact =
+          FindExactRackCell(owner, shape, workers)) {
     moving.push_back(*exact);
     places.push_back(workers);
   } else if (!NeedsOneRack(shape)) {
     for (const int index : CellsOf(owner)) {
       const Cell& cell = cells()[index];
       if (moving.size() == workers.size()) break;
-      if (!cell.is_unit() || cell.users > 0) continue;
+      if (!cell.is_unit() || cell.allocations > 0) continue;
       if (cell.shape.accelerators_per_member < shape.accelerators_per_member) {
         continue;
       }
@@ -260,38 +263,39 @@
   for (const int index : moving) slots += cells()[index].shape.members;
   if (slots != shape.members) return std::nullopt;
   if (!layout_.RelocateTo(moving, places)) return std::nullopt;
-  CellUse use;
-  use.workers = workers;
+  CellAllocation allocation;
+  allocation.workers = workers;
   for (const int index : moving) {
     for (int i = 0; i < cells()[index].shape.members; ++i) {
-      layout_.Use(index, i, shape.accelerators_per_member);
-      use.slots.push_back({index, i, shape.accelerators_per_member});
+      layout_.AllocateSlot(index, i, shape.accelerators_per_member);
+      allocation.slots.push_back({index, i, shape.accelerators_per_member});
     }
   }
-  return use;
+  return allocation;
 }
 
-void GuaranteeWitness::Release(const CellUse& use) {
-  for (const SlotUse& slot : use.slots) {
-    layout_.Unuse(slot.cell, slot.slot, slot.accelerators);
+void GuaranteePlacement::Release(const CellAllocation& allocation) {
+  for (const SlotAllocation& slot : allocation.slots) {
+    layout_.FreeSlot(slot.cell, slot.slot, slot.accelerators);
   }
 }
 
-bool GuaranteeWitness::StillHolds(const CellOwner& owner,
-                                  const CellUse& use) const {
-  return std::all_of(
-      use.slots.begin(), use.slots.end(),
-      [&](const SlotUse& slot) { return IsOpenTo(cells()[slot.cell], owner); });
+bool GuaranteePlacement::IsStillValid(const CellOwner& owner,
+                                      const CellAllocation& allocation) const {
+  return std::all_of(allocation.slots.begin(), allocation.slots.end(),
+                     [&](const SlotAllocation& slot) {
+                       return IsOpenTo(cells()[slot.cell], owner);
+                     });
 }
 
-bool GuaranteeWitness::CouldEverHold(const CellOwner& owner,
+bool GuaranteePlacement::CanEverHold(const CellOwner& owner,
                                      const Shape& shape) const {
   return ChooseCells(owner, shape, true).has_value();
 }
 
-void GuaranteeWitness::Lend(const std::string& account,
-                            const std::string& event,
-                            const GuaranteedShape& guaranteed) {
+void GuaranteePlacement::Lend(const std::string& account,
+                              const std::string& event,
+                              const GuaranteedShape& guaranteed) {
   int wanted = CellCount(guaranteed);
   const auto matches = [&](const Cell& cell) {
     return !cell.retired && cell.owner == CellOwner{account, ""} &&
@@ -304,28 +308,29 @@
     for (size_t i = 0; i < cells().size() && wanted > 0; ++i) {
       const Cell& cell = cells()[i];
       if (!matches(cell) || !cell.lent_to.empty()) continue;
-      if ((cell.users > 0) != in_use) continue;
+      if ((cell.allocations > 0) != in_use) continue;
       layout_.SetLentTo(static_cast<int>(i), event);
       --wanted;
     }
   }
 }
 
-void GuaranteeWitness::EndLoans(const std::string& event) {
+void GuaranteePlacement::EndLoans(const std::string& event) {
   for (size_t i = 0; i < cells().size(); ++i) {
     const int index = static_cast<int>(i);
-    if (!IsOnlyFor(cells()[i], event)) continue;
-    layout_.SetFixed(index, false);
+    if (!IsReservedForEvent(cells()[i], event)) continue;
+    layout_.SetPinned(index, false);
     layout_.SetLentTo(index, "");
   }
 }
 
-void GuaranteeWitness::Settle(const std::string& event,
-                              const PlacementCost& cost) {
+void GuaranteePlacement::PlaceAndPin(const std::string& event,
+                                     const PlacementCost& cost) {
   std::vector<int> moving;
   for (size_t i = 0; i < cells().size(); ++i) {
     const Cell& cell = cells()[i];
-    if (!IsOnlyFor(cell, event) || cell.users > 0 || cell.fixed) continue;
+    if (!IsReservedForEvent(cell, event) || cell.allocations > 0 || cell.pinned)
+      continue;
     moving.push_back(static_cast<int>(i));
   }
   std::stable_sort(moving.begin(), moving.end(), [this](int a, int b) {
@@ -333,35 +338,35 @@
   });
   if (moving.empty()) return;
   layout_.Relocate(moving, cost);
-  for (const int index : moving) layout_.SetFixed(index, true);
+  for (const int index : moving) layout_.SetPinned(index, true);
 }
 
-AcceleratorsByWorker GuaranteeWitness::SetAside() const {
-  AcceleratorsByWorker aside(cluster_.size(), 0);
+AcceleratorsByWorker GuaranteePlacement::UnusedReserved() const {
+  AcceleratorsByWorker reserved(cluster_.size(), 0);
   for (const Cell& cell : cells()) {
     if (cell.retired) continue;
     for (const CellSlot& slot : cell.slots) {
       if (slot.worker == kNoWorker) continue;
-      aside[slot.worker] += cell.shape.accelerators_per_member - slot.used;
+      reserved[slot.worker] += cell.shape.accelerators_per_member - slot.used;
     }
   }
-  return aside;
+  return reserved;
 }
 
-AcceleratorsByWorker GuaranteeWitness::SetAsideFor(
+AcceleratorsByWorker GuaranteePlacement::UnusedReservedFor(
     const std::string& event) const {
-  AcceleratorsByWorker aside(cluster_.size(), 0);
+  AcceleratorsByWorker reserved(cluster_.size(), 0);
   for (const Cell& cell : cells()) {
-    if (!IsOnlyFor(cell, event)) continue;
+    if (!IsReservedForEvent(cell, event)) continue;
     for (const CellSlot& slot : cell.slots) {
       if (slot.worker == kNoWorker) continue;
-      aside[slot.worker] += cell.shape.accelerators_per_member - slot.used;
+      reserved[slot.worker] += cell.shape.accelerators_per_member - slot.used;
     }
   }
-  return aside;
+  return reserved;
 }
 
-std::string GuaranteeWitness::Shortfall(const CellOwner& owner) const {
+std::string GuaranteePlacement::Shortfall(const CellOwner& owner) const {
   struct Count {
     int declared = 0;
     int missing = 0;
--- a/src/libs/scheduling/guarantee_witness.h
+++ b/src/libs/scheduling/guarantee_placement.h
@@ -6,8 +6,8 @@
 // runs is a borrower: it may lie on a cell's accelerators, because it can be
 // moved off. So the witness holds exactly when every cell is placed and no
 // worker's cells exceed its accelerators; borrowers cannot break it.
-#ifndef THORNPLANK_SCHEDULING_GUARANTEE_WITNESS_H_
-#define THORNPLANK_SCHEDULING_GUARANTEE_WITNESS_H_
+#ifndef THORNPLANK_SCHEDULING_GUARANTEE_PLACEMENT_H_
+#define THORNPLANK_SCHEDULING_GUARANTEE_PLACEMENT_H_
 
 #include <optional>
 #include <string>
@@ -21,15 +21,15 @@
 namespace thornplank {
 
 // One member of a gang inside a slot.
-struct SlotUse {
+struct SlotAllocation {
   int cell = 0;
   int slot = 0;
   int accelerators = 0;
 };
 
 // The slots and workers of a whole gang, in the order of its members.
-struct CellUse {
-  std::vector<SlotUse> slots;
+struct CellAllocation {
+  std::vector<SlotAllocation> slots;
   std::vector<WorkerIndex> workers;
 };
 
@@ -38,13 +38,13 @@
   GuaranteedShape guaranteed;
 };
 
-class GuaranteeWitness {
+class GuaranteePlacement {
  public:
   // `cluster` outlives the witness.
-  GuaranteeWitness(const ClusterModel& cluster, uint64_t seed);
+  GuaranteePlacement(const ClusterModel& cluster, uint64_t seed);
 
   // Replaces what is declared. Gangs in cells that are no longer declared lose
-  // them: see StillHolds.
+  // them: see IsStillValid.
   void SetDemands(const std::vector<CellDemand>& demands);
   // To be called after any change of the workers.
   void Repair();
@@ -52,16 +52,19 @@
   // Slots for a gang of `shape` inside the cells of `owner`, taken at once, or
   // nullopt when they do not hold it. Unused cells are moved to where `cost`
   // is lowest, first onto free accelerators.
-  std::optional<CellUse> Take(const CellOwner& owner, const Shape& shape,
-                              const PlacementCost& cost);
+  std::optional<CellAllocation> Allocate(const CellOwner& owner,
+                                         const Shape& shape,
+                                         const PlacementCost& cost);
   // The same for a gang that already runs on `workers`, one per member.
-  std::optional<CellUse> TakeAt(const CellOwner& owner, const Shape& shape,
-                                const std::vector<WorkerIndex>& workers);
-  void Release(const CellUse& use);
+  std::optional<CellAllocation> AllocateAt(
+      const CellOwner& owner, const Shape& shape,
+      const std::vector<WorkerIndex>& workers);
+  void Release(const CellAllocation& allocation);
   // Whether every cell of `use` is still declared and open to `owner`.
-  bool StillHolds(const CellOwner& owner, const CellUse& use) const;
+  bool IsStillValid(const CellOwner& owner,
+                    const CellAllocation& allocation) const;
   // Whether cells of `owner` could hold a gang of `shape` if none were in use.
-  bool CouldEverHold(const CellOwner& owner, const Shape& shape) const;
+  bool CanEverHold(const CellOwner& owner, const Shape& shape) const;
 
   // Lends cells of the account to its event until `count` gangs of the shape
   // are covered or none is left; unused ones first.
@@ -70,28 +73,30 @@
   void EndLoans(const std::string& event);
   // Moves the unused cells that only `event` may take to where `cost` is
   // lowest, and keeps them there until EndLoans.
-  void Settle(const std::string& event, const PlacementCost& cost);
+  void PlaceAndPin(const std::string& event, const PlacementCost& cost);
 
   const std::vector<Cell>& cells() const { return layout_.cells(); }
   // Accelerators per worker that cells hold unused, whoever borrows them.
-  AcceleratorsByWorker SetAside() const;
+  AcceleratorsByWorker UnusedReserved() const;
   // The same for the cells that only `event` may take.
-  AcceleratorsByWorker SetAsideFor(const std::string& event) const;
+  AcceleratorsByWorker UnusedReservedFor(const std::string& event) const;
   // Whether every cell has a place on workers that may be used.
-  bool IsWhole() const { return layout_.CountMissing() == 0; }
+  bool IsComplete() const { return layout_.CountMissing() == 0; }
   // What of `owner` has no place, in words; empty when all has.
   std::string Shortfall(const CellOwner& owner) const;
 
  private:
   std::vector<int> CellsOf(const CellOwner& owner) const;
-  int FreeMembers(const Cell& cell, const Shape& shape,
-                  bool as_if_unused) const;
+  int CountFreeMembers(const Cell& cell, const Shape& shape,
+                       bool assume_unused) const;
   std::optional<std::vector<int>> ChooseCells(const CellOwner& owner,
                                               const Shape& shape,
-                                              bool as_if_unused) const;
-  CellUse FillSlots(const std::vector<int>& cells, const Shape& shape);
-  std::optional<int> ExactRackCell(const CellOwner& owner, const Shape& shape,
-                                   const std::vector<WorkerIndex>& at) const;
+                                              bool assume_unused) const;
+  CellAllocation AllocateSlots(const std::vector<int>& cells,
+                               const Shape& shape);
+  std::optional<int> FindExactRackCell(
+      const CellOwner& owner, const Shape& shape,
+      const std::vector<WorkerIndex>& at) const;
 
   const ClusterModel& cluster_;
   CellLayout layout_;
@@ -99,4 +104,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_SCHEDULING_GUARANTEE_WITNESS_H_
+#endif  // THORNPLANK_SCHEDULING_GUARANTEE_PLACEMENT_H_
--- a/src/libs/scheduling/job_order.cc
+++ b/src/libs/scheduling/job_order.cc
@@ -8,7 +8,7 @@
 
 // Exponent of the accelerators when only fragmentation counts.
 constexpr double kSizeExponent = 0.15;
-constexpr double kLeastExpectedSeconds = 0.05;
+constexpr double kMinExpectedSeconds = 0.05;
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-double BorrowScore(const BorrowClaim& claim) {
+double BorrowScore(const BorrowCandidate& candidate) {
   const double expected =
-      std::max(kLeastExpectedSeconds, Seconds(claim.expected));
-  const double ratio = (Seconds(claim.waited) + expected) / expected;
-  const double exponent = kSizeExponent * claim.fragmentation_weight;
-  const double size = std::pow(claim.accelerators, exponent);
-  return ratio * size / (1 + claim.borrowed_over_share);
+      std::max(kMinExpectedSeconds, Seconds(candidate.expected));
+  const double ratio = (Seconds(candidate.waited) + expected) / expected;
+  const double exponent = kSizeExponent * candidate.fragmentation_weight;
+  const double size = std::pow(candidate.accelerators, exponent);
+  return ratio * size / (1 + candidate.borrowed_to_share_ratio);
 }
 
 }  // namespace thornplank
--- a/src/libs/scheduling/job_order.h
+++ b/src/libs/scheduling/job_order.h
@@ -6,14 +6,14 @@
 
 namespace thornplank {
 
-struct BorrowClaim {
+struct BorrowCandidate {
   // Since the job was submitted.
   Duration waited = Duration::zero();
   // Corrected run time.
   Duration expected = Duration::zero();
   int accelerators = 1;
   // Accelerators that the account borrows now over its share of all by weight.
-  double borrowed_over_share = 0;
+  double borrowed_to_share_ratio = 0;
   // 0: only completion time counts; 1: only fragmentation counts.
   double fragmentation_weight = 0.5;
 };
@@ -21,7 +21,7 @@
 // The job with the highest score goes first. The longer a job waited relative
 // to its run time, the higher; with fragmentation in mind, large ones count
 // more, since what they need comes free rarely.
-double BorrowScore(const BorrowClaim& claim);
+double BorrowScore(const BorrowCandidate& candidate);
 
 }  // namespace thornplank
 
--- a/src/libs/scheduling/job_record.h
+++ b/src/libs/scheduling/job_record.h
@@ -8,7 +8,7 @@
 
 #include "base/time.h"
 #include "scheduling/cluster_model.h"
-#include "scheduling/guarantee_witness.h"
+#include "scheduling/guarantee_placement.h"
 #include "scheduling/job_types.h"
 
 namespace thornplank {
@@ -36,7 +36,7 @@
   std::optional<ClaimedPlan> plan;
   // Slots of the guarantee that the plan or the gang uses, kept until the
   // last lease is gone. Without it a gang is a borrower.
-  std::optional<CellUse> use;
+  std::optional<CellAllocation> allocation;
   // Workers on which an attempt failed by itself.
   std::vector<WorkerIndex> failed_on;
   std::string last_failure;
@@ -57,8 +57,8 @@
   Priority priority = Priority::kNormal;
   std::vector<JobRecord*> waiting;
   // Since when no set of the declared workers could hold it.
-  std::optional<Time> impossible_since;
-  std::string impossible_reason;
+  std::optional<Time> infeasible_since;
+  std::string infeasible_reason;
 
   CellOwner owner() const { return {account, event}; }
 };
--- a/src/libs/scheduling/job_scheduler.cc
+++ b/src/libs/scheduling/job_scheduler.cc
@@ -38,7 +38,7 @@
                                       Duration saved_progress) {
   JobRecord* job = impl_->Submit(spec, saved_progress, now);
   if (!job) return {};
-  return impl_->DecideFor(*job, now);
+  return impl_->DecideForJob(*job, now);
 }
 
 SchedulerActions JobScheduler::Cancel(const std::string& id, Time now) {
@@ -115,7 +115,7 @@
   status.reason = job->reason;
   status.gang_id = job->gang_id;
   status.attempts = job->attempts;
-  status.guaranteed = job->use.has_value();
+  status.guaranteed = job->allocation.has_value();
   status.saved_progress = job->saved_progress;
   const Gang* gang = impl_->state().gangs.Find(job->gang_id);
   if (!gang) return status;
@@ -127,7 +127,8 @@
 
 std::vector<std::string> JobScheduler::quarantined_workers() const {
   std::vector<std::string> names;
-  for (const WorkerIndex worker : impl_->state().faults.quarantined()) {
+  for (const WorkerIndex worker :
+       impl_->state().failure_tracker.quarantined()) {
     names.push_back(impl_->state().cluster.info(worker).name);
   }
   return names;
@@ -137,8 +138,8 @@
   return impl_->state().cluster.total_free();
 }
 
-const GuaranteeWitness& JobScheduler::witness() const {
-  return impl_->state().witness;
+const GuaranteePlacement& JobScheduler::guarantee_placement() const {
+  return impl_->state().guarantee_placement;
 }
 
 }  // namespace thornplank
--- a/src/libs/scheduling/job_scheduler.h
+++ b/src/libs/scheduling/job_scheduler.h
@@ -28,7 +28,7 @@
 
 namespace thornplank {
 
-class GuaranteeWitness;
+class GuaranteePlacement;
 
 struct SchedulerOptions {
   // Part of every gang and lease id: the coordinator's epoch, so that no two
@@ -56,9 +56,9 @@
   Duration quarantine_time = std::chrono::seconds(60);
   // A waiting job that the declared workers could not hold even if empty, or
   // that its account's rules forbid, fails after this long.
-  Duration impossible_job_bound = std::chrono::seconds(30);
+  Duration infeasible_job_timeout = std::chrono::seconds(30);
   // A worker that refused a grant gets none for this long, nor does the job.
-  Duration refusal_pause = std::chrono::seconds(5);
+  Duration refusal_backoff = std::chrono::seconds(5);
   uint64_t seed = 1;
 };
 
@@ -171,7 +171,7 @@
   // Accelerators not held by any lease on workers that may be used.
   int free_accelerators() const;
   // Where every guarantee would be honoured now.
-  const GuaranteeWitness& witness() const;
+  const GuaranteePlacement& guarantee_placement() const;
 
  private:
   class Impl;
--- a/src/libs/scheduling/large_job_reservation.cc
+++ b/src/libs/scheduling/large_job_reservation.cc
@@ -93,19 +93,19 @@
   return !exhausted() && expected_end <= start_;
 }
 
-void LargeJobReservation::KeepFree(const ClusterModel& cluster,
-                                   const AcceleratorsByWorker& outlasting,
-                                   AcceleratorsByWorker* room) const {
+void LargeJobReservation::SubtractReserved(
+    const ClusterModel& cluster, const AcceleratorsByWorker& in_use_at_start,
+    AcceleratorsByWorker* room) const {
   for (const WorkerShare& share : placement_) {
-    const int kept = share.members * shape_.accelerators_per_member;
-    const int left =
-        cluster.capacity(share.worker) - kept - outlasting[share.worker];
+    const int reserved = share.members * shape_.accelerators_per_member;
+    const int left = cluster.capacity(share.worker) - reserved -
+                     in_use_at_start[share.worker];
     (*room)[share.worker] =
         std::clamp(left, 0, std::max(0, (*room)[share.worker]));
   }
 }
 
-bool LargeJobReservation::LostWorker(const ClusterModel& cluster) const {
+bool LargeJobReservation::HasUnusableWorker(const ClusterModel& cluster) const {
   return std::any_of(placement_.begin(), placement_.end(),
                      [&cluster](const WorkerShare& share) {
                        return cluster.capacity(share.worker) == 0;
--- a/src/libs/scheduling/large_job_reservation.h
+++ b/src/libs/scheduling/large_job_reservation.h
@@ -57,13 +57,13 @@
   // Whether a job that ends at `expected_end` may use the reserved workers
   // without regard to the reservation.
   bool EndsInTime(Time expected_end) const;
-  // Takes from `room` what the job needs at the start. `outlasting` holds, per
-  // worker, the accelerators in use that are not expected free by then.
-  void KeepFree(const ClusterModel& cluster,
-                const AcceleratorsByWorker& outlasting,
-                AcceleratorsByWorker* room) const;
+  // Takes from `room` what the job needs at the start. `in_use_at_start` holds,
+  // per worker, the accelerators in use that are not expected free by then.
+  void SubtractReserved(const ClusterModel& cluster,
+                        const AcceleratorsByWorker& in_use_at_start,
+                        AcceleratorsByWorker* room) const;
   // Whether a worker of the reservation can no longer be used.
-  bool LostWorker(const ClusterModel& cluster) const;
+  bool HasUnusableWorker(const ClusterModel& cluster) const;
 
  private:
   const int max_delays_;
--- a/src/libs/scheduling/placement_costs.h
+++ b/src/libs/scheduling/placement_costs.h
@@ -33,12 +33,12 @@
 };
 
 // What borrowing weighs, shared by the jobs of one round.
-struct BorrowingView {
+struct BorrowingContext {
   const FragmentationScore& fragmentation;
   // What guarantees hold unused, by worker.
-  const AcceleratorsByWorker& set_aside;
+  const AcceleratorsByWorker& unused_reserved;
   // When the last gang of each rack is expected to end.
-  const std::vector<Time>& rack_ends;
+  const std::vector<Time>& rack_end_times;
 };
 
 // For gangs that use free accelerators only. Racks whose gangs end late anyway
@@ -46,7 +46,7 @@
 class BorrowingCost : public PlacementCost {
  public:
   // `expected_end` is that of the gang. The references outlive the object.
-  BorrowingCost(const BorrowingView& view, const AcceleratorsByWorker& room,
+  BorrowingCost(const BorrowingContext& view, const AcceleratorsByWorker& room,
                 const JobRecord& job, Time expected_end);
 
   double WorkerCost(WorkerIndex worker) const override;
@@ -54,7 +54,7 @@
                   const AcceleratorsByWorker& room) const override;
 
  private:
-  const BorrowingView view_;
+  const BorrowingContext view_;
   const AcceleratorsByWorker& room_;
   const JobRecord& job_;
   const Time expected_end_;
--- a/src/libs/scheduling/placement_round.cc
+++ b/src/libs/scheduling/placement_round.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // Borrowers that one decision starts, so that none takes long.
-constexpr int kMostStartsPerRound = 8;
+constexpr int kMaxStartsPerRound = 8;
 
 bool ArrivedLater(const JobRecord* a, const JobRecord* b) {
   return a->spec.submitted_order > b->spec.submitted_order;
@@ -25,35 +25,36 @@
     : state_(state),
       starter_(starter),
       now_(now),
-      survey_(state, now),
-      displacement_cost_(survey_.DisplacementCost(state, now)) {
-  state_.borrowed = survey_.borrowed;
+      snapshot_(state, now),
+      displacement_cost_(snapshot_.DisplacementCost(state, now)) {
+  state_.borrowed = snapshot_.borrowed;
 }
 
 bool PlacementRound::Run() {
-  ServePlans();
+  StartReadyPlans();
   PlaceGuaranteed();
   PlaceUrgent();
-  KeepReservation();
+  UpdateReservation();
   const bool complete = PlaceBorrowers();
   PlaceProbes();
   return complete;
 }
 
-void PlacementRound::RunFor(JobRecord& job) {
-  ServePlans();
+void PlacementRound::RunForJob(JobRecord& job) {
+  StartReadyPlans();
   if (!MayStart(job) || TryGuaranteed(job)) return;
   const JobClass& job_class = state_.ClassOf(job);
   if (!MayBorrow(job_class)) return;
   if (job.spec.priority == Priority::kUrgent && TryUrgent(job)) return;
-  SurveyBorrowing();
+  PrepareBorrowing();
   TryBorrow(job);
 }
 
-void PlacementRound::SurveyBorrowing() {
-  set_aside_ = state_.witness.SetAside();
-  rack_ends_ = survey_.RackEnds(state_.cluster, now_);
-  outlasting_ = survey_.Outlasting(state_.cluster, state_.reservation.start());
+void PlacementRound::PrepareBorrowing() {
+  unused_reserved_ = state_.guarantee_placement.UnusedReserved();
+  rack_end_times_ = snapshot_.RackEndTimes(state_.cluster, now_);
+  in_use_at_start_ =
+      snapshot_.InUseAt(state_.cluster, state_.reservation.start());
 }
 
 bool PlacementRound::MayStart(const JobRecord& job) const {
@@ -66,23 +67,23 @@
   return state_.Account(job_class.account).borrowing;
 }
 
-void PlacementRound::ServePlans() {
+void PlacementRound::StartReadyPlans() {
   const std::map<std::string, JobRecord*> planned = state_.planned;
   if (planned.empty()) return;
   const AcceleratorsByWorker reclaimable =
-      survey_.Reclaimable(state_.cluster, false);
+      snapshot_.Reclaimable(state_.cluster, false);
   for (const auto& [id, job] : planned) {
     const std::vector<WorkerIndex> workers = job->plan->workers;
     const bool servable = std::all_of(
         workers.begin(), workers.end(), [&, job = job](WorkerIndex worker) {
           if (state_.cluster.capacity(worker) == 0) return false;
-          return job->use ||
+          return job->allocation ||
                  state_.cluster.claimed(worker) <=
                      state_.cluster.unheld(worker) + reclaimable[worker];
         });
     if (!servable) {
       state_.DropPlan(*job);
-      state_.ReleaseUse(*job);
+      state_.ReleaseAllocation(*job);
       continue;
     }
     if (!IsFreeNow(*job, workers)) continue;
@@ -104,9 +105,9 @@
   });
 }
 
-void PlacementRound::Plan(JobRecord& job,
-                          const std::vector<WorkerIndex>& workers,
-                          const std::string& reason) {
+void PlacementRound::MakePlan(JobRecord& job,
+                              const std::vector<WorkerIndex>& workers,
+                              const std::string& reason) {
   for (const WorkerIndex worker : workers) {
     state_.cluster.Claim(worker, job.spec.shape.accelerators_per_member);
   }
@@ -131,10 +132,10 @@
     }
     return ArrivedLater(second.waiting.front(), first.waiting.front());
   });
-  for (const int index : order) PlaceGuaranteedOf(state_.classes[index]);
+  for (const int index : order) PlaceGuaranteedClass(state_.classes[index]);
 }
 
-void PlacementRound::PlaceGuaranteedOf(JobClass& job_class) {
+void PlacementRound::PlaceGuaranteedClass(JobClass& job_class) {
   const std::vector<JobRecord*> waiting = job_class.waiting;
   for (JobRecord* job : waiting) {
     if (!MayStart(*job)) continue;
@@ -145,19 +146,20 @@
 
 bool PlacementRound::TryGuaranteed(JobRecord& job) {
   const bool in_event = state_.calendar.Find(job.spec.event) != nullptr;
-  if (in_event && TakeCells(job, {job.spec.account, job.spec.event})) {
+  if (in_event && AllocateCells(job, {job.spec.account, job.spec.event})) {
     return true;
   }
-  return TakeCells(job, {job.spec.account, ""});
+  return AllocateCells(job, {job.spec.account, ""});
 }
 
-bool PlacementRound::TakeCells(JobRecord& job, const CellOwner& owner) {
+bool PlacementRound::AllocateCells(JobRecord& job, const CellOwner& owner) {
   const DisplacingCost cost(state_.cluster, state_.fragmentation,
                             displacement_cost_, job);
-  std::optional<CellUse> use = state_.witness.Take(owner, job.spec.shape, cost);
-  if (!use) return false;
-  const std::vector<WorkerIndex> workers = use->workers;
-  job.use = std::move(use);
+  std::optional<CellAllocation> allocation =
+      state_.guarantee_placement.Allocate(owner, job.spec.shape, cost);
+  if (!allocation) return false;
+  const std::vector<WorkerIndex> workers = allocation->workers;
+  job.allocation = std::move(allocation);
   const std::string reason = owner.event.empty()
                                  ? "inside the guarantee of " + owner.account
                                  : "inside event " + owner.event;
@@ -168,7 +170,7 @@
   if (free && IsFreeNow(job, workers)) {
     starter_.StartGang(job, workers, reason, now_);
   } else {
-    Plan(job, workers, reason);
+    MakePlan(job, workers, reason);
   }
   return true;
 }
@@ -185,7 +187,7 @@
 }
 
 bool PlacementRound::TryUrgent(JobRecord& job) {
-  const AcceleratorsByWorker room = RoomFor(job, true);
+  const AcceleratorsByWorker room = BorrowableAccelerators(job, true);
   const DisplacingCost cost(state_.cluster, state_.fragmentation,
                             displacement_cost_, job);
   if (const std::optional<Placement> placement =
@@ -198,68 +200,74 @@
 
 bool PlacementRound::ClaimFromBorrowers(JobRecord& job,
                                         const std::string& reason) {
-  AcceleratorsByWorker room = survey_.Reclaimable(state_.cluster, false);
+  AcceleratorsByWorker room = snapshot_.Reclaimable(state_.cluster, false);
   for (WorkerIndex i = 0; i < state_.cluster.size(); ++i) {
     room[i] += state_.cluster.unheld(i) - state_.cluster.claimed(i);
   }
   for (const EventReservation& event : state_.calendar.events()) {
-    const Time end = now_ + state_.ExpectedRun(job);
-    const Duration lead = state_.Lead(job.spec.account);
-    if (!EventCalendar::KeepsOff(event, now_, end, lead)) continue;
-    const AcceleratorsByWorker& aside = AsideFor(event.name);
-    for (WorkerIndex i = 0; i < state_.cluster.size(); ++i) room[i] -= aside[i];
+    const Time end = now_ + state_.RemainingTimeOf(job);
+    const Duration lead_time = state_.ReclaimLeadTime(job.spec.account);
+    if (!EventCalendar::MustAvoid(event, now_, end, lead_time)) continue;
+    const AcceleratorsByWorker& reserved = ReservedForEvent(event.name);
+    for (WorkerIndex i = 0; i < state_.cluster.size(); ++i)
+      room[i] -= reserved[i];
   }
   const DisplacingCost cost(state_.cluster, state_.fragmentation,
                             displacement_cost_, job);
   const std::optional<Placement> placement =
       FindPlacement(state_.cluster, job.spec.shape, room, cost);
   if (!placement) return false;
-  Plan(job, MemberWorkers(*placement), reason);
+  MakePlan(job, MemberWorkers(*placement), reason);
   return true;
 }
 
-const AcceleratorsByWorker& PlacementRound::AsideFor(const std::string& event) {
-  const auto found = aside_for_event_.find(event);
-  if (found != aside_for_event_.end()) return found->second;
-  return aside_for_event_[event] = state_.witness.SetAsideFor(event);
+const AcceleratorsByWorker& PlacementRound::ReservedForEvent(
+    const std::string& event) {
+  const auto found = reserved_for_event_.find(event);
+  if (found != reserved_for_event_.end()) return found->second;
+  return reserved_for_event_[event] =
+             state_.guarantee_placement.UnusedReservedFor(event);
 }
 
 // Free accelerators that the job may borrow: none that an event needs before
 // the job can be out of the way, none that the reserved job needs, none where
 // it failed before.
-AcceleratorsByWorker PlacementRound::RoomFor(const JobRecord& job,
-                                             bool past_reservation) {
+AcceleratorsByWorker PlacementRound::BorrowableAccelerators(
+    const JobRecord& job, bool ignore_reservation) {
   AcceleratorsByWorker room = state_.cluster.FreeByWorker();
-  const Time end = now_ + state_.ExpectedRun(job);
+  const Time end = now_ + state_.RemainingTimeOf(job);
   for (const EventReservation& event : state_.calendar.events()) {
-    const Duration lead = state_.Lead(job.spec.account);
-    if (!EventCalendar::KeepsOff(event, now_, end, lead)) continue;
-    const AcceleratorsByWorker& aside = AsideFor(event.name);
+    const Duration lead_time = state_.ReclaimLeadTime(job.spec.account);
+    if (!EventCalendar::MustAvoid(event, now_, end, lead_time)) continue;
+    const AcceleratorsByWorker& reserved = ReservedForEvent(event.name);
     for (size_t i = 0; i < room.size(); ++i) {
-      room[i] = std::max(0, room[i] - aside[i]);
+      room[i] = std::max(0, room[i] - reserved[i]);
     }
   }
-  if (!past_reservation && KeepsOffReservation(job, end)) {
-    state_.reservation.KeepFree(state_.cluster, outlasting_, &room);
+  if (!ignore_reservation && MustAvoidReservation(job, end)) {
+    state_.reservation.SubtractReserved(state_.cluster, in_use_at_start_,
+                                        &room);
   }
   for (const WorkerIndex worker : job.failed_on) room[worker] = 0;
   return room;
 }
 
-bool PlacementRound::KeepsOffReservation(const JobRecord& job, Time end) const {
+bool PlacementRound::MustAvoidReservation(const JobRecord& job,
+                                          Time end) const {
   const LargeJobReservation& reservation = state_.reservation;
   return reservation.active() && reservation.job() != job.spec.id &&
          !reservation.EndsInTime(end);
 }
 
-std::set<std::string> PlacementRound::LimitsOf(const JobRecord& job) const {
+std::set<std::string> PlacementRound::ConstraintsOf(
+    const JobRecord& job) const {
   std::set<std::string> limits;
-  const Time end = now_ + state_.ExpectedRun(job);
-  if (KeepsOffReservation(job, end)) limits.insert("");
+  const Time end = now_ + state_.RemainingTimeOf(job);
+  if (MustAvoidReservation(job, end)) limits.insert("");
   if (state_.calendar.events().empty()) return limits;
-  const Duration lead = state_.Lead(job.spec.account);
+  const Duration lead_time = state_.ReclaimLeadTime(job.spec.account);
   for (const EventReservation& event : state_.calendar.events()) {
-    if (EventCalendar::KeepsOff(event, now_, end, lead)) {
+    if (EventCalendar::MustAvoid(event, now_, end, lead_time)) {
       limits.insert(event.name);
     }
   }
@@ -268,18 +276,18 @@
 
 double PlacementRound::ScoreOf(const JobRecord& job) const {
   const AccountGuarantee& account = state_.Account(job.spec.account);
-  BorrowClaim claim;
-  claim.waited = now_ - job.submitted_at;
-  claim.expected = state_.ExpectedRun(job);
-  claim.accelerators = job.spec.shape.accelerators();
-  claim.borrowed_over_share =
-      survey_.BorrowedOverShare(state_, job.spec.account);
-  claim.fragmentation_weight = account.fragmentation_weight;
-  return BorrowScore(claim);
+  BorrowCandidate candidate;
+  candidate.waited = now_ - job.submitted_at;
+  candidate.expected = state_.RemainingTimeOf(job);
+  candidate.accelerators = job.spec.shape.accelerators();
+  candidate.borrowed_to_share_ratio =
+      snapshot_.BorrowedToShareRatio(state_, job.spec.account);
+  candidate.fragmentation_weight = account.fragmentation_weight;
+  return BorrowScore(candidate);
 }
 
 bool PlacementRound::PlaceBorrowers() {
-  SurveyBorrowing();
+  PrepareBorrowing();
   if (JobRecord* reserved = state_.FindJob(state_.reservation.job())) {
     if (MayStart(*reserved) && TryBorrow(*reserved)) state_.reservation.Clear();
   }
@@ -302,11 +310,11 @@
   std::set<std::pair<int, std::set<std::string>>> without_room;
   int started = 0;
   while (!entries.empty()) {
-    if (started == kMostStartsPerRound) return false;
+    if (started == kMaxStartsPerRound) return false;
     std::pop_heap(entries.begin(), entries.end(), lower);
     JobRecord& job = *entries.back().second;
     entries.pop_back();
-    const auto key = std::make_pair(job.job_class, LimitsOf(job));
+    const auto key = std::make_pair(job.job_class, ConstraintsOf(job));
     if (without_room.count(key) > 0) continue;
     if (TryBorrow(job)) {
       ++started;
@@ -318,10 +326,11 @@
 }
 
 bool PlacementRound::TryBorrow(JobRecord& job) {
-  const AcceleratorsByWorker room = RoomFor(job, false);
+  const AcceleratorsByWorker room = BorrowableAccelerators(job, false);
   if (!Fits(state_.cluster, job.spec.shape, room)) return false;
-  const BorrowingCost cost({state_.fragmentation, set_aside_, rack_ends_}, room,
-                           job, now_ + state_.ExpectedRun(job));
+  const BorrowingCost cost(
+      {state_.fragmentation, unused_reserved_, rack_end_times_}, room, job,
+      now_ + state_.RemainingTimeOf(job));
   const std::optional<Placement> placement =
       FindPlacement(state_.cluster, job.spec.shape, room, cost);
   if (!placement) return false;
@@ -332,13 +341,13 @@
 void PlacementRound::StartBorrowing(JobRecord& job, const Placement& placement,
                                     const std::string& reason) {
   const int size = job.spec.shape.accelerators_per_member;
-  const Time end = now_ + state_.ExpectedRun(job);
-  if (!outlasting_.empty() && end > state_.reservation.start()) {
+  const Time end = now_ + state_.RemainingTimeOf(job);
+  if (!in_use_at_start_.empty() && end > state_.reservation.start()) {
     for (const WorkerShare& share : placement) {
-      outlasting_[share.worker] += share.members * size;
+      in_use_at_start_[share.worker] += share.members * size;
     }
   }
-  survey_.borrowed[job.spec.account] += job.spec.shape.accelerators();
+  snapshot_.borrowed[job.spec.account] += job.spec.shape.accelerators();
   starter_.StartGang(job, MemberWorkers(placement), reason, now_);
 }
 
@@ -358,7 +367,7 @@
   return oldest;
 }
 
-void PlacementRound::KeepReservation() {
+void PlacementRound::UpdateReservation() {
   LargeJobReservation& reservation = state_.reservation;
   if (reservation.active()) {
     const JobRecord* job = state_.FindJob(reservation.job());
@@ -377,15 +386,15 @@
     reservation.Clear();
     return;
   }
-  if (passed || reservation.LostWorker(state_.cluster)) Reserve(job);
+  if (passed || reservation.HasUnusableWorker(state_.cluster)) Reserve(job);
 }
 
 void PlacementRound::Reserve(JobRecord& job) {
   const DisplacingCost cost(state_.cluster, state_.fragmentation,
                             displacement_cost_, job);
-  const std::optional<EarliestStart> earliest =
-      FindEarliestStart(state_.cluster, job.spec.shape, RoomFor(job, true),
-                        survey_.Releases(), now_, cost);
+  const std::optional<EarliestStart> earliest = FindEarliestStart(
+      state_.cluster, job.spec.shape, BorrowableAccelerators(job, true),
+      snapshot_.Releases(), now_, cost);
   if (!earliest) {
     // Not even when everything ends: other workers have to come back first.
     state_.reservation.Clear();
@@ -396,14 +405,14 @@
 }
 
 void PlacementRound::PlaceProbes() {
-  for (const WorkerIndex worker : state_.faults.quarantined()) {
-    if (!state_.faults.IsProbeDue(worker, now_)) continue;
+  for (const WorkerIndex worker : state_.failure_tracker.quarantined()) {
+    if (!state_.failure_tracker.IsProbeDue(worker, now_)) continue;
     if (!state_.cluster.present(worker)) continue;
     if (state_.cluster.held(worker) > 0) continue;
-    JobRecord* job = ProbeFor(worker);
+    JobRecord* job = FindProbeJob(worker);
     if (!job) continue;
     const std::string& name = state_.cluster.info(worker).name;
-    state_.faults.ProbeStarted(worker);
+    state_.failure_tracker.StartProbe(worker);
     state_.actions.push_back(
         WorkerQuarantineChanged{name, WorkerQuarantineChanged::Verdict::kProbed,
                                 "probed with job " + job->spec.id});
@@ -413,7 +422,7 @@
 }
 
 // The shortest normal job that fits the worker alone.
-JobRecord* PlacementRound::ProbeFor(WorkerIndex worker) const {
+JobRecord* PlacementRound::FindProbeJob(WorkerIndex worker) const {
   JobRecord* best = nullptr;
   for (const JobClass& job_class : state_.classes) {
     if (job_class.priority == Priority::kUrgent) continue;
@@ -423,11 +432,12 @@
       continue;
     }
     for (JobRecord* job : job_class.waiting) {
-      if (!MayStart(*job) || job->use) continue;
+      if (!MayStart(*job) || job->allocation) continue;
       if (std::count(job->failed_on.begin(), job->failed_on.end(), worker)) {
         continue;
       }
-      if (best && state_.ExpectedRun(*best) <= state_.ExpectedRun(*job)) {
+      if (best &&
+          state_.RemainingTimeOf(*best) <= state_.RemainingTimeOf(*job)) {
         continue;
       }
       best = job;
--- a/src/libs/scheduling/placement_round.h
+++ b/src/libs/scheduling/placement_round.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "scheduling/cluster_survey.h"
+#include "scheduling/cluster_snapshot.h"
 #include "scheduling/scheduler_state.h"
 
 namespace thornplank {
@@ -32,19 +32,19 @@
   // started as many borrowers as one decision may: another round is due.
   bool Run();
   // Looks at one job that was just submitted; nothing else has changed.
-  void RunFor(JobRecord& job);
+  void RunForJob(JobRecord& job);
   // Starts the plans whose accelerators have come free and drops those that
   // can no longer be carried out.
-  void ServePlans();
+  void StartReadyPlans();
 
  private:
   bool MayStart(const JobRecord& job) const;
   bool MayBorrow(const JobClass& job_class) const;
 
   void PlaceGuaranteed();
-  void PlaceGuaranteedOf(JobClass& job_class);
+  void PlaceGuaranteedClass(JobClass& job_class);
   bool TryGuaranteed(JobRecord& job);
-  bool TakeCells(JobRecord& job, const CellOwner& owner);
+  bool AllocateCells(JobRecord& job, const CellOwner& owner);
 
   void PlaceUrgent();
   bool TryUrgent(JobRecord& job);
@@ -53,39 +53,40 @@
   bool PlaceBorrowers();
   bool TryBorrow(JobRecord& job);
   double ScoreOf(const JobRecord& job) const;
-  AcceleratorsByWorker RoomFor(const JobRecord& job, bool past_reservation);
+  AcceleratorsByWorker BorrowableAccelerators(const JobRecord& job,
+                                              bool ignore_reservation);
   // What its expected end keeps the job off: the reservation and events, by
   // name. Jobs of one class with the same limits have the same room.
-  std::set<std::string> LimitsOf(const JobRecord& job) const;
-  bool KeepsOffReservation(const JobRecord& job, Time end) const;
+  std::set<std::string> ConstraintsOf(const JobRecord& job) const;
+  bool MustAvoidReservation(const JobRecord& job, Time end) const;
   // Looks at what borrowing weighs.
-  void SurveyBorrowing();
+  void PrepareBorrowing();
   void StartBorrowing(JobRecord& job, const Placement& placement,
                       const std::string& reason);
 
-  void KeepReservation();
+  void UpdateReservation();
   JobRecord* OldestLargeJob() const;
   void Reserve(JobRecord& job);
 
   void PlaceProbes();
-  JobRecord* ProbeFor(WorkerIndex worker) const;
+  JobRecord* FindProbeJob(WorkerIndex worker) const;
 
-  void Plan(JobRecord& job, const std::vector<WorkerIndex>& workers,
-            const std::string& reason);
+  void MakePlan(JobRecord& job, const std::vector<WorkerIndex>& workers,
+                const std::string& reason);
   bool IsFreeNow(const JobRecord& job,
                  const std::vector<WorkerIndex>& workers) const;
-  const AcceleratorsByWorker& AsideFor(const std::string& event);
+  const AcceleratorsByWorker& ReservedForEvent(const std::string& event);
 
   SchedulerState& state_;
   GangStarter& starter_;
   const Time now_;
-  ClusterSurvey survey_;
+  ClusterSnapshot snapshot_;
   std::vector<double> displacement_cost_;
-  AcceleratorsByWorker set_aside_;
-  std::vector<Time> rack_ends_;
+  AcceleratorsByWorker unused_reserved_;
+  std::vector<Time> rack_end_times_;
   // In use past the start of the reservation; kept up to date while placing.
-  AcceleratorsByWorker outlasting_;
-  std::map<std::string, AcceleratorsByWorker> aside_for_event_;
+  AcceleratorsByWorker in_use_at_start_;
+  std::map<std::string, AcceleratorsByWorker> reserved_for_event_;
 };
 
 }  // namespace thornplank
--- a/src/libs/scheduling/placement_search.cc
+++ b/src/libs/scheduling/placement_search.cc
@@ -46,9 +46,9 @@
 }
 
 // The share of at most `wanted` members that `rack` would take.
-RackOffer OfferOfRack(const ClusterModel& cluster, int rack, int wanted,
-                      const Shape& shape, const AcceleratorsByWorker& room,
-                      const PlacementCost& cost) {
+RackOffer MakeRackOffer(const ClusterModel& cluster, int rack, int wanted,
+                        const Shape& shape, const AcceleratorsByWorker& room,
+                        const PlacementCost& cost) {
   std::vector<Candidate> candidates =
       CandidatesInRack(cluster, rack, shape, room, cost);
   std::sort(candidates.begin(), candidates.end(), CheaperWorker);
@@ -68,7 +68,7 @@
   return offer;
 }
 
-bool CheaperWholeOffer(const RackOffer& a, const RackOffer& b) {
+bool CheaperSingleRackOffer(const RackOffer& a, const RackOffer& b) {
   if (a.cost != b.cost) return a.cost < b.cost;
   if (a.spare_slots != b.spare_slots) return a.spare_slots < b.spare_slots;
   return a.rack < b.rack;
@@ -83,17 +83,17 @@
 }
 
 // Fills racks from the cheapest on, whatever their number.
-std::optional<RackOffer> SpreadOffer(const ClusterModel& cluster,
-                                     std::vector<RackOffer> offers,
-                                     const Shape& shape,
-                                     const AcceleratorsByWorker& room,
-                                     const PlacementCost& cost) {
+std::optional<RackOffer> SpreadOverRacks(const ClusterModel& cluster,
+                                         std::vector<RackOffer> offers,
+                                         const Shape& shape,
+                                         const AcceleratorsByWorker& room,
+                                         const PlacementCost& cost) {
   std::sort(offers.begin(), offers.end(), CheaperPerMember);
   RackOffer spread;
   for (RackOffer& offer : offers) {
     const int missing = shape.members - spread.members;
     if (offer.members > missing) {
-      offer = OfferOfRack(cluster, offer.rack, missing, shape, room, cost);
+      offer = MakeRackOffer(cluster, offer.rack, missing, shape, room, cost);
     }
     spread.share.insert(spread.share.end(), offer.share.begin(),
                         offer.share.end());
@@ -104,25 +104,26 @@
   return std::nullopt;
 }
 
-std::vector<RackOffer> Offers(const ClusterModel& cluster, const Shape& shape,
-                              const AcceleratorsByWorker& room,
-                              const PlacementCost& cost) {
+std::vector<RackOffer> MakeRackOffers(const ClusterModel& cluster,
+                                      const Shape& shape,
+                                      const AcceleratorsByWorker& room,
+                                      const PlacementCost& cost) {
   std::vector<RackOffer> offers;
   for (int rack = 0; rack < cluster.rack_count(); ++rack) {
     RackOffer offer =
-        OfferOfRack(cluster, rack, shape.members, shape, room, cost);
+        MakeRackOffer(cluster, rack, shape.members, shape, room, cost);
     if (offer.members > 0) offers.push_back(std::move(offer));
   }
   return offers;
 }
 
 // The cheapest single rack that holds all of it.
-const RackOffer* CheapestWhole(const std::vector<RackOffer>& offers,
-                               int members) {
+const RackOffer* CheapestSingleRackOffer(const std::vector<RackOffer>& offers,
+                                         int members) {
   const RackOffer* best = nullptr;
   for (const RackOffer& offer : offers) {
     if (offer.members < members) continue;
-    if (!best || CheaperWholeOffer(offer, *best)) best = &offer;
+    if (!best || CheaperSingleRackOffer(offer, *best)) best = &offer;
   }
   return best;
 }
@@ -143,15 +144,15 @@
   if (shape.members <= 0 || shape.accelerators_per_member <= 0) {
     return std::nullopt;
   }
-  std::vector<RackOffer> offers = Offers(cluster, shape, room, cost);
-  const RackOffer* whole = CheapestWhole(offers, shape.members);
+  std::vector<RackOffer> offers = MakeRackOffers(cluster, shape, room, cost);
+  const RackOffer* whole = CheapestSingleRackOffer(offers, shape.members);
   if (shape.adjacency == Adjacency::kRack) {
     return whole ? std::make_optional(whole->share) : std::nullopt;
   }
   // One member cannot be spread.
   if (whole && (whole->cost <= 0 || shape.members == 1)) return whole->share;
   const std::optional<RackOffer> spread =
-      SpreadOffer(cluster, offers, shape, room, cost);
+      SpreadOverRacks(cluster, offers, shape, room, cost);
   if (!spread) return std::nullopt;
   return whole && whole->cost <= spread->cost ? whole->share : spread->share;
 }
--- a/src/libs/scheduling/reclaimer.cc
+++ b/src/libs/scheduling/reclaimer.cc
@@ -6,9 +6,9 @@
 namespace {
 
 // An urgent borrower leaves only when no other one will do.
-constexpr double kUrgentCost = 1e6;
+constexpr double kUrgentVictimCost = 1e6;
 // Events are settled this long before the first borrower has to be told.
-constexpr Duration kSettleAhead = std::chrono::seconds(1);
+constexpr Duration kEventPreparationTime = std::chrono::seconds(1);
 
 // Moving an event's cells costs the work that its borrowers would lose.
 class DisplacementPlacementCost : public NoPlacementCost {
@@ -33,17 +33,18 @@
 void Reclaimer::Run(Time now) {
   const bool events = !state_.calendar.events().empty();
   if (state_.planned.empty() && !events) return;
-  ServeClaims(Claims::kGuaranteed, ClusterSurvey(state_, now), now);
-  ServeClaims(Claims::kAll, ClusterSurvey(state_, now), now);
+  ReclaimForPlans(PlanFilter::kGuaranteed, ClusterSnapshot(state_, now), now);
+  ReclaimForPlans(PlanFilter::kAll, ClusterSnapshot(state_, now), now);
   for (const EventReservation& event : state_.calendar.events()) {
-    ClearForEvent(event, ClusterSurvey(state_, now), now);
+    ReclaimForEvent(event, ClusterSnapshot(state_, now), now);
   }
 }
 
-std::map<WorkerIndex, int> Reclaimer::ClaimedBy(Claims claims) const {
+std::map<WorkerIndex, int> Reclaimer::ClaimedAccelerators(
+    PlanFilter claims) const {
   std::map<WorkerIndex, int> claimed;
   for (const auto& [id, job] : state_.planned) {
-    if (claims == Claims::kGuaranteed && !job->use) continue;
+    if (claims == PlanFilter::kGuaranteed && !job->allocation) continue;
     for (const WorkerIndex worker : job->plan->workers) {
       claimed[worker] += job->spec.shape.accelerators_per_member;
     }
@@ -51,15 +52,15 @@
   return claimed;
 }
 
-std::map<WorkerIndex, int> Reclaimer::Missing(
+std::map<WorkerIndex, int> Reclaimer::AcceleratorsToReclaim(
     const std::map<WorkerIndex, int>& claimed,
-    const ClusterSurvey& survey) const {
+    const ClusterSnapshot& snapshot) const {
   std::map<WorkerIndex, int> missing = claimed;
   for (auto& [worker, accelerators] : missing) {
     accelerators -= state_.cluster.unheld(worker);
   }
-  for (const GangView& view : survey.gangs) {
-    if (!view.leaving) continue;
+  for (const GangView& view : snapshot.gangs) {
+    if (!view.stopping) continue;
     for (const MemberRecord& record : view.gang->members()) {
       const auto found = missing.find(record.worker);
       if (found == missing.end()) continue;
@@ -70,17 +71,16 @@
   return missing;
 }
 
-std::vector<VictimCandidate> Reclaimer::Candidates(const ClusterSurvey& survey,
-                                                   bool urgent_too,
-                                                   Time now) const {
+std::vector<VictimCandidate> Reclaimer::Candidates(
+    const ClusterSnapshot& snapshot, bool urgent_too, Time now) const {
   std::vector<VictimCandidate> candidates;
-  for (const GangView& view : survey.gangs) {
-    if (!view.borrower || view.leaving) continue;
+  for (const GangView& view : snapshot.gangs) {
+    if (!view.borrower || view.stopping) continue;
     if (view.urgent && !urgent_too) continue;
     VictimCandidate candidate;
     candidate.gang_id = view.gang->id();
     candidate.work_lost = state_.WorkLost(*view.gang, now);
-    if (view.urgent) candidate.work_lost += kUrgentCost;
+    if (view.urgent) candidate.work_lost += kUrgentVictimCost;
     for (const MemberRecord& record : view.gang->members()) {
       if (record.state == MemberState::kGone) continue;
       candidate.holds[record.worker] += record.member.accelerators;
@@ -90,57 +90,66 @@
   return candidates;
 }
 
-void Reclaimer::ServeClaims(Claims claims, const ClusterSurvey& survey,
-                            Time now) {
-  const std::map<WorkerIndex, int> claimed = ClaimedBy(claims);
+void Reclaimer::ReclaimForPlans(PlanFilter claims,
+                                const ClusterSnapshot& snapshot, Time now) {
+  const std::map<WorkerIndex, int> claimed = ClaimedAccelerators(claims);
   if (claimed.empty()) return;
-  const std::map<WorkerIndex, int> missing = Missing(claimed, survey);
+  const std::map<WorkerIndex, int> missing =
+      AcceleratorsToReclaim(claimed, snapshot);
   const bool any = std::any_of(missing.begin(), missing.end(),
                                [](const auto& one) { return one.second > 0; });
   if (!any) return;
-  const bool guaranteed = claims == Claims::kGuaranteed;
-  const std::string why = guaranteed
-                              ? "reclaimed for a guarantee"
-                              : "reclaimed for urgent or long waiting work";
+  const bool guaranteed = claims == PlanFilter::kGuaranteed;
+  const std::string reason = guaranteed
+                                 ? "reclaimed for a guarantee"
+                                 : "reclaimed for urgent or long waiting work";
   for (const std::string& id :
-       SelectVictims(missing, Candidates(survey, guaranteed, now))) {
-    stopper_.CheckpointAndStop(*state_.gangs.Find(id), why, now);
+       SelectVictims(missing, Candidates(snapshot, guaranteed, now))) {
+    stopper_.CheckpointAndStop(*state_.gangs.Find(id), reason, now);
   }
 }
 
-void Reclaimer::ClearForEvent(const EventReservation& event,
-                              const ClusterSurvey& survey, Time now) {
-  if (now < EventCalendar::ClearAt(event, state_.LongestLead())) return;
-  const AcceleratorsByWorker aside = state_.witness.SetAsideFor(event.name);
-  std::map<WorkerIndex, int> claimed = ClaimedBy(Claims::kGuaranteed);
+void Reclaimer::ReclaimForEvent(const EventReservation& event,
+                                const ClusterSnapshot& snapshot, Time now) {
+  if (now < EventCalendar::ReclaimTime(event, state_.LongestReclaimLeadTime()))
+    return;
+  const AcceleratorsByWorker reserved =
+      state_.guarantee_placement.UnusedReservedFor(event.name);
+  std::map<WorkerIndex, int> claimed =
+      ClaimedAccelerators(PlanFilter::kGuaranteed);
   for (auto one = claimed.begin(); one != claimed.end();) {
-    one = aside[one->first] > 0 ? std::next(one) : claimed.erase(one);
+    one = reserved[one->first] > 0 ? std::next(one) : claimed.erase(one);
   }
   for (WorkerIndex i = 0; i < state_.cluster.size(); ++i) {
-    if (aside[i] > 0 && state_.cluster.capacity(i) > 0) claimed[i] += aside[i];
+    if (reserved[i] > 0 && state_.cluster.capacity(i) > 0)
+      claimed[i] += reserved[i];
   }
-  const std::map<WorkerIndex, int> missing = Missing(claimed, survey);
+  const std::map<WorkerIndex, int> missing =
+      AcceleratorsToReclaim(claimed, snapshot);
   for (const std::string& id :
-       SelectVictims(missing, Candidates(survey, true, now))) {
+       SelectVictims(missing, Candidates(snapshot, true, now))) {
     Gang& gang = *state_.gangs.Find(id);
     // Those that are saved faster run on until their own time comes.
-    if (now < EventCalendar::ClearAt(event, state_.Lead(gang.account()))) {
+    if (now < EventCalendar::ReclaimTime(
+                  event, state_.ReclaimLeadTime(gang.account()))) {
       continue;
     }
     stopper_.CheckpointAndStop(gang, "cleared for event " + event.name, now);
   }
 }
 
-void Reclaimer::PrepareEvents(const ClusterSurvey& survey, Time now) {
+void Reclaimer::PrepareEvents(const ClusterSnapshot& snapshot, Time now) {
   for (const EventReservation& event : state_.calendar.events()) {
-    const Duration ahead = state_.LongestLead() + kSettleAhead;
-    if (now < EventCalendar::ClearAt(event, ahead)) continue;
+    const Duration ahead =
+        state_.LongestReclaimLeadTime() + kEventPreparationTime;
+    if (now < EventCalendar::ReclaimTime(event, ahead)) continue;
     for (const GuaranteedShape& shape : event.shapes) {
-      state_.witness.Lend(event.account, event.name, shape);
+      state_.guarantee_placement.Lend(event.account, event.name, shape);
     }
-    state_.witness.Settle(
-        event.name, DisplacementPlacementCost(
-                        state_.cluster, survey.DisplacementCost(state_, now)));
+    state_.guarantee_placement.PlaceAndPin(
+        event.name,
+        DisplacementPlacementCost(state_.cluster,
+                                  snapshot.DisplacementCost(state_, now)));
   }
 }
 
@@ -152,11 +161,12 @@
   };
   for (const EventReservation& event : state_.calendar.events()) {
     consider(event.start);
-    consider(
-        EventCalendar::ClearAt(event, state_.LongestLead() + kSettleAhead));
+    consider(EventCalendar::ReclaimTime(
+        event, state_.LongestReclaimLeadTime() + kEventPreparationTime));
     for (const auto& [account, accelerators] : state_.borrowed) {
       if (accelerators <= 0) continue;
-      consider(EventCalendar::ClearAt(event, state_.Lead(account)));
+      consider(
+          EventCalendar::ReclaimTime(event, state_.ReclaimLeadTime(account)));
     }
   }
   return next;
--- a/src/libs/scheduling/reclaimer.h
+++ b/src/libs/scheduling/reclaimer.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "scheduling/cluster_survey.h"
+#include "scheduling/cluster_snapshot.h"
 #include "scheduling/scheduler_state.h"
 #include "scheduling/victim_selection.h"
 
@@ -23,22 +23,24 @@
   void Run(Time now);
   // Lends cells to the events that come near and settles them where the
   // least work is lost.
-  void PrepareEvents(const ClusterSurvey& survey, Time now);
+  void PrepareEvents(const ClusterSnapshot& snapshot, Time now);
   // When the next event has to be looked at; nullopt when none is ahead.
   std::optional<Time> NextDue(Time now) const;
 
  private:
   // Which plans' claims are served.
-  enum class Claims { kGuaranteed, kAll };
+  enum class PlanFilter { kGuaranteed, kAll };
 
-  void ServeClaims(Claims claims, const ClusterSurvey& survey, Time now);
-  void ClearForEvent(const EventReservation& event, const ClusterSurvey& survey,
-                     Time now);
+  void ReclaimForPlans(PlanFilter claims, const ClusterSnapshot& snapshot,
+                       Time now);
+  void ReclaimForEvent(const EventReservation& event,
+                       const ClusterSnapshot& snapshot, Time now);
   // Claimed accelerators per worker beyond what is free or coming free.
-  std::map<WorkerIndex, int> Missing(const std::map<WorkerIndex, int>& claimed,
-                                     const ClusterSurvey& survey) const;
-  std::map<WorkerIndex, int> ClaimedBy(Claims claims) const;
-  std::vector<VictimCandidate> Candidates(const ClusterSurvey& survey,
+  std::map<WorkerIndex, int> AcceleratorsToReclaim(
+      const std::map<WorkerIndex, int>& claimed,
+      const ClusterSnapshot& snapshot) const;
+  std::map<WorkerIndex, int> ClaimedAccelerators(PlanFilter claims) const;
+  std::vector<VictimCandidate> Candidates(const ClusterSnapshot& snapshot,
                                           bool urgent_too, Time now) const;
 
   SchedulerState& state_;
--- a/src/libs/scheduling/run_time_estimator.cc
+++ b/src/libs/scheduling/run_time_estimator.cc
@@ -7,14 +7,14 @@
 namespace {
 
 // Weight of the newest run time in the means, once several are known.
-constexpr double kNewestWeight = 0.1;
-constexpr double kLargestFactor = 50;
+constexpr double kMinSampleWeight = 0.1;
+constexpr double kMaxCorrectionFactor = 50;
 // Expected of a job of which neither it nor its account says anything.
-constexpr Duration kUnknownRunTime = std::chrono::seconds(600);
+constexpr Duration kDefaultRunTime = std::chrono::seconds(600);
 // A job that overran is expected to run on for this share of what it ran.
 constexpr double kOverrunShare = 0.25;
-constexpr Duration kLeastRemaining = std::chrono::milliseconds(100);
-constexpr size_t kCheckpointsKept = 16;
+constexpr Duration kMinRemainingRunTime = std::chrono::milliseconds(100);
+constexpr size_t kMaxCheckpoints = 16;
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -30,49 +30,51 @@
 RunTimeEstimator::RunTimeEstimator(Duration assumed_checkpoint_time)
     : assumed_checkpoint_time_(assumed_checkpoint_time) {}
 
-void RunTimeEstimator::Finished(const std::string& account, Duration declared,
-                                Duration actual) {
+void RunTimeEstimator::RecordRunTime(const std::string& account,
+                                     Duration declared, Duration actual) {
   if (actual <= Duration::zero()) return;
   Account& known = accounts_[account];
   ++known.finished;
-  const double weight = std::max(kNewestWeight, 1.0 / known.finished);
+  const double weight = std::max(kMinSampleWeight, 1.0 / known.finished);
   known.mean_seconds += weight * (Seconds(actual) - known.mean_seconds);
   if (declared <= Duration::zero()) return;
-  const double ratio = std::clamp(Seconds(actual) / Seconds(declared),
-                                  1 / kLargestFactor, kLargestFactor);
+  const double ratio =
+      std::clamp(Seconds(actual) / Seconds(declared), 1 / kMaxCorrectionFactor,
+                 kMaxCorrectionFactor);
   known.log_factor += weight * (std::log(ratio) - known.log_factor);
 }
 
-Duration RunTimeEstimator::Expect(const std::string& account,
-                                  Duration declared) const {
+Duration RunTimeEstimator::ExpectedRunTime(const std::string& account,
+                                           Duration declared) const {
   const Account* known = Find(account);
   if (declared <= Duration::zero()) {
     const bool has_mean = known && known->mean_seconds > 0;
-    return has_mean ? FromSeconds(known->mean_seconds) : kUnknownRunTime;
+    return has_mean ? FromSeconds(known->mean_seconds) : kDefaultRunTime;
   }
-  return FromSeconds(Seconds(declared) * factor(account));
+  return FromSeconds(Seconds(declared) * correction_factor(account));
 }
 
-Duration RunTimeEstimator::Remaining(const std::string& account,
-                                     Duration declared,
-                                     Duration ran_for) const {
-  const Duration expected = Expect(account, declared);
+Duration RunTimeEstimator::RemainingRunTime(const std::string& account,
+                                            Duration declared,
+                                            Duration ran_for) const {
+  const Duration expected = ExpectedRunTime(account, declared);
   const Duration overrun = FromSeconds(Seconds(ran_for) * kOverrunShare);
   return std::max(
-      {expected - ran_for, std::min(overrun, expected), kLeastRemaining});
+      {expected - ran_for, std::min(overrun, expected), kMinRemainingRunTime});
 }
 
-double RunTimeEstimator::factor(const std::string& account) const {
+double RunTimeEstimator::correction_factor(const std::string& account) const {
   const Account* known = Find(account);
   return known ? std::exp(known->log_factor) : 1.0;
 }
 
-void RunTimeEstimator::Checkpointed(const std::string& account, Duration took) {
-  Keep(account, {took, false});
+void RunTimeEstimator::RecordCheckpoint(const std::string& account,
+                                        Duration took) {
+  AddCheckpoint(account, {took, false});
 }
 
-void RunTimeEstimator::CheckpointHung(const std::string& account) {
-  Keep(account, {Duration::zero(), true});
+void RunTimeEstimator::RecordHungCheckpoint(const std::string& account) {
+  AddCheckpoint(account, {Duration::zero(), true});
 }
 
 Duration RunTimeEstimator::CheckpointTime(const std::string& account) const {
@@ -88,7 +90,7 @@
   return measured ? longest : assumed_checkpoint_time_;
 }
 
-double RunTimeEstimator::HungShare(const std::string& account) const {
+double RunTimeEstimator::HungCheckpointShare(const std::string& account) const {
   const Account* known = Find(account);
   if (!known || known->checkpoints.empty()) return 0;
   const auto hung =
@@ -104,10 +106,11 @@
   return found == accounts_.end() ? nullptr : &found->second;
 }
 
-void RunTimeEstimator::Keep(const std::string& account, Checkpoint checkpoint) {
+void RunTimeEstimator::AddCheckpoint(const std::string& account,
+                                     Checkpoint checkpoint) {
   std::deque<Checkpoint>& kept = accounts_[account].checkpoints;
   kept.push_back(checkpoint);
-  if (kept.size() > kCheckpointsKept) kept.pop_front();
+  if (kept.size() > kMaxCheckpoints) kept.pop_front();
 }
 
 }  // namespace thornplank
--- a/src/libs/scheduling/run_time_estimator.h
+++ b/src/libs/scheduling/run_time_estimator.h
@@ -17,21 +17,22 @@
   explicit RunTimeEstimator(Duration assumed_checkpoint_time);
 
   // A job that was declared to run for `declared` ran for `actual` in all.
-  void Finished(const std::string& account, Duration declared, Duration actual);
+  void RecordRunTime(const std::string& account, Duration declared,
+                     Duration actual);
   // Expected run time in all of a job declared as `declared` (zero: unknown).
-  Duration Expect(const std::string& account, Duration declared) const;
+  Duration ExpectedRunTime(const std::string& account, Duration declared) const;
   // Expected time left after `ran_for`; grows with a job that overruns.
-  Duration Remaining(const std::string& account, Duration declared,
-                     Duration ran_for) const;
+  Duration RemainingRunTime(const std::string& account, Duration declared,
+                            Duration ran_for) const;
   // Expected over declared run time; 1 before anything is known.
-  double factor(const std::string& account) const;
+  double correction_factor(const std::string& account) const;
 
-  void Checkpointed(const std::string& account, Duration took);
-  void CheckpointHung(const std::string& account);
+  void RecordCheckpoint(const std::string& account, Duration took);
+  void RecordHungCheckpoint(const std::string& account);
   // Longest of the latest checkpoints of the account.
   Duration CheckpointTime(const std::string& account) const;
   // Share of the latest checkpoints that were not done in time, 0 to 1.
-  double HungShare(const std::string& account) const;
+  double HungCheckpointShare(const std::string& account) const;
 
  private:
   struct Checkpoint {
@@ -44,12 +45,12 @@
     int finished = 0;
     // Mean run time in seconds, for jobs that declare none.
     double mean_seconds = 0;
-    // The latest last, at most kCheckpointsKept.
+    // The latest last, at most kMaxCheckpoints.
     std::deque<Checkpoint> checkpoints;
   };
 
   const Account* Find(const std::string& account) const;
-  void Keep(const std::string& account, Checkpoint checkpoint);
+  void AddCheckpoint(const std::string& account, Checkpoint checkpoint);
 
   const Duration assumed_checkpoint_time_;
   std::unordered_map<std::string, Account> accounts_;
--- a/src/libs/scheduling/scheduler_core.cc
+++ b/src/libs/scheduling/scheduler_core.cc
@@ -8,7 +8,7 @@
 
 constexpr char kCancelled[] = "cancelled by its account";
 // A waiting job that may not start yet is looked at again after this long.
-constexpr Duration kRetryPause = std::chrono::seconds(1);
+constexpr Duration kRetryInterval = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -29,11 +29,11 @@
   job.saved_progress = saved_progress;
   job.reason = "submitted";
   const size_t known_classes = state_.classes.size();
-  job.job_class = state_.ClassFor(spec);
+  job.job_class = state_.FindOrAddClass(spec);
   state_.AddWaiting(job);
   if (state_.classes.size() > known_classes) {
-    CheckPossible(state_.ClassOf(job), now);
-    SetLargeShapes();
+    CheckFeasibility(state_.ClassOf(job), now);
+    UpdateLargeShapes();
   }
   return &job;
 }
@@ -42,14 +42,15 @@
   JobRecord* job = state_.FindJob(id);
   if (!job || IsFinal(job->phase)) return;
   if (Gang* gang = state_.gangs.Find(job->gang_id)) {
-    lifecycle_.Stop(*gang, kCancelled, GangEnd::kCancel, now, &state_.actions);
+    lifecycle_.Stop(*gang, kCancelled, JobDisposition::kCancel, now,
+                    &state_.actions);
     return;
   }
   state_.RemoveWaiting(*job);
   if (job->plan) dirty_ = true;
   state_.DropPlan(*job);
-  state_.ReleaseUse(*job);
-  state_.faults.Forget(id);
+  state_.ReleaseAllocation(*job);
+  state_.failure_tracker.ForgetJob(id);
   state_.SetPhase(*job, JobPhase::kCancelled, kCancelled);
 }
 
@@ -77,7 +78,7 @@
   }
   state_.RemoveWaiting(*job);
   state_.DropPlan(*job);
-  state_.ReleaseUse(*job);
+  state_.ReleaseAllocation(*job);
   job->gang_id = found.gang_id;
   ++job->attempts;
   const bool cancelled = found.phase == JobPhase::kCancelled;
@@ -85,8 +86,8 @@
       static_cast<int>(members.size()) == job->spec.shape.members;
   job->phase = cancelled ? JobPhase::kRunning : found.phase;
   if (whole && !cancelled) {
-    job->use = state_.witness.TakeAt({job->spec.account, ""}, job->spec.shape,
-                                     workers);
+    job->allocation = state_.guarantee_placement.AllocateAt(
+        {job->spec.account, ""}, job->spec.shape, workers);
   }
   // A gang found with part of its members must not have its throttle lifted.
   const JobPhase phase = whole && !cancelled ? found.phase : JobPhase::kRunning;
@@ -100,10 +101,11 @@
   lifecycle_.TakeOver(std::move(gang), phase, found.ran_for, now,
                       &state_.actions);
   if (cancelled) {
-    lifecycle_.Stop(taken, kCancelled, GangEnd::kCancel, now, &state_.actions);
+    lifecycle_.Stop(taken, kCancelled, JobDisposition::kCancel, now,
+                    &state_.actions);
   } else if (!whole) {
-    lifecycle_.Stop(taken, "found with part of its members", GangEnd::kRequeue,
-                    now, &state_.actions);
+    lifecycle_.Stop(taken, "found with part of its members",
+                    JobDisposition::kRequeue, now, &state_.actions);
   }
 }
 
@@ -111,10 +113,10 @@
                                    const std::vector<LeaseReport>& leases,
                                    Time asked_at, Time now) {
   const int before = state_.cluster.unheld(worker);
-  const int unknown_held =
-      lifecycle_.Report(worker, state_.cluster.info(worker).name, leases,
-                        asked_at, now, &state_.actions);
-  state_.cluster.SetUnknownHeld(worker, unknown_held);
+  const int untracked_held =
+      lifecycle_.ApplyWorkerReport(worker, state_.cluster.info(worker).name,
+                                   leases, asked_at, now, &state_.actions);
+  state_.cluster.SetUntrackedHeld(worker, untracked_held);
   if (state_.cluster.unheld(worker) > before) dirty_ = true;
 }
 
@@ -145,9 +147,9 @@
   ticked_ = true;
   dirty_ = true;
   lifecycle_.Tick(now, &state_.actions);
-  ReleaseRefusing(now);
-  JudgeProbes(now);
-  FailImpossible(now);
+  EndRefusalBackoffs(now);
+  CompleteProbes(now);
+  FailInfeasibleJobs(now);
 }
 
 SchedulerActions SchedulerCore::Decide(Time now) {
@@ -155,28 +157,28 @@
   if (!ticked_) return TakeActions();
   if (repair_due_) {
     repair_due_ = false;
-    state_.witness.Repair();
-    DrainLeaving(now);
+    state_.guarantee_placement.Repair();
+    DrainLeavingWorkers(now);
   }
   if (dirty_) {
     dirty_ = false;
     if (!state_.calendar.events().empty()) {
-      reclaimer_.PrepareEvents(ClusterSurvey(state_, now), now);
-      DemoteUncovered();
+      reclaimer_.PrepareEvents(ClusterSnapshot(state_, now), now);
+      DemoteGangsWithoutCells();
     }
     dirty_ = !PlacementRound(state_, *this, now).Run() || dirty_;
   } else if (!state_.planned.empty()) {
-    PlacementRound(state_, *this, now).ServePlans();
+    PlacementRound(state_, *this, now).StartReadyPlans();
   }
   reclaimer_.Run(now);
   ReportShortfalls();
   return TakeActions();
 }
 
-SchedulerActions SchedulerCore::DecideFor(JobRecord& job, Time now) {
+SchedulerActions SchedulerCore::DecideForJob(JobRecord& job, Time now) {
   if (!ticked_ || dirty_ || repair_due_) return Decide(now);
   last_event_ = std::max(last_event_, now);
-  PlacementRound(state_, *this, now).RunFor(job);
+  PlacementRound(state_, *this, now).RunForJob(job);
   reclaimer_.Run(now);
   ReportShortfalls();
   return TakeActions();
@@ -199,11 +201,12 @@
   for (const JobClass& job_class : state_.classes) {
     if (job_class.waiting.empty()) continue;
     waiting = true;
-    if (!job_class.impossible_since) continue;
-    consider(*job_class.impossible_since + state_.options.impossible_job_bound);
+    if (!job_class.infeasible_since) continue;
+    consider(*job_class.infeasible_since +
+             state_.options.infeasible_job_timeout);
   }
   // Scores, reservations, probes and pauses move with time.
-  if (waiting) consider(now + kRetryPause);
+  if (waiting) consider(now + kRetryInterval);
   return next;
 }
 
@@ -214,17 +217,17 @@
 }
 
 void SchedulerCore::OnCheckpointed(const Gang& gang, Duration took) {
-  state_.estimator.Checkpointed(gang.account(), took);
+  state_.estimator.RecordCheckpoint(gang.account(), took);
   JobRecord* job = state_.FindJob(gang.job());
   if (!job || !gang.started_at) return;
-  const std::optional<Duration> progress = gang.LeastSavedProgress();
+  const std::optional<Duration> progress = gang.MinSavedProgress();
   job->saved_run_time +=
       progress.value_or(gang.checkpoint_asked_at - *gang.started_at);
   job->saved_progress += progress.value_or(Duration::zero());
 }
 
 void SchedulerCore::OnCheckpointHung(const Gang& gang) {
-  state_.estimator.CheckpointHung(gang.account());
+  state_.estimator.RecordHungCheckpoint(gang.account());
 }
 
 void SchedulerCore::OnFinished(const Gang& gang, Time now) {
@@ -232,11 +235,12 @@
   if (!job || job->gang_id != gang.id()) return;
   if (gang.started_at) {
     const Duration ran = now - *gang.started_at;
-    state_.estimator.Finished(job->spec.account, job->spec.declared_run_time,
-                              job->saved_run_time + ran);
+    state_.estimator.RecordRunTime(job->spec.account,
+                                   job->spec.declared_run_time,
+                                   job->saved_run_time + ran);
   }
   for (const MemberRecord& record : gang.members()) {
-    if (state_.faults.Succeeded(job->spec.id, record.worker)) {
+    if (state_.failure_tracker.RecordSuccess(job->spec.id, record.worker)) {
       ReleaseFromQuarantine(record.worker);
     }
   }
@@ -247,24 +251,24 @@
 void SchedulerCore::OnEnded(const Gang& gang) {
   dirty_ = true;
   for (const MemberRecord& record : gang.members()) {
-    state_.faults.ProbeAbandoned(record.worker);
+    state_.failure_tracker.AbandonProbe(record.worker);
   }
   JobRecord* job = state_.FindJob(gang.job());
   if (!job) return;
-  if (job->use) {
-    state_.ReleaseUse(*job);
+  if (job->allocation) {
+    state_.ReleaseAllocation(*job);
     repair_due_ = true;
   }
   if (job->gang_id != gang.id()) return;
   job->gang_id.clear();
-  if (gang.end == GangEnd::kCancel) {
-    state_.faults.Forget(job->spec.id);
+  if (gang.disposition == JobDisposition::kCancel) {
+    state_.failure_tracker.ForgetJob(job->spec.id);
     state_.SetPhase(*job, JobPhase::kCancelled, kCancelled);
     return;
   }
-  if (state_.faults.IsBadJob(job->spec.id)) {
+  if (state_.failure_tracker.IsBadJob(job->spec.id)) {
     const size_t failures = job->failed_on.size();
-    state_.faults.Forget(job->spec.id);
+    state_.failure_tracker.ForgetJob(job->spec.id);
     state_.SetPhase(*job, JobPhase::kFailed,
                     "failed " + std::to_string(failures) +
                         " times wherever it ran: " + job->last_failure);
@@ -297,10 +301,10 @@
                    reason, now, &state_.actions);
 }
 
-void SchedulerCore::CheckpointAndStop(Gang& gang, const std::string& why,
+void SchedulerCore::CheckpointAndStop(Gang& gang, const std::string& reason,
                                       Time now) {
   const Duration deadline = state_.Account(gang.account()).checkpoint_deadline;
-  lifecycle_.Checkpoint(gang, why, deadline, now, &state_.actions);
+  lifecycle_.Checkpoint(gang, reason, deadline, now, &state_.actions);
 }
 
 }  // namespace thornplank
--- a/src/libs/scheduling/scheduler_core.h
+++ b/src/libs/scheduling/scheduler_core.h
@@ -41,7 +41,7 @@
 
   // End an event: place, reclaim, report, and hand out the actions.
   SchedulerActions Decide(Time now);
-  SchedulerActions DecideFor(JobRecord& job, Time now);
+  SchedulerActions DecideForJob(JobRecord& job, Time now);
   std::optional<Time> NextWake(Time now) const;
 
   SchedulerState& state() { return state_; }
@@ -62,23 +62,24 @@
   void StartGang(JobRecord& job, const std::vector<WorkerIndex>& workers,
                  const std::string& reason, Time now) override;
   // GangStopper
-  void CheckpointAndStop(Gang& gang, const std::string& why, Time now) override;
+  void CheckpointAndStop(Gang& gang, const std::string& reason,
+                         Time now) override;
 
  private:
-  void DeclareCells();
-  void SetLargeShapes();
+  void UpdateCellDemands();
+  void UpdateLargeShapes();
   // Takes the guarantee from gangs and plans whose cells are gone or lent.
-  void DemoteUncovered();
-  void CheckPossible(JobClass& job_class, Time now);
-  void FailImpossible(Time now);
-  void DrainLeaving(Time now);
-  void ReleaseRefusing(Time now);
-  void JudgeProbes(Time now);
+  void DemoteGangsWithoutCells();
+  void CheckFeasibility(JobClass& job_class, Time now);
+  void FailInfeasibleJobs(Time now);
+  void DrainLeavingWorkers(Time now);
+  void EndRefusalBackoffs(Time now);
+  void CompleteProbes(Time now);
   void ReleaseFromQuarantine(WorkerIndex worker);
   void ReportShortfalls();
-  void WithdrawReports();
-  void ReportOne(ReportShortfall::Subject subject, const std::string& name,
-                 const std::string& text);
+  void ClearStaleReports();
+  void ReportIfChanged(ReportShortfall::Subject subject,
+                       const std::string& name, const std::string& text);
   std::string EventShortfall(const EventReservation& event) const;
   SchedulerActions TakeActions();
 
@@ -88,15 +89,16 @@
   std::vector<WorkerInfo> workers_;
   // Shortfalls that stand reported: subject, name -> text.
   std::map<std::pair<ReportShortfall::Subject, std::string>, std::string>
-      reported_;
+      reported_shortfalls_;
   // Whether one of them has a text.
-  bool reported_shortfall_ = false;
+  bool has_reported_shortfall_ = false;
   Time last_event_;
   int64_t last_gang_ = 0;
   bool ticked_ = false;
   // Something other than a new job changed since the last full round.
   bool dirty_ = false;
-  // The workers or the cells changed since the witness was repaired.
+  // The workers or the cells changed since the guarantee_placement was
+  // repaired.
   bool repair_due_ = false;
 };
 
--- a/src/libs/scheduling/scheduler_upkeep.cc
+++ b/src/libs/scheduling/scheduler_maintenance.cc
@@ -11,7 +11,7 @@
 
 // Accelerators of the account's own guarantee that `shape` of its event may
 // be lent from.
-int OwnCount(const AccountGuarantee& account, const Shape& shape) {
+int GuaranteedCount(const AccountGuarantee& account, const Shape& shape) {
   int count = 0;
   for (const GuaranteedShape& own : account.shapes) {
     if (own.shape == shape) count += own.count;
@@ -35,8 +35,8 @@
                                Time now) {
   workers_ = workers;
   state_.cluster.SetWorkers(workers);
-  for (JobClass& job_class : state_.classes) CheckPossible(job_class, now);
-  SetLargeShapes();
+  for (JobClass& job_class : state_.classes) CheckFeasibility(job_class, now);
+  UpdateLargeShapes();
   dirty_ = true;
   repair_due_ = true;
 }
@@ -47,8 +47,8 @@
   for (const AccountGuarantee& account : accounts) {
     state_.accounts[account.account] = account;
   }
-  DeclareCells();
-  for (JobClass& job_class : state_.classes) CheckPossible(job_class, now);
+  UpdateCellDemands();
+  for (JobClass& job_class : state_.classes) CheckFeasibility(job_class, now);
 }
 
 void SchedulerCore::SetEvents(const std::vector<EventReservation>& events) {
@@ -58,13 +58,13 @@
         std::any_of(events.begin(), events.end(), [&old](const auto& event) {
           return event.name == old.name && event.account == old.account;
         });
-    if (!stays) state_.witness.EndLoans(old.name);
+    if (!stays) state_.guarantee_placement.EndLoans(old.name);
   }
   state_.calendar.Set(events);
-  DeclareCells();
+  UpdateCellDemands();
 }
 
-void SchedulerCore::DeclareCells() {
+void SchedulerCore::UpdateCellDemands() {
   std::vector<CellDemand> demands;
   for (const auto& [name, account] : state_.accounts) {
     for (const GuaranteedShape& shape : account.shapes) {
@@ -75,21 +75,21 @@
   for (const EventReservation& event : state_.calendar.events()) {
     const AccountGuarantee& account = state_.Account(event.account);
     for (GuaranteedShape shape : event.shapes) {
-      shape.count -= OwnCount(account, shape.shape);
+      shape.count -= GuaranteedCount(account, shape.shape);
       if (shape.count > 0) {
         demands.push_back({{event.account, event.name}, shape});
       }
     }
   }
-  state_.witness.SetDemands(demands);
-  DemoteUncovered();
-  SetLargeShapes();
+  state_.guarantee_placement.SetDemands(demands);
+  DemoteGangsWithoutCells();
+  UpdateLargeShapes();
   dirty_ = true;
   repair_due_ = true;
 }
 
 // The declared large shapes: those of guarantees and of the jobs seen.
-void SchedulerCore::SetLargeShapes() {
+void SchedulerCore::UpdateLargeShapes() {
   std::vector<WeightedShape> shapes;
   for (const auto& entry : state_.accounts) {
     for (const GuaranteedShape& guaranteed : entry.second.shapes) {
@@ -103,7 +103,7 @@
   state_.fragmentation.SetShapes(std::move(shapes));
 }
 
-void SchedulerCore::DemoteUncovered() {
+void SchedulerCore::DemoteGangsWithoutCells() {
   std::vector<JobRecord*> holders;
   for (const auto& entry : state_.planned) holders.push_back(entry.second);
   for (const auto& entry : state_.gangs.gangs()) {
@@ -113,20 +113,20 @@
   }
   for (JobRecord* holder : holders) {
     JobRecord& job = *holder;
-    if (!job.use) continue;
+    if (!job.allocation) continue;
     const CellOwner own{job.spec.account, ""};
     const CellOwner of_event{job.spec.account, job.spec.event};
-    if (state_.witness.StillHolds(own, *job.use)) continue;
+    if (state_.guarantee_placement.IsStillValid(own, *job.allocation)) continue;
     if (!job.spec.event.empty() &&
-        state_.witness.StillHolds(of_event, *job.use)) {
+        state_.guarantee_placement.IsStillValid(of_event, *job.allocation)) {
       continue;
     }
     state_.DropPlan(job);
-    state_.ReleaseUse(job);
+    state_.ReleaseAllocation(job);
   }
 }
 
-void SchedulerCore::CheckPossible(JobClass& job_class, Time now) {
+void SchedulerCore::CheckFeasibility(JobClass& job_class, Time now) {
   JobSpec spec;
   spec.account = job_class.account;
   spec.event = job_class.event;
@@ -136,31 +136,31 @@
   const std::optional<std::string> reason =
       CheckJobCanEverRun(spec, workers_, accounts);
   if (!reason) {
-    job_class.impossible_since.reset();
+    job_class.infeasible_since.reset();
     return;
   }
-  if (!job_class.impossible_since) job_class.impossible_since = now;
-  job_class.impossible_reason = *reason;
+  if (!job_class.infeasible_since) job_class.infeasible_since = now;
+  job_class.infeasible_reason = *reason;
 }
 
-void SchedulerCore::FailImpossible(Time now) {
+void SchedulerCore::FailInfeasibleJobs(Time now) {
   for (JobClass& job_class : state_.classes) {
-    if (!job_class.impossible_since) continue;
+    if (!job_class.infeasible_since) continue;
     const Time fails_at =
-        *job_class.impossible_since + state_.options.impossible_job_bound;
+        *job_class.infeasible_since + state_.options.infeasible_job_timeout;
     if (now < fails_at) continue;
     const std::vector<JobRecord*> waiting =
         std::exchange(job_class.waiting, {});
     for (JobRecord* job : waiting) {
       state_.DropPlan(*job);
-      state_.ReleaseUse(*job);
+      state_.ReleaseAllocation(*job);
       state_.SetPhase(*job, JobPhase::kFailed,
-                      "can never run: " + job_class.impossible_reason);
+                      "can never run: " + job_class.infeasible_reason);
     }
   }
 }
 
-void SchedulerCore::DrainLeaving(Time now) {
+void SchedulerCore::DrainLeavingWorkers(Time now) {
   for (const auto& entry : state_.gangs.gangs()) {
     Gang& gang = *entry.second;
     for (const MemberRecord& record : gang.members()) {
@@ -179,15 +179,15 @@
   if (!job) return;
   if (refused) {
     // It holds something that we don't know of yet.
-    job->not_before = now + state_.options.refusal_pause;
-    state_.refusing_until[member.worker] = now + state_.options.refusal_pause;
+    job->not_before = now + state_.options.refusal_backoff;
+    state_.refusing_until[member.worker] = now + state_.options.refusal_backoff;
     state_.cluster.SetRefusing(member.worker, true);
     return;
   }
   job->failed_on.push_back(member.worker);
   job->last_failure = reason;
-  if (!state_.faults.Failed(job->spec.id, member.worker, state_.cluster.size(),
-                            now)) {
+  if (!state_.failure_tracker.RecordFailure(job->spec.id, member.worker,
+                                            state_.cluster.size(), now)) {
     return;
   }
   state_.cluster.SetQuarantined(member.worker, true);
@@ -197,7 +197,7 @@
       "different jobs fail there, the last with: " + reason});
 }
 
-void SchedulerCore::ReleaseRefusing(Time now) {
+void SchedulerCore::EndRefusalBackoffs(Time now) {
   for (auto one = state_.refusing_until.begin();
        one != state_.refusing_until.end();) {
     if (one->second > now) {
@@ -210,18 +210,18 @@
 }
 
 // A probe that has run for as long as the quarantine shows a good worker.
-void SchedulerCore::JudgeProbes(Time now) {
+void SchedulerCore::CompleteProbes(Time now) {
   for (const auto& entry : state_.gangs.gangs()) {
     const Gang& gang = *entry.second;
     if (!gang.started_at) continue;
     if (gang.phase != JobPhase::kRunning) continue;
     if (now - *gang.started_at < state_.options.quarantine_time) continue;
     for (const MemberRecord& record : gang.members()) {
-      if (state_.faults.state(record.worker) !=
-          FaultLedger::WorkerState::kProbing) {
+      if (state_.failure_tracker.state(record.worker) !=
+          FailureTracker::WorkerState::kProbing) {
         continue;
       }
-      if (state_.faults.Succeeded(gang.job(), record.worker)) {
+      if (state_.failure_tracker.RecordSuccess(gang.job(), record.worker)) {
         ReleaseFromQuarantine(record.worker);
       }
     }
@@ -238,10 +238,13 @@
 }
 
 std::string SchedulerCore::EventShortfall(const EventReservation& event) const {
-  std::string text = state_.witness.Shortfall({event.account, event.name});
+  std::string text =
+      state_.guarantee_placement.Shortfall({event.account, event.name});
   for (const GuaranteedShape& shape : event.shapes) {
-    if (OwnCount(state_.Account(event.account), shape.shape) == 0) continue;
-    const std::string own = state_.witness.Shortfall({event.account, ""});
+    if (GuaranteedCount(state_.Account(event.account), shape.shape) == 0)
+      continue;
+    const std::string own =
+        state_.guarantee_placement.Shortfall({event.account, ""});
     if (own.empty()) break;
     if (!text.empty()) text += "; ";
     return text + "of its account's guarantee: " + own;
@@ -251,23 +254,24 @@
 
 void SchedulerCore::ReportShortfalls() {
   using Subject = ReportShortfall::Subject;
-  WithdrawReports();
-  const bool whole = state_.witness.IsWhole();
-  if (whole && !reported_shortfall_) return;
-  reported_shortfall_ = !whole;
+  ClearStaleReports();
+  const bool whole = state_.guarantee_placement.IsComplete();
+  if (whole && !has_reported_shortfall_) return;
+  has_reported_shortfall_ = !whole;
   for (const auto& entry : state_.accounts) {
     if (entry.second.shapes.empty()) continue;
-    ReportOne(Subject::kAccount, entry.first,
-              state_.witness.Shortfall({entry.first, ""}));
+    ReportIfChanged(Subject::kAccount, entry.first,
+                    state_.guarantee_placement.Shortfall({entry.first, ""}));
   }
   for (const EventReservation& event : state_.calendar.events()) {
-    ReportOne(Subject::kEvent, event.name, EventShortfall(event));
+    ReportIfChanged(Subject::kEvent, event.name, EventShortfall(event));
   }
 }
 
 // Takes back what was said of accounts and events that are declared no more.
-void SchedulerCore::WithdrawReports() {
-  for (auto one = reported_.begin(); one != reported_.end();) {
+void SchedulerCore::ClearStaleReports() {
+  for (auto one = reported_shortfalls_.begin();
+       one != reported_shortfalls_.end();) {
     const auto& [subject, name] = one->first;
     const bool declared = subject == ReportShortfall::Subject::kAccount
                               ? state_.accounts.count(name) > 0
@@ -279,14 +283,14 @@
     if (!one->second.empty()) {
       state_.actions.push_back(ReportShortfall{subject, name, ""});
     }
-    one = reported_.erase(one);
+    one = reported_shortfalls_.erase(one);
   }
 }
 
-void SchedulerCore::ReportOne(ReportShortfall::Subject subject,
-                              const std::string& name,
-                              const std::string& text) {
-  std::string& reported = reported_[{subject, name}];
+void SchedulerCore::ReportIfChanged(ReportShortfall::Subject subject,
+                                    const std::string& name,
+                                    const std::string& text) {
+  std::string& reported = reported_shortfalls_[{subject, name}];
   if (reported == text) return;
   reported = text;
   state_.actions.push_back(ReportShortfall{subject, name, text});
--- a/src/libs/scheduling/scheduler_state.cc
+++ b/src/libs/scheduling/scheduler_state.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Final jobs remembered here; the fold of the job stream knows all of them.
-constexpr size_t kFinalJobsKept = 20000;
+constexpr size_t kMaxFinalJobs = 20000;
 // From the order to stop until the worker's answer.
 constexpr Duration kStopAllowance = std::chrono::seconds(2);
 
@@ -15,8 +15,8 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-FaultLimits LimitsFrom(const SchedulerOptions& options) {
-  FaultLimits limits;
+FailureLimits LimitsFrom(const SchedulerOptions& options) {
+  FailureLimits limits;
   limits.failures_to_judge_job = options.max_attempts;
   limits.max_quarantined_share = options.max_quarantined_share;
   limits.quarantine_time = options.quarantine_time;
@@ -28,9 +28,9 @@
 SchedulerState::SchedulerState(SchedulerOptions given)
     : options(std::move(given)),
       gangs(cluster),
-      witness(cluster, options.seed),
+      guarantee_placement(cluster, options.seed),
       estimator(options.assumed_checkpoint_time),
-      faults(LimitsFrom(options)),
+      failure_tracker(LimitsFrom(options)),
       fragmentation(cluster),
       reservation(options.max_reservation_delays) {}
 
@@ -39,7 +39,7 @@
   return found == jobs.end() ? nullptr : found->second.get();
 }
 
-int SchedulerState::ClassFor(const JobSpec& spec) {
+int SchedulerState::FindOrAddClass(const JobSpec& spec) {
   const std::string key =
       spec.account + '\n' + spec.event + '\n' + spec.shape.ToString() +
       (spec.priority == Priority::kUrgent ? "\nurgent" : "");
@@ -79,16 +79,16 @@
       PhaseChanged{job.spec.id, phase, reason, job.saved_progress});
   if (!IsFinal(phase)) return;
   final_jobs_.push_back(job.spec.id);
-  ForgetOldFinal();
+  DropOldFinalJobs();
 }
 
-void SchedulerState::ForgetOldFinal() {
-  if (final_jobs_.size() <= kFinalJobsKept) return;
+void SchedulerState::DropOldFinalJobs() {
+  if (final_jobs_.size() <= kMaxFinalJobs) return;
   const std::string oldest = std::move(final_jobs_.front());
   final_jobs_.pop_front();
   const JobRecord* job = FindJob(oldest);
   if (!job) return;
-  if (job->use) {
+  if (job->allocation) {
     final_jobs_.push_back(oldest);  // its last leases are not released yet
   } else {
     jobs.erase(oldest);
@@ -104,10 +104,10 @@
   planned.erase(job.spec.id);
 }
 
-void SchedulerState::ReleaseUse(JobRecord& job) {
-  if (!job.use) return;
-  witness.Release(*job.use);
-  job.use.reset();
+void SchedulerState::ReleaseAllocation(JobRecord& job) {
+  if (!job.allocation) return;
+  guarantee_placement.Release(*job.allocation);
+  job.allocation.reset();
 }
 
 const AccountGuarantee& SchedulerState::Account(const std::string& name) const {
@@ -124,12 +124,12 @@
 
 bool SchedulerState::IsBorrower(const Gang& gang) const {
   const JobRecord* job = FindJob(gang.job());
-  return !job || !job->use;
+  return !job || !job->allocation;
 }
 
-Duration SchedulerState::ExpectedRun(const JobRecord& job) const {
-  return estimator.Remaining(job.spec.account, job.spec.declared_run_time,
-                             job.saved_run_time);
+Duration SchedulerState::RemainingTimeOf(const JobRecord& job) const {
+  return estimator.RemainingRunTime(
+      job.spec.account, job.spec.declared_run_time, job.saved_run_time);
 }
 
 Time SchedulerState::ExpectedEnd(const Gang& gang, Time now) const {
@@ -141,25 +141,25 @@
   if (!job) return now;
   const Duration ran =
       gang.started_at ? now - *gang.started_at : Duration::zero();
-  return now + estimator.Remaining(job->spec.account,
-                                   job->spec.declared_run_time,
-                                   job->saved_run_time + ran);
+  return now + estimator.RemainingRunTime(job->spec.account,
+                                          job->spec.declared_run_time,
+                                          job->saved_run_time + ran);
 }
 
-Duration SchedulerState::Lead(const std::string& account) const {
+Duration SchedulerState::ReclaimLeadTime(const std::string& account) const {
   const double margin = 1 + options.checkpoint_margin;
   const Duration saving = std::chrono::duration_cast<Duration>(
       estimator.CheckpointTime(account) * margin);
   const Duration deadline = Account(account).checkpoint_deadline;
   // One that may hang is given up at the deadline.
-  const bool may_hang = estimator.HungShare(account) > 0;
+  const bool may_hang = estimator.HungCheckpointShare(account) > 0;
   return (may_hang ? deadline : std::min(saving, deadline)) + kStopAllowance;
 }
 
-Duration SchedulerState::LongestLead() const {
+Duration SchedulerState::LongestReclaimLeadTime() const {
   Duration longest = Duration::zero();
   for (const auto& [account, accelerators] : borrowed) {
-    if (accelerators > 0) longest = std::max(longest, Lead(account));
+    if (accelerators > 0) longest = std::max(longest, ReclaimLeadTime(account));
   }
   return longest;
 }
@@ -168,7 +168,7 @@
   if (!gang.started_at) return 0;
   const double saving = Seconds(estimator.CheckpointTime(gang.account()));
   const double ran = Seconds(now - *gang.started_at);
-  const double hung_share = estimator.HungShare(gang.account());
+  const double hung_share = estimator.HungCheckpointShare(gang.account());
   return gang.accelerators() * (saving + hung_share * ran);
 }
 
--- a/src/libs/scheduling/scheduler_state.h
+++ b/src/libs/scheduling/scheduler_state.h
@@ -12,10 +12,10 @@
 #include "base/time.h"
 #include "scheduling/cluster_model.h"
 #include "scheduling/event_calendar.h"
-#include "scheduling/fault_ledger.h"
+#include "scheduling/failure_tracker.h"
 #include "scheduling/fragmentation_score.h"
 #include "scheduling/gang_table.h"
-#include "scheduling/guarantee_witness.h"
+#include "scheduling/guarantee_placement.h"
 #include "scheduling/job_record.h"
 #include "scheduling/job_scheduler.h"
 #include "scheduling/large_job_reservation.h"
@@ -30,34 +30,34 @@
   JobRecord* FindJob(const std::string& id) const;
   JobClass& ClassOf(const JobRecord& job) { return classes[job.job_class]; }
   // The class of jobs like `spec`, made when new.
-  int ClassFor(const JobSpec& spec);
+  int FindOrAddClass(const JobSpec& spec);
   void AddWaiting(JobRecord& job);
   void RemoveWaiting(JobRecord& job);
   // Records the phase and tells the carrier.
   void SetPhase(JobRecord& job, JobPhase phase, const std::string& reason);
   void DropPlan(JobRecord& job);
-  void ReleaseUse(JobRecord& job);
+  void ReleaseAllocation(JobRecord& job);
 
   const AccountGuarantee& Account(const std::string& name) const;
   bool IsLarge(const Shape& shape) const;
   bool IsBorrower(const Gang& gang) const;
   // Run time still expected of a job that is not running.
-  Duration ExpectedRun(const JobRecord& job) const;
+  Duration RemainingTimeOf(const JobRecord& job) const;
   Time ExpectedEnd(const Gang& gang, Time now) const;
   // From the order to save a gang of the account until its accelerators are
   // free, with the margin.
-  Duration Lead(const std::string& account) const;
+  Duration ReclaimLeadTime(const std::string& account) const;
   // The longest of all accounts that borrow.
-  Duration LongestLead() const;
+  Duration LongestReclaimLeadTime() const;
   // In accelerator seconds.
   double WorkLost(const Gang& gang, Time now) const;
 
   const SchedulerOptions options;
   ClusterModel cluster;
   GangTable gangs;
-  GuaranteeWitness witness;
+  GuaranteePlacement guarantee_placement;
   RunTimeEstimator estimator;
-  FaultLedger faults;
+  FailureTracker failure_tracker;
   EventCalendar calendar;
   FragmentationScore fragmentation;
   LargeJobReservation reservation;
@@ -74,7 +74,7 @@
 
  private:
   // Final jobs beyond a bound are forgotten, the oldest first.
-  void ForgetOldFinal();
+  void DropOldFinalJobs();
 
   std::map<std::string, int> class_by_key_;
   std::deque<std::string> final_jobs_;
@@ -85,7 +85,7 @@
  public:
   virtual ~GangStopper() = default;
   // Saves the gang and stops it at its account's deadline at the latest.
-  virtual void CheckpointAndStop(Gang& gang, const std::string& why,
+  virtual void CheckpointAndStop(Gang& gang, const std::string& reason,
                                  Time now) = 0;
 };
 
--- a/src/libs/scheduling/victim_selection.cc
+++ b/src/libs/scheduling/victim_selection.cc
@@ -6,8 +6,8 @@
 namespace {
 
 // Needed accelerators that stopping the candidate would free.
-int Unblocks(const VictimCandidate& candidate,
-             const std::map<WorkerIndex, int>& needed) {
+int NeededAcceleratorsFreed(const VictimCandidate& candidate,
+                            const std::map<WorkerIndex, int>& needed) {
   int freed = 0;
   for (const auto& [worker, accelerators] : candidate.holds) {
     const auto need = needed.find(worker);
@@ -17,8 +17,8 @@
   return freed;
 }
 
-void Free(const VictimCandidate& candidate, int sign,
-          std::map<WorkerIndex, int>* needed) {
+void SubtractHeld(const VictimCandidate& candidate, int sign,
+                  std::map<WorkerIndex, int>* needed) {
   for (const auto& [worker, accelerators] : candidate.holds) {
     const auto need = needed->find(worker);
     if (need != needed->end()) need->second -= sign * accelerators;
@@ -31,7 +31,7 @@
   const VictimCandidate* best = nullptr;
   double best_cost = 0;
   for (const VictimCandidate* candidate : candidates) {
-    const int freed = Unblocks(*candidate, needed);
+    const int freed = NeededAcceleratorsFreed(*candidate, needed);
     if (freed == 0) continue;
     const double cost = candidate->work_lost / freed;
     if (best && cost >= best_cost) continue;
@@ -42,8 +42,8 @@
 }
 
 // Whether `victim` can stay although all the others of the choice leave.
-bool IsNeedless(const VictimCandidate& victim,
-                const std::map<WorkerIndex, int>& left) {
+bool IsRedundant(const VictimCandidate& victim,
+                 const std::map<WorkerIndex, int>& left) {
   return std::all_of(
       victim.holds.begin(), victim.holds.end(), [&left](const auto& hold) {
         const auto need = left.find(hold.first);
@@ -59,12 +59,13 @@
   std::map<WorkerIndex, int> left = needed;
   std::vector<const VictimCandidate*> open;
   for (const VictimCandidate& candidate : candidates) {
-    if (Unblocks(candidate, left) > 0) open.push_back(&candidate);
+    if (NeededAcceleratorsFreed(candidate, left) > 0)
+      open.push_back(&candidate);
   }
   std::vector<const VictimCandidate*> chosen;
   while (const VictimCandidate* best = BestVictim(left, open)) {
     chosen.push_back(best);
-    Free(*best, 1, &left);
+    SubtractHeld(*best, 1, &left);
     open.erase(std::find(open.begin(), open.end(), best));
   }
   std::vector<std::string> victims;
@@ -73,8 +74,8 @@
     return a->work_lost > b->work_lost;
   });
   for (const VictimCandidate* victim : chosen) {
-    if (IsNeedless(*victim, left)) {
-      Free(*victim, -1, &left);
+    if (IsRedundant(*victim, left)) {
+      SubtractHeld(*victim, -1, &left);
     } else {
       victims.push_back(victim->gang_id);
     }
--- a/src/libs/state/coordinator_election.cc
+++ b/src/libs/state/coordinator_election.cc
@@ -17,22 +17,22 @@
 
 void CoordinatorElection::SetEpoch(const CoordinatorEpoch& epoch, Time now) {
   if (epoch.number != epoch_.number) {
-    epoch_since_ = now;
+    epoch_began_at_ = now;
     claimed_at_.reset();
     vacant_since_.reset();
   }
   epoch_ = epoch;
-  NoteVacancy(now);
+  UpdateVacancy(now);
 }
 
 void CoordinatorElection::SetLiveEntries(const std::set<std::string>& names,
                                          Time now) {
   live_ = names;
-  NoteVacancy(now);
+  UpdateVacancy(now);
 }
 
 std::optional<int64_t> CoordinatorElection::ClaimIfDue(Time now) {
-  NoteVacancy(now);
+  UpdateVacancy(now);
   const std::optional<Time> due = NextWake();
   if (!due || now < *due) return std::nullopt;
   claimed_at_ = now;
@@ -44,20 +44,20 @@
   Time due =
       *vacant_since_ + settings_.vacancy_delay + Rank() * settings_.rank_delay;
   if (claimed_at_) due = std::max(due, *claimed_at_ + settings_.claim_interval);
-  if (epoch_since_ && !epoch_.resigned) {
-    due = std::max(due, *epoch_since_ + settings_.min_tenure);
+  if (epoch_began_at_ && !epoch_.resigned) {
+    due = std::max(due, *epoch_began_at_ + settings_.min_tenure);
   }
   return due;
 }
 
-bool CoordinatorElection::Vacant() const {
+bool CoordinatorElection::IsVacant() const {
   if (epoch_.number == 0 || epoch_.resigned) return true;
   if (epoch_.holder == name_) return epoch_.incarnation != incarnation_;
   return live_.count(epoch_.holder) == 0;
 }
 
-void CoordinatorElection::NoteVacancy(Time now) {
-  if (!Vacant()) {
+void CoordinatorElection::UpdateVacancy(Time now) {
+  if (!IsVacant()) {
     vacant_since_.reset();
     return;
   }
--- a/src/libs/state/coordinator_election.h
+++ b/src/libs/state/coordinator_election.h
@@ -44,8 +44,8 @@
   std::optional<Time> NextWake() const;
 
  private:
-  bool Vacant() const;
-  void NoteVacancy(Time now);
+  bool IsVacant() const;
+  void UpdateVacancy(Time now);
   // Place of this entry among the live ones for the next epoch; the order
   // differs by epoch, so that an entry that claims in vain is not always first.
   int Rank() const;
@@ -55,9 +55,9 @@
   const ElectionSettings settings_;
   CoordinatorEpoch epoch_;
   std::set<std::string> live_;
-  // Set exactly while Vacant().
+  // Set exactly while IsVacant().
   std::optional<Time> vacant_since_;
-  std::optional<Time> epoch_since_;
+  std::optional<Time> epoch_began_at_;
   std::optional<Time> claimed_at_;
 };
 
--- a/src/libs/state/job_records.cc
+++ b/src/libs/state/job_records.cc
@@ -19,11 +19,11 @@
 // Leaves room for what wraps a task in the records and frames that carry it.
 constexpr int kMaxTaskDepth = 16;
 
-std::string Text(const Json& data, std::string_view name) {
+std::string TextOrEmpty(const Json& data, std::string_view name) {
   return StringField(data, name).value_or("");
 }
 
-int64_t Number(const Json& data, std::string_view name) {
+int64_t NumberOrZero(const Json& data, std::string_view name) {
   return IntField(data, name).value_or(0);
 }
 
@@ -176,35 +176,38 @@
 }
 
 std::optional<JobStreamRecord> DecodePlaced(const Json& data) {
-  return PlacedRecord{Number(data, "epoch"), Number(data, "revision"),
-                      Text(data, "job_id"), Text(data, "gang_id"),
+  return PlacedRecord{NumberOrZero(data, "epoch"),
+                      NumberOrZero(data, "revision"),
+                      TextOrEmpty(data, "job_id"), TextOrEmpty(data, "gang_id"),
                       DecodeMembers(ArrayField(data, "members"))};
 }
 
 std::optional<JobStreamRecord> DecodePhase(const Json& data) {
-  const std::optional<JobPhase> phase = JobPhaseFromName(Text(data, "phase"));
+  const std::optional<JobPhase> phase =
+      JobPhaseFromName(TextOrEmpty(data, "phase"));
   if (!phase) return std::nullopt;
-  return PhaseRecord{Number(data, "epoch"), Number(data, "revision"),
-                     Text(data, "job_id"),  *phase,
-                     Text(data, "reason"),  DecodeProgress(data)};
+  return PhaseRecord{
+      NumberOrZero(data, "epoch"), NumberOrZero(data, "revision"),
+      TextOrEmpty(data, "job_id"), *phase,
+      TextOrEmpty(data, "reason"), DecodeProgress(data)};
 }
 
 std::optional<JobStreamRecord> DecodeSnapshotPart(const Json& data) {
   const Json* content = ObjectField(data, "content");
-  const int64_t part = Number(data, "part");
-  const int64_t parts = Number(data, "parts");
+  const int64_t part = NumberOrZero(data, "part");
+  const int64_t parts = NumberOrZero(data, "parts");
   if (content == nullptr || part < 0 || part >= parts) return std::nullopt;
   if (parts > std::numeric_limits<int>::max()) return std::nullopt;
-  return SnapshotPartRecord{Text(data, "snapshot_id"), static_cast<int>(part),
-                            static_cast<int>(parts), Number(data, "covers"),
-                            *content};
+  return SnapshotPartRecord{TextOrEmpty(data, "snapshot_id"),
+                            static_cast<int>(part), static_cast<int>(parts),
+                            NumberOrZero(data, "covers"), *content};
 }
 
 }  // namespace
 
 Milliseconds DecodeProgress(const Json& data) {
-  return Milliseconds(
-      std::clamp<int64_t>(Number(data, "progress_ms"), 0, kMaxProgressMs));
+  return Milliseconds(std::clamp<int64_t>(NumberOrZero(data, "progress_ms"), 0,
+                                          kMaxProgressMs));
 }
 
 Json EncodeJobRecord(const JobStreamRecord& record) {
@@ -212,20 +215,23 @@
 }
 
 std::optional<JobStreamRecord> DecodeJobRecord(const Json& data) {
-  const std::string type = Text(data, "type");
+  const std::string type = TextOrEmpty(data, "type");
   if (type == "submitted") return DecodeSubmitted(data);
   if (type == "cancelled") {
-    return CancelledRecord{Text(data, "job_id"), Text(data, "by")};
+    return CancelledRecord{TextOrEmpty(data, "job_id"),
+                           TextOrEmpty(data, "by")};
   }
   if (type == "placed") return DecodePlaced(data);
   if (type == "phase") return DecodePhase(data);
   if (type == "epoch") {
-    return EpochRecord{Number(data, "number"), Text(data, "holder"),
-                       Text(data, "incarnation")};
+    return EpochRecord{NumberOrZero(data, "number"),
+                       TextOrEmpty(data, "holder"),
+                       TextOrEmpty(data, "incarnation")};
   }
   if (type == "resign") {
-    return ResignRecord{Number(data, "epoch"), Text(data, "holder"),
-                        Text(data, "incarnation")};
+    return ResignRecord{NumberOrZero(data, "epoch"),
+                        TextOrEmpty(data, "holder"),
+                        TextOrEmpty(data, "incarnation")};
   }
   if (type == "snapshot") return DecodeSnapshotPart(data);
   return std::nullopt;
@@ -281,8 +287,9 @@
   if (array == nullptr) return members;
   members.reserve(array->size());
   for (const Json& item : *array) {
-    members.push_back({Text(item, "worker"), Text(item, "lease_id"),
-                       static_cast<int>(Number(item, "accelerators"))});
+    members.push_back({TextOrEmpty(item, "worker"),
+                       TextOrEmpty(item, "lease_id"),
+                       static_cast<int>(NumberOrZero(item, "accelerators"))});
   }
   return members;
 }
--- a/src/libs/state/job_snapshot.cc
+++ b/src/libs/state/job_snapshot.cc
@@ -59,7 +59,7 @@
 Json EncodeHead(const JobTable& jobs, const EpochTable& epochs) {
   const CoordinatorEpoch& epoch = epochs.current();
   Json forgotten = Json::array();
-  for (const std::string& id : jobs.forgotten()) forgotten.push_back(id);
+  for (const std::string& id : jobs.refused_ids()) forgotten.push_back(id);
   return {{"epoch", epoch.number},
           {"holder", epoch.holder},
           {"incarnation", epoch.incarnation},
@@ -77,7 +77,7 @@
   const Json* forgotten = ArrayField(head, "forgotten");
   if (forgotten == nullptr) return;
   for (const Json& id : *forgotten) {
-    if (id.is_string()) jobs->RestoreForgotten(id.get<std::string>());
+    if (id.is_string()) jobs->RestoreRefusedId(id.get<std::string>());
   }
 }
 
--- a/src/libs/state/job_stream_fold.cc
+++ b/src/libs/state/job_stream_fold.cc
@@ -21,13 +21,13 @@
 FoldChange JobStreamFold::Fold(const LogRecord& record) {
   if (record.offset < next_offset_) return {};
   next_offset_ = record.offset + 1;
-  if (!NoteId(record.id)) return {};
+  if (!RememberId(record.id)) return {};
   const std::optional<JobStreamRecord> typed = DecodeJobRecord(record.data);
   if (typed && std::holds_alternative<SnapshotPartRecord>(*typed)) {
-    return SeePart(std::get<SnapshotPartRecord>(*typed));
+    return AddSnapshotPart(std::get<SnapshotPartRecord>(*typed));
   }
   if (!complete_) {
-    kept_.push_back(record);
+    pending_records_.push_back(record);
     return {};
   }
   if (!typed) return {};
@@ -37,8 +37,8 @@
 void JobStreamFold::SkipLostRecords(int64_t first_kept) {
   if (first_kept <= next_offset_) return;
   complete_ = false;
-  kept_.clear();
-  kept_from_ = first_kept;
+  pending_records_.clear();
+  pending_from_ = first_kept;
   next_offset_ = first_kept;
   collector_.Clear();
 }
@@ -47,8 +47,8 @@
   if (parts.empty()) return false;
   const int64_t covers = parts.front().covers;
   if (complete_ && covers <= next_offset_) return false;
-  if (!complete_ && covers < kept_from_) return false;
-  if (!Install(parts)) return false;
+  if (!complete_ && covers < pending_from_) return false;
+  if (!InstallSnapshot(parts)) return false;
   next_offset_ = std::max(next_offset_, covers);
   return true;
 }
@@ -60,7 +60,7 @@
                          jobs_per_part);
 }
 
-bool JobStreamFold::NoteId(const std::string& id) {
+bool JobStreamFold::RememberId(const std::string& id) {
   if (!ids_.insert(id).second) return false;
   id_order_.push_back(id);
   if (id_order_.size() > kMaxRememberedIds) {
@@ -102,20 +102,21 @@
   return {};
 }
 
-FoldChange JobStreamFold::SeePart(const SnapshotPartRecord& part) {
+FoldChange JobStreamFold::AddSnapshotPart(const SnapshotPartRecord& part) {
   const auto whole = collector_.Add(part);
   if (!whole) return {};
   if (complete_) {
     newest_snapshot_end_ = std::max(newest_snapshot_end_, part.covers);
     return {};
   }
-  if (part.covers < kept_from_) return {};
-  if (!Install(*whole)) return {};
+  if (part.covers < pending_from_) return {};
+  if (!InstallSnapshot(*whole)) return {};
   newest_snapshot_end_ = std::max(newest_snapshot_end_, part.covers);
   return {Kind::kRestored, ""};
 }
 
-bool JobStreamFold::Install(const std::vector<SnapshotPartRecord>& parts) {
+bool JobStreamFold::InstallSnapshot(
+    const std::vector<SnapshotPartRecord>& parts) {
   JobTable jobs(retention_);
   EpochTable epochs;
   if (!RestoreJobSnapshot(parts, &jobs, &epochs)) return false;
@@ -123,8 +124,8 @@
   epochs_ = epochs;
   complete_ = true;
   const int64_t covers = parts.front().covers;
-  const std::vector<LogRecord> tail = std::move(kept_);
-  kept_.clear();
+  const std::vector<LogRecord> tail = std::move(pending_records_);
+  pending_records_.clear();
   for (const LogRecord& record : tail) {
     if (record.offset < covers) continue;
     const std::optional<JobStreamRecord> typed = DecodeJobRecord(record.data);
--- a/src/libs/state/job_stream_fold.h
+++ b/src/libs/state/job_stream_fold.h
@@ -72,10 +72,10 @@
 
  private:
   // False when the id was seen already.
-  bool NoteId(const std::string& id);
+  bool RememberId(const std::string& id);
   FoldChange Apply(const LogRecord& record, const JobStreamRecord& typed);
-  FoldChange SeePart(const SnapshotPartRecord& part);
-  bool Install(const std::vector<SnapshotPartRecord>& parts);
+  FoldChange AddSnapshotPart(const SnapshotPartRecord& part);
+  bool InstallSnapshot(const std::vector<SnapshotPartRecord>& parts);
 
   JobRetention retention_;
   JobTable jobs_;
@@ -89,9 +89,9 @@
   bool complete_ = true;
   int64_t next_offset_ = 0;
   int64_t newest_snapshot_end_ = 0;
-  // While not complete_: every record from kept_from_ to next_offset_.
-  std::vector<LogRecord> kept_;
-  int64_t kept_from_ = 0;
+  // While not complete_: every record from pending_from_ to next_offset_.
+  std::vector<LogRecord> pending_records_;
+  int64_t pending_from_ = 0;
 };
 
 }  // namespace thornplank
--- a/src/libs/state/job_table.cc
+++ b/src/libs/state/job_table.cc
@@ -8,7 +8,7 @@
 
 bool JobTable::Submit(const SubmittedRecord& record, int64_t offset,
                       WallTime time) {
-  DropOld(time);
+  DropOldJobs(time);
   const std::string& id = record.job.spec.id;
   if (IsKnown(id)) return false;
   JobEntry entry;
@@ -20,20 +20,20 @@
 }
 
 bool JobTable::Cancel(const CancelledRecord& record, WallTime time) {
-  DropOld(time);
+  DropOldJobs(time);
   const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) {
-    Forget(record.job);
+    RefuseId(record.job);
     return false;
   }
   if (IsFinal(found->second.phase)) return false;
-  End(&found->second, JobPhase::kCancelled,
-      record.by.empty() ? "cancelled" : "cancelled by " + record.by, time);
+  EndJob(&found->second, JobPhase::kCancelled,
+         record.by.empty() ? "cancelled" : "cancelled by " + record.by, time);
   return true;
 }
 
 bool JobTable::Place(const PlacedRecord& record, WallTime time) {
-  DropOld(time);
+  DropOldJobs(time);
   JobEntry* entry = FindOpen(record.job, record.revision);
   if (entry == nullptr) return false;
   entry->revision = record.revision;
@@ -47,13 +47,13 @@
 }
 
 bool JobTable::ChangePhase(const PhaseRecord& record, WallTime time) {
-  DropOld(time);
+  DropOldJobs(time);
   JobEntry* entry = FindOpen(record.job, record.revision);
   if (entry == nullptr) return false;
   entry->revision = record.revision;
   entry->progress = std::max(entry->progress, record.progress);
   if (IsFinal(record.phase)) {
-    End(entry, record.phase, record.reason, time);
+    EndJob(entry, record.phase, record.reason, time);
     return true;
   }
   entry->phase = record.phase;
@@ -75,7 +75,7 @@
 }
 
 bool JobTable::IsKnown(const std::string& id) const {
-  return jobs_.count(id) > 0 || forgotten_.count(id) > 0;
+  return jobs_.count(id) > 0 || refused_ids_.count(id) > 0;
 }
 
 void JobTable::Restore(JobEntry entry) {
@@ -84,7 +84,7 @@
   jobs_[id] = std::move(entry);
 }
 
-void JobTable::RestoreForgotten(const std::string& id) { Forget(id); }
+void JobTable::RestoreRefusedId(const std::string& id) { RefuseId(id); }
 
 JobEntry* JobTable::FindOpen(const std::string& id, int64_t revision) {
   const auto found = jobs_.find(id);
@@ -94,18 +94,18 @@
   return revision > entry.revision ? &entry : nullptr;
 }
 
-void JobTable::End(JobEntry* entry, JobPhase phase, const std::string& reason,
-                   WallTime time) {
+void JobTable::EndJob(JobEntry* entry, JobPhase phase,
+                      const std::string& reason, WallTime time) {
   entry->phase = phase;
   entry->reason = reason;
   entry->gang_id.clear();
   entry->members.clear();
   entry->ended_at = time;
   final_order_.push_back(entry->request.spec.id);
-  DropOld(time);
+  DropOldJobs(time);
 }
 
-void JobTable::DropOld(WallTime now) {
+void JobTable::DropOldJobs(WallTime now) {
   while (!final_order_.empty()) {
     const std::string id = final_order_.front();
     const WallTime ended_at = jobs_.at(id).ended_at.value_or(now);
@@ -113,16 +113,16 @@
     if (!too_many && now - ended_at <= retention_.max_final_age) return;
     final_order_.pop_front();
     jobs_.erase(id);
-    Forget(id);
+    RefuseId(id);
   }
 }
 
-void JobTable::Forget(const std::string& id) {
-  if (!forgotten_.insert(id).second) return;
-  forgotten_order_.push_back(id);
-  while (forgotten_order_.size() > retention_.max_forgotten_ids) {
-    forgotten_.erase(forgotten_order_.front());
-    forgotten_order_.pop_front();
+void JobTable::RefuseId(const std::string& id) {
+  if (!refused_ids_.insert(id).second) return;
+  refused_order_.push_back(id);
+  while (refused_order_.size() > retention_.max_refused_ids) {
+    refused_ids_.erase(refused_order_.front());
+    refused_order_.pop_front();
   }
 }
 
--- a/src/libs/state/job_table.h
+++ b/src/libs/state/job_table.h
@@ -46,7 +46,7 @@
   size_t max_final_jobs = 10000;
   Milliseconds max_final_age{24 * 3600 * 1000};
   // Ids of dropped jobs that are refused as repeats after that.
-  size_t max_forgotten_ids = 20000;
+  size_t max_refused_ids = 20000;
 };
 
 class JobTable {
@@ -71,18 +71,18 @@
   // For snapshots: final jobs in the order in which they ended, and dropped
   // ids from the oldest on.
   const std::deque<std::string>& final_order() const { return final_order_; }
-  const std::deque<std::string>& forgotten() const { return forgotten_order_; }
+  const std::deque<std::string>& refused_ids() const { return refused_order_; }
   // Adds an entry of a snapshot; final ones in the order of their end.
   void Restore(JobEntry entry);
-  void RestoreForgotten(const std::string& id);
+  void RestoreRefusedId(const std::string& id);
 
  private:
   JobEntry* FindOpen(const std::string& id, int64_t revision);
-  void End(JobEntry* entry, JobPhase phase, const std::string& reason,
-           WallTime time);
+  void EndJob(JobEntry* entry, JobPhase phase, const std::string& reason,
+              WallTime time);
   // Drops final jobs beyond the bounds; `now` is the time of a record.
-  void DropOld(WallTime now);
-  void Forget(const std::string& id);
+  void DropOldJobs(WallTime now);
+  void RefuseId(const std::string& id);
 
   JobRetention retention_;
   std::map<std::string, JobEntry> jobs_;
@@ -90,8 +90,8 @@
   std::deque<std::string> final_order_;
   // Ids that are refused though not in jobs_, oldest first; the set holds the
   // same ids.
-  std::deque<std::string> forgotten_order_;
-  std::set<std::string> forgotten_;
+  std::deque<std::string> refused_order_;
+  std::set<std::string> refused_ids_;
 };
 
 }  // namespace thornplank
--- a/tests/auto/scheduling/tst_guarantees.cc
+++ b/tests/auto/scheduling/tst_guarantees.cc
@@ -1,7 +1,7 @@
 // Guarantees: which fit together, how they are called back, what is reported.
 #include <doctest/doctest.h>
 
-#include "scheduling/guarantee_witness.h"
+#include "scheduling/guarantee_placement.h"
 #include "scheduling/victim_selection.h"
 #include "scheduling_fixtures.h"
 #include "virtual_cluster.h"
@@ -149,7 +149,7 @@
     const SchedulerActions lost = scheduler.WorkerLost(worker, At(15), At(1));
     CHECK(Only<ReportShortfall>(lost).empty());
   }
-  CHECK(scheduler.witness().IsWhole());
+  CHECK(scheduler.guarantee_placement().IsComplete());
 }
 
 // With too few workers for all, who has a place keeps it.
@@ -160,7 +160,7 @@
       {Account("a", {{kRackPair, 1}, {{2, 2, Adjacency::kAnywhere}, 2}}),
        Account("b", {{kWhole, 2}}), strict});
   const auto missing = [&cluster](const std::string& account) {
-    return cluster.scheduler().witness().Shortfall({account, ""});
+    return cluster.scheduler().guarantee_placement().Shortfall({account, ""});
   };
   cluster.LoseOrReturn(6);
   cluster.Submit(Job("j0", "b", kRackPair));
--- a/tests/auto/scheduling/tst_large_jobs_and_events.cc
+++ b/tests/auto/scheduling/tst_large_jobs_and_events.cc
@@ -2,7 +2,7 @@
 // faulty jobs.
 #include <doctest/doctest.h>
 
-#include "scheduling/fault_ledger.h"
+#include "scheduling/failure_tracker.h"
 #include "scheduling/run_time_estimator.h"
 #include "scheduling_fixtures.h"
 
@@ -160,44 +160,45 @@
 }
 
 TEST_CASE("blame falls on the worker or on the job, by crossing evidence") {
-  FaultLedger ledger{FaultLimits()};
+  FailureTracker tracker{FailureLimits()};
   constexpr int kWorkers = 50;
   SUBCASE("many jobs fail on one worker") {
-    CHECK_FALSE(ledger.Failed("j1", 0, kWorkers, At(0)));
-    CHECK_FALSE(ledger.Failed("j2", 0, kWorkers, At(0)));
-    CHECK(ledger.Failed("j3", 0, kWorkers, At(0)));
-    CHECK_FALSE(ledger.IsBadJob("j3"));
-    CHECK_FALSE(ledger.IsProbeDue(0, At(59)));
-    CHECK(ledger.IsProbeDue(0, At(60)));
-    ledger.ProbeStarted(0);
+    CHECK_FALSE(tracker.RecordFailure("j1", 0, kWorkers, At(0)));
+    CHECK_FALSE(tracker.RecordFailure("j2", 0, kWorkers, At(0)));
+    CHECK(tracker.RecordFailure("j3", 0, kWorkers, At(0)));
+    CHECK_FALSE(tracker.IsBadJob("j3"));
+    CHECK_FALSE(tracker.IsProbeDue(0, At(59)));
+    CHECK(tracker.IsProbeDue(0, At(60)));
+    tracker.StartProbe(0);
     SUBCASE("the probe fails") {
-      CHECK(ledger.Failed("j4", 0, kWorkers, At(61)));
-      CHECK_FALSE(ledger.IsProbeDue(0, At(180)));
-      CHECK(ledger.IsProbeDue(0, At(181)));
+      CHECK(tracker.RecordFailure("j4", 0, kWorkers, At(61)));
+      CHECK_FALSE(tracker.IsProbeDue(0, At(180)));
+      CHECK(tracker.IsProbeDue(0, At(181)));
     }
     SUBCASE("the probe goes well") {
-      CHECK(ledger.Succeeded("j4", 0));
-      CHECK(ledger.quarantined().empty());
+      CHECK(tracker.RecordSuccess("j4", 0));
+      CHECK(tracker.quarantined().empty());
     }
   }
   SUBCASE("one job fails on many workers") {
     for (int worker = 0; worker < 3; ++worker) {
-      CHECK_FALSE(ledger.Failed("bad", worker, kWorkers, At(0)));
+      CHECK_FALSE(tracker.RecordFailure("bad", worker, kWorkers, At(0)));
     }
-    CHECK(ledger.IsBadJob("bad"));
-    ledger.Forget("bad");
+    CHECK(tracker.IsBadJob("bad"));
+    tracker.ForgetJob("bad");
     // Its failures count against no worker any more.
-    CHECK_FALSE(ledger.Failed("j1", 0, kWorkers, At(0)));
-    CHECK_FALSE(ledger.Failed("j2", 0, kWorkers, At(0)));
-    CHECK(ledger.quarantined().empty());
+    CHECK_FALSE(tracker.RecordFailure("j1", 0, kWorkers, At(0)));
+    CHECK_FALSE(tracker.RecordFailure("j2", 0, kWorkers, At(0)));
+    CHECK(tracker.quarantined().empty());
   }
   SUBCASE("never more than the set share") {
     for (int worker = 0; worker < 10; ++worker) {
       for (const char* job : {"j1", "j2", "j3", "j4"}) {
-        ledger.Failed(job + std::to_string(worker), worker, kWorkers, At(0));
+        tracker.RecordFailure(job + std::to_string(worker), worker, kWorkers,
+                              At(0));
       }
     }
-    CHECK(ledger.quarantined().size() == 5);
+    CHECK(tracker.quarantined().size() == 5);
   }
 }
 
@@ -230,13 +231,14 @@
 TEST_CASE("declared run times are corrected per account") {
   RunTimeEstimator estimator(seconds(10));
   for (int i = 0; i < 20; ++i) {
-    estimator.Finished("a", seconds(10), seconds(40));
+    estimator.RecordRunTime("a", seconds(10), seconds(40));
   }
-  CHECK(estimator.factor("a") == doctest::Approx(4));
-  CHECK(estimator.factor("b") == doctest::Approx(1));
-  CHECK(estimator.Expect("a", seconds(20)) > seconds(79));
+  CHECK(estimator.correction_factor("a") == doctest::Approx(4));
+  CHECK(estimator.correction_factor("b") == doctest::Approx(1));
+  CHECK(estimator.ExpectedRunTime("a", seconds(20)) > seconds(79));
   // An overrunning job is never expected to end at once.
-  CHECK(estimator.Remaining("b", seconds(10), seconds(100)) >= seconds(10));
+  CHECK(estimator.RemainingRunTime("b", seconds(10), seconds(100)) >=
+        seconds(10));
 }
 
 }  // namespace
--- a/tests/auto/scheduling/virtual_cluster.cc
+++ b/tests/auto/scheduling/virtual_cluster.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "scheduling/guarantee_witness.h"
+#include "scheduling/guarantee_placement.h"
 
 namespace thornplank::testing {
 namespace {
@@ -299,7 +299,7 @@
 std::string VirtualCluster::Check() const {
   if (!fault_.empty()) return fault_;
   const std::string leases = CheckLeases();
-  return leases.empty() ? CheckWitness() : leases;
+  return leases.empty() ? CheckGuaranteePlacement() : leases;
 }
 
 std::string VirtualCluster::CheckLeases() const {
@@ -329,7 +329,7 @@
 }
 
 // Checks the placement of the cells itself, not how it was found.
-std::string VirtualCluster::CheckWitness() const {
+std::string VirtualCluster::CheckGuaranteePlacement() const {
   const std::vector<std::string> quarantined =
       scheduler_->quarantined_workers();
   std::map<std::string, int> used;
@@ -341,7 +341,7 @@
           rack ? shape.count : shape.count * shape.shape.members;
     }
   }
-  for (const Cell& cell : scheduler_->witness().cells()) {
+  for (const Cell& cell : scheduler_->guarantee_placement().cells()) {
     if (cell.retired || !cell.placed) continue;
     std::set<std::string> racks;
     bool usable = true;
@@ -361,7 +361,7 @@
   }
   for (const auto& [name, accelerators] : used) {
     if (accelerators > workers_.at(name).info.accelerators) {
-      return "the witness needs more than " + name + " has";
+      return "the cells need more than " + name + " has";
     }
   }
   for (const auto& [account, counts] : declared_and_placed) {
--- a/tests/auto/scheduling/virtual_cluster.h
+++ b/tests/auto/scheduling/virtual_cluster.h
@@ -82,7 +82,7 @@
   bool IsUsable(const std::string& worker) const;
   std::vector<std::string> RunningGangs() const;
   std::string CheckLeases() const;
-  std::string CheckWitness() const;
+  std::string CheckGuaranteePlacement() const;
 
   std::vector<AccountGuarantee> accounts_;
   std::vector<std::string> names_;
