--- a/src/libs/coordination/metered_worker_calls.cc
+++ b/src/libs/coordination/metered_worker_calls.cc
@@ -1,4 +1,4 @@
-// thornplank_worker_calls_total and thornplank_worker_call_seconds.
+// Reports thornplank_worker_calls_total and thornplank_worker_call_seconds.
 #include "coordination/metered_worker_calls.h"
 
 #include <utility>
@@ -32,11 +32,11 @@
       return "accepted";
     case CallOutcome::kFenced:
       return "fenced";
-    case CallOutcome::kOtherLife:
+    case CallOutcome::kOtherIncarnation:
       return "other_life";
     case CallOutcome::kRefused:
       return "refused";
-    case CallOutcome::kNobodyThere:
+    case CallOutcome::kConnectionRefused:
     case CallOutcome::kNoAnswer:
       return "no_answer";
   }
@@ -73,21 +73,22 @@
               });
 }
 
-void MeteredWorkerCalls::Pace(
+void MeteredWorkerCalls::SetPace(
     const WorkerAddress& worker, const PaceOrder& order, Milliseconds timeout,
     std::function<void(CallOutcome, const Error&)> done) {
-  calls_.Pace(worker, order, timeout,
-              [this, begun = Now(), done = std::move(done)](
-                  CallOutcome outcome, const Error& error) {
-                meter_.Note("pace", ToLabel(outcome), begun);
-                done(outcome, error);
-              });
+  calls_.SetPace(worker, order, timeout,
+                 [this, begun = Now(), done = std::move(done)](
+                     CallOutcome outcome, const Error& error) {
+                   meter_.Note("pace", ToLabel(outcome), begun);
+                   done(outcome, error);
+                 });
 }
 
 void MeteredWorkerCalls::Status(const WorkerAddress& worker,
                                 const StatusQuery& query, Milliseconds timeout,
                                 std::function<void(const StatusAnswer&)> done) {
-  // A report that may wait for an end is long because nothing happens.
+  // The duration of a long poll says nothing about the worker, so it is counted
+  // as another kind of call.
   const char* call = query.wait.count() > 0 ? "follow" : "report";
   calls_.Status(worker, query, timeout,
                 [this, call, begun = Now(),
--- a/src/libs/coordination/record_tail.cc
+++ b/src/libs/coordination/record_tail.cc
@@ -1,4 +1,4 @@
-// Pages through the newest records, then long-polls.
+// Snapshot by pages, then long polls.
 #include "coordination/record_tail.h"
 
 #include <algorithm>
@@ -27,141 +27,147 @@
   }
 
   void CatchUp(Milliseconds timeout, std::function<void(bool)> done) {
-    if (!started_ || stopped_) return done(false);
-    const BootTime begun = BootClock::now();
-    store_.Read(settings_.partition, next_, Milliseconds(0), timeout,
-                [self = shared_from_this(), begun,
+    if (!has_snapshot_ || stopped_) return done(false);
+    const BootTime started = BootClock::now();
+    store_.Read(settings_.partition, next_offset_, Milliseconds(0), timeout,
+                [self = shared_from_this(), started,
                  done = std::move(done)](const ReadResult& result) {
                   if (self->stopped_) return done(false);
                   const bool read = result.outcome == ReadOutcome::kRead;
-                  if (read) self->Take(result, begun);
-                  done(read && self->next_ >= result.end);
+                  if (read) self->HandleRecords(result, started);
+                  done(read && self->next_offset_ >= result.end);
                 });
   }
 
-  void Wake(Milliseconds timeout) {
-    if (lost_) CatchUp(timeout, [](bool) {});
+  void RetryIfLost(Milliseconds timeout) {
+    if (last_read_failed_) CatchUp(timeout, [](bool) {});
   }
 
-  bool started() const { return started_; }
-  int64_t next() const { return next_; }
+  bool has_snapshot() const { return has_snapshot_; }
+  int64_t next_offset() const { return next_offset_; }
   BootTime as_of() const { return as_of_; }
   Duration latency() const { return latency_; }
-  void set_pace(Milliseconds pace) { settings_.pace = pace; }
-  void set_longest_retry(Milliseconds longest) {
-    settings_.longest_retry = longest;
+  void set_min_read_interval(Milliseconds interval) {
+    settings_.min_read_interval = interval;
+  }
+  void set_max_retry_delay(Milliseconds longest) {
+    settings_.max_retry_delay = longest;
   }
 
  private:
   void BeginSnapshot() {
     snapshot_keys_.clear();
     snapshot_end_.reset();
-    snapshot_begun_ = BootClock::now();
-    NextPage("");
+    snapshot_started_ = BootClock::now();
+    ReadPage("");
   }
 
-  void NextPage(const std::string& after_key) {
-    store_.Newest(settings_.partition, after_key,
-                  settings_.wait + settings_.patience,
-                  [self = shared_from_this()](const NewestPage& page) {
-                    if (!self->stopped_) self->OnPage(page);
-                  });
+  void ReadPage(const std::string& after_key) {
+    store_.ReadNewest(settings_.partition, after_key,
+                      settings_.long_poll_wait + settings_.response_timeout,
+                      [self = shared_from_this()](const NewestPage& page) {
+                        if (!self->stopped_) self->OnPage(page);
+                      });
   }
 
   void OnPage(const NewestPage& page) {
     if (!page.ok) {
       handlers_.on_failure(page.error);
-      return After(NextRetry(), [this] { BeginSnapshot(); });
+      return RunAfter(NextRetryDelay(), [this] { BeginSnapshot(); });
     }
-    // Pages are no snapshot: what came behind the first end is read again.
+    // The pages are read one after the other and are not consistent with each
+    // other, so records after the end that the first page reported are read
+    // again.
     if (!snapshot_end_) snapshot_end_ = page.end;
     for (const KeyedRecord& record : page.records) {
       snapshot_keys_.insert(record.key);
       handlers_.on_record(record);
     }
     if (page.has_more && !page.records.empty()) {
-      return NextPage(page.records.back().key);
+      return ReadPage(page.records.back().key);
     }
-    next_ = *snapshot_end_;
-    as_of_ = std::max(as_of_, snapshot_begun_);
-    started_ = true;
-    lost_ = false;
+    next_offset_ = *snapshot_end_;
+    as_of_ = std::max(as_of_, snapshot_started_);
+    has_snapshot_ = true;
+    last_read_failed_ = false;
     handlers_.on_snapshot(snapshot_keys_);
-    handlers_.on_current();
+    handlers_.on_caught_up();
     Poll();
   }
 
-  // One read: how long it waits for a record, and when it began.
-  struct PollBegin {
+  // How long a read waits for a record, and when it began on both clocks.
+  struct PollStart {
     Milliseconds wait{0};
     BootTime boot{};
     Time steady{};
   };
 
-  // After a failure a read does not wait: what is asked is whether the store is
-  // back, and an idle stream would tell only a whole wait later.
+  // After a failure a read does not wait for a record: it checks whether the
+  // store answers again, which an idle stream would show only after the whole
+  // wait.
   void Poll() {
-    const PollBegin begin{lost_ ? Milliseconds(0) : settings_.wait,
-                          BootClock::now(), std::chrono::steady_clock::now()};
-    store_.Read(settings_.partition, next_, begin.wait,
-                begin.wait + settings_.patience,
-                [self = shared_from_this(), begin](const ReadResult& result) {
-                  if (!self->stopped_) self->OnPolled(result, begin);
+    const PollStart start{
+        last_read_failed_ ? Milliseconds(0) : settings_.long_poll_wait,
+        BootClock::now(), std::chrono::steady_clock::now()};
+    store_.Read(settings_.partition, next_offset_, start.wait,
+                start.wait + settings_.response_timeout,
+                [self = shared_from_this(), start](const ReadResult& result) {
+                  if (!self->stopped_) self->OnPolled(result, start);
                 });
   }
 
-  void OnPolled(const ReadResult& result, const PollBegin& begin) {
+  void OnPolled(const ReadResult& result, const PollStart& start) {
     if (result.outcome == ReadOutcome::kTrimmed) return BeginSnapshot();
     if (result.outcome == ReadOutcome::kFailed) {
       handlers_.on_failure(result.error);
-      return After(NextRetry(), [this] { Poll(); });
+      return RunAfter(NextRetryDelay(), [this] { Poll(); });
     }
-    const auto used = std::chrono::duration_cast<Milliseconds>(
-        std::chrono::steady_clock::now() - begin.steady);
-    NoteLatency(used, result.records.empty(), begin.wait);
-    Take(result, begin.boot);
-    if (used >= settings_.pace) return Poll();
-    After(settings_.pace - used, [this] { Poll(); });
+    const auto elapsed = std::chrono::duration_cast<Milliseconds>(
+        std::chrono::steady_clock::now() - start.steady);
+    UpdateLatency(elapsed, result.records.empty(), start.wait);
+    HandleRecords(result, start.boot);
+    if (elapsed >= settings_.min_read_interval) return Poll();
+    RunAfter(settings_.min_read_interval - elapsed, [this] { Poll(); });
   }
 
-  // A read that brought a record may have waited for it, so it tells only that
-  // the store takes no longer.
-  void NoteLatency(Duration used, bool waited, Milliseconds wait) {
+  // A read that returned a record may have waited for it, so its duration is
+  // only an upper bound of the latency.
+  void UpdateLatency(Duration elapsed, bool waited, Milliseconds wait) {
     if (waited) {
-      latency_ = std::max(used - wait, Duration::zero());
+      latency_ = std::max(elapsed - wait, Duration::zero());
     } else {
-      latency_ = std::min(latency_, used);
+      latency_ = std::min(latency_, elapsed);
     }
   }
 
-  // Reads may overlap: records behind `next_` only.
-  void Take(const ReadResult& result, BootTime begun) {
+  // Reads may overlap, so records before `next_offset_` are skipped.
+  void HandleRecords(const ReadResult& result, BootTime started) {
     for (const KeyedRecord& record : result.records) {
-      if (record.offset < next_) continue;
-      next_ = record.offset + 1;
+      if (record.offset < next_offset_) continue;
+      next_offset_ = record.offset + 1;
       handlers_.on_record(record);
     }
-    lost_ = false;
-    if (next_ < result.end) return;
-    as_of_ = std::max(as_of_, begun);
-    handlers_.on_current();
+    last_read_failed_ = false;
+    if (next_offset_ < result.end) return;
+    as_of_ = std::max(as_of_, started);
+    handlers_.on_caught_up();
   }
 
-  // A read has failed: how long to wait before the next.
-  Milliseconds NextRetry() {
+  // Returns the delay before the next read, after a read has failed.
+  Milliseconds NextRetryDelay() {
     constexpr double kJitter = 0.25;
-    if (!lost_) backoff_ = settings_.retry;
-    lost_ = true;
+    if (!last_read_failed_) retry_delay_ = settings_.initial_retry_delay;
+    last_read_failed_ = true;
     const Milliseconds longest =
-        std::max(settings_.retry, settings_.longest_retry);
-    const Milliseconds delay = std::min(backoff_, longest);
-    backoff_ = std::min(backoff_ * 2, longest);
+        std::max(settings_.initial_retry_delay, settings_.max_retry_delay);
+    const Milliseconds delay = std::min(retry_delay_, longest);
+    retry_delay_ = std::min(retry_delay_ * 2, longest);
     std::uniform_real_distribution<double> factor(1 - kJitter, 1 + kJitter);
     return Milliseconds(static_cast<int64_t>(
         std::lround(static_cast<double>(delay.count()) * factor(random_))));
   }
 
-  void After(Milliseconds delay, std::function<void()> action) {
+  void RunAfter(Milliseconds delay, std::function<void()> action) {
     timer_.expires_after(delay);
     timer_.async_wait([self = shared_from_this(), action = std::move(action)](
                           const boost::system::error_code& code) {
@@ -174,18 +180,19 @@
   const Handlers handlers_;
   boost::asio::steady_timer timer_;
   bool stopped_ = false;
-  bool started_ = false;
+  bool has_snapshot_ = false;
   std::mt19937 random_;
-  // The last read failed.
-  bool lost_ = false;
-  // After the next failure in a row.
-  Milliseconds backoff_{0};
-  int64_t next_ = 0;
+  // False also before the first read.
+  bool last_read_failed_ = false;
+  // Delay after the next failure in a row, before jitter.
+  Milliseconds retry_delay_{0};
+  int64_t next_offset_ = 0;
   BootTime as_of_{};
   Duration latency_{};
+  // Of the snapshot that is being read, or of the last one.
   std::set<std::string> snapshot_keys_;
   std::optional<int64_t> snapshot_end_;
-  BootTime snapshot_begun_{};
+  BootTime snapshot_started_{};
 };
 
 RecordTail::RecordTail(boost::asio::io_context& io, RecordStore& store,
@@ -198,14 +205,18 @@
 void RecordTail::CatchUp(Milliseconds timeout, std::function<void(bool)> done) {
   impl_->CatchUp(timeout, std::move(done));
 }
-void RecordTail::Wake(Milliseconds timeout) { impl_->Wake(timeout); }
-bool RecordTail::started() const { return impl_->started(); }
-int64_t RecordTail::next() const { return impl_->next(); }
+void RecordTail::RetryIfLost(Milliseconds timeout) {
+  impl_->RetryIfLost(timeout);
+}
+bool RecordTail::has_snapshot() const { return impl_->has_snapshot(); }
+int64_t RecordTail::next_offset() const { return impl_->next_offset(); }
 BootTime RecordTail::as_of() const { return impl_->as_of(); }
 Duration RecordTail::latency() const { return impl_->latency(); }
-void RecordTail::set_pace(Milliseconds pace) { impl_->set_pace(pace); }
-void RecordTail::set_longest_retry(Milliseconds longest) {
-  impl_->set_longest_retry(longest);
+void RecordTail::set_min_read_interval(Milliseconds interval) {
+  impl_->set_min_read_interval(interval);
+}
+void RecordTail::set_max_retry_delay(Milliseconds longest) {
+  impl_->set_max_retry_delay(longest);
 }
 
 }  // namespace thornplank
--- a/src/libs/membership/membership_table.h
+++ b/src/libs/membership/membership_table.h
@@ -56,7 +56,7 @@
 };
 
 struct Heartbeat {
-  MemberIdentity from;
+  MemberIdentity sender;
   // Grows with each heartbeat of an incarnation; begins at 1.
   uint64_t sequence = 0;
   bool ready = false;
@@ -76,7 +76,7 @@
   MemberIdentity identity;
   MemberState state = MemberState::kJoining;
   // When `state` began.
-  Time since;
+  Time state_since;
   bool linked = false;
   uint64_t sequence = 0;
   Time last_heard;
@@ -94,12 +94,12 @@
   // This entry itself is a member too, never suspect or dead.
   MembershipTable(MembershipSettings settings, MemberIdentity self, Time now);
 
-  Changes SetSelf(bool ready, bool leaving, Time now);
+  Changes SetOwnReadiness(bool ready, bool leaving, Time now);
   Changes HandleHeartbeat(const Heartbeat& heartbeat, Time now);
   Changes HandleLinkUp(const MemberIdentity& peer, Time now);
   void HandleLinkDown(const MemberIdentity& peer);
   // The names of all entries that the instance list holds.
-  void HandleList(const std::vector<std::string>& names);
+  void SetListedNames(const std::vector<std::string>& names);
   // To be called about once every heartbeat interval.
   Changes HandleTick(Time now);
 
--- a/src/libs/outlook/outlook_survey.h
+++ b/src/libs/reachability/reachability_poller.h
@@ -1,6 +1,6 @@
 // Asks other entries whether they reach the store, while this one does not.
-#ifndef THORNPLANK_OUTLOOK_OUTLOOK_SURVEY_H_
-#define THORNPLANK_OUTLOOK_OUTLOOK_SURVEY_H_
+#ifndef THORNPLANK_REACHABILITY_REACHABILITY_POLLER_H_
+#define THORNPLANK_REACHABILITY_REACHABILITY_POLLER_H_
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstddef>
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "base/time.h"
-#include "outlook/entry_calls.h"
-#include "outlook/store_outlook.h"
+#include "reachability/entry_client_interface.h"
+#include "reachability/store_reachability.h"
 
 namespace boost::asio {
 class io_context;
@@ -21,7 +21,7 @@
 
 namespace thornplank {
 
-struct OutlookSurveySettings {
+struct ReachabilityPollerSettings {
   // Between two rounds of questions. Followers read twice a second, so that the
   // first proof comes 0.25 s after a loss in the mean.
   Milliseconds interval{250};
@@ -32,19 +32,19 @@
   uint32_t seed = 1;
 };
 
-class OutlookSurvey {
+class ReachabilityPoller {
  public:
   // `peers`: addresses of the other entries that are known.
-  OutlookSurvey(boost::asio::io_context& io, EntryCalls& calls,
-                OutlookSurveySettings settings,
-                std::function<std::vector<std::string>()> peers);
-  ~OutlookSurvey();
+  ReachabilityPoller(boost::asio::io_context& io, EntryClientInterface& calls,
+                     ReachabilityPollerSettings settings,
+                     std::function<std::vector<std::string>()> peers);
+  ~ReachabilityPoller();
 
   // The store could not be read; or it could.
-  void OnLost();
-  void OnReached();
+  void OnReadFailed();
+  void OnReadSucceeded();
 
-  bool ServedElsewhere() const;
+  bool ReachableElsewhere() const;
 
  private:
   void Ask();
@@ -53,17 +53,17 @@
   // Logs the belief when it has changed.
   void Tell();
 
-  EntryCalls& calls_;
-  const OutlookSurveySettings settings_;
+  EntryClientInterface& calls_;
+  const ReachabilityPollerSettings settings_;
   const std::function<std::vector<std::string>()> peers_;
   boost::asio::steady_timer timer_;
   std::minstd_rand random_;
-  StoreOutlook outlook_;
-  StoreBelief told_ = StoreBelief::kReached;
+  StoreReachability outlook_;
+  StoreStatus told_ = StoreStatus::kReached;
   // Callbacks of calls that outlive this object do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_OUTLOOK_SURVEY_H_
+#endif  // THORNPLANK_REACHABILITY_REACHABILITY_POLLER_H_
