--- a/src/libs/scheduling/cell_layout.cc
+++ b/src/libs/scheduling/cell_layout.cc
@@ -6,8 +6,8 @@
 namespace thornplank {
 namespace {
 
-// Whole new layouts tried before a cell is given up as missing, and before a
-// move to a better place is given up.
+// Number of new layouts that are tried before a cell is reported as missing,
+// and before a move to a cheaper place is abandoned.
 constexpr int kRepairAttempts = 12;
 constexpr int kMoveAttempts = 2;
 
@@ -135,7 +135,7 @@
   return true;
 }
 
-// All `units` are of one size; places as many as fit.
+// All `units` have the same size. Places as many of them as fit.
 void CellLayout::PlaceUnits(const std::vector<int>& units,
                             const AcceleratorsByWorker& room,
                             const PlacementCost& cost) {
@@ -234,7 +234,7 @@
     if (std::count(first->begin(), first->end(), index) > 0) continue;
     first->push_back(index);
   }
-  // So that no attempt repeats another.
+  // A random order, so that the next attempt differs from this one.
   std::shuffle(first->begin(), first->end(), random_);
 }
 
@@ -279,7 +279,7 @@
   UnplaceOvercommitted();
   PlaceMissing({});
   Commit();
-  // Keep the old layout unless a new one serves more.
+  // Keeps the current layout unless a new one has fewer missing cells.
   int missing = CountMissing();
   while (missing > 0 && RebuildWithFewerMissing(missing)) {
     Commit();
@@ -300,7 +300,7 @@
   return true;
 }
 
-// Free accelerators outside of the cells that cannot be moved.
+// Free accelerators that no unmovable cell covers.
 AcceleratorsByWorker CellLayout::FreeOutsideUnmovableCells() const {
   AcceleratorsByWorker room = unreserved_;
   for (const Cell& cell : cells_) {
@@ -329,7 +329,7 @@
   for (const int index : moving) Unplace(index);
   if (PlaceInOrder(moving, FreeOutsideUnmovableCells(), cost)) {
     for (const int index : moving)
-      ++cells_[index].allocations;  // not to be moved
+      ++cells_[index].allocations;  // makes the cell unmovable
     const bool settled = ResolveOvercommit(usable);
     for (const int index : moving) --cells_[index].allocations;
     if (settled) {
@@ -352,7 +352,7 @@
   for (const int index : moving) Unplace(index);
   for (size_t i = 0; i < moving.size(); ++i) PlaceAt(moving[i], workers[i]);
   for (const int index : moving)
-    ++cells_[index].allocations;  // not to be moved
+    ++cells_[index].allocations;  // makes the cell unmovable
   bool settled = ResolveOvercommit(usable);
   for (const int index : moving) {
     --cells_[index].allocations;
--- a/src/libs/scheduling/cell_layout.h
+++ b/src/libs/scheduling/cell_layout.h
@@ -1,11 +1,14 @@
-// Where the cells of guarantees lie, and how they are moved.
+// Assigns the cells of guarantees to workers.
 //
-// A guaranteed shape is a cell. A rack-adjacent shape is one cell with a slot
-// per member; any other shape is one cell per member, since its members are
-// independent of each other. The layout keeps every cell within the workers
-// that may be used, whatever borrowers run there, and repairs it step by
-// step: only what has to move moves, and a whole new layout is tried only when
-// that leaves a cell without a place.
+// A cell is capacity that a guarantee reserves. A guaranteed shape that must
+// lie in one rack is one cell with a slot per member. Any other guaranteed
+// shape is one cell of a single slot (a "unit") per member, since its members
+// may lie anywhere.
+//
+// The layout places every cell on usable workers, regardless of the borrowers
+// that run there. When workers or cells change, it moves as few cells as
+// possible; a completely new layout is tried only when that leaves a cell
+// without a place.
 #ifndef THORNPLANK_SCHEDULING_CELL_LAYOUT_H_
 #define THORNPLANK_SCHEDULING_CELL_LAYOUT_H_
 
@@ -20,7 +23,7 @@
 
 namespace thornplank {
 
-// Who holds a cell: an account, or an event of an account.
+// The account, or the event of an account, that a cell is reserved for.
 struct CellOwner {
   std::string account;
   // Empty for the account's own guarantee.
@@ -37,28 +40,28 @@
 
 struct CellSlot {
   WorkerIndex worker = kNoWorker;
-  // Accelerators of the slot that gangs use.
+  // Accelerators of the slot that are allocated to gangs.
   int used = 0;
 };
 
 struct Cell {
   CellOwner owner;
-  // The event that its account lent the cell to; only that event's jobs may
-  // take it meanwhile. Empty for most cells.
+  // The event to which the account has lent the cell; until the loan ends only
+  // jobs of that event may use it. Empty when the cell is not lent.
   std::string lent_to;
-  // As declared, for reports.
+  // The guaranteed shape as declared, for reports.
   Shape declared;
-  // kRack: the declared shape. kAnywhere: one member of it.
+  // The declared shape if its adjacency is kRack, else one member of it.
   Shape shape;
   std::vector<CellSlot> slots;
-  // Slots in use; the cell cannot be moved while above 0.
+  // Members of gangs in the cell. It cannot be moved unless this is 0.
   int allocations = 0;
-  // Invariant: all slots name a worker when placed, none does otherwise. A
-  // cell in use may lie on a worker that can no longer be used.
+  // Invariant: every slot names a worker if `placed`, no slot does otherwise.
+  // A cell with allocations may lie on a worker that is no longer usable.
   bool placed = false;
-  // Stays where it is while its workers can be used, also without allocations.
+  // Not moved while its workers are usable, even without allocations.
   bool pinned = false;
-  // No longer declared. Its index is used again once it has no allocations.
+  // No longer declared. Its index is reused once it has no allocations.
   bool retired = false;
 
   bool is_unit() const { return shape.members == 1; }
@@ -66,13 +69,14 @@
 
 class CellLayout {
  public:
-  // `cluster` outlives the layout. `seed` orders the attempts at a whole new
-  // layout.
+  // `cluster` must outlive the layout. `seed` varies the order in which new
+  // layouts are tried.
   CellLayout(const ClusterModel& cluster, uint64_t seed);
 
-  // Returns the index of the new cell, which is not placed yet.
+  // Returns the index of the new cell, which has no place yet.
   int Add(Cell cell);
-  // Gives up the place of a cell without allocations.
+  // Marks the cell as no longer declared. Its place is released now, or with
+  // its last allocation.
   void Retire(int cell);
   const std::vector<Cell>& cells() const { return cells_; }
   void AllocateSlot(int cell, int slot, int accelerators);
@@ -80,20 +84,21 @@
   void SetLentTo(int cell, const std::string& event);
   void SetPinned(int cell, bool pinned);
 
-  // Whether each slot of the cell lies on a worker that may be used.
+  // Whether the cell is placed and all its slots lie on usable workers.
   bool IsUsable(const Cell& cell) const;
-  // Cells that have no place or, while in use, lie on unusable workers.
+  // Number of declared cells that are not placed on usable workers.
   int CountMissing() const;
 
-  // After any change of workers or cells: moves cells off workers that cannot
-  // be used and places what is missing as far as possible.
+  // To be called after any change of workers or cells: moves cells off unusable
+  // workers and places as many missing cells as possible.
   void Repair();
-  // Moves unused cells (`moving`, all rack cells or all units) to where `cost`
-  // is lowest: onto free accelerators, if the cells that lay there can be
-  // placed elsewhere.
+  // Moves the cells `moving`, which have no allocations, to the workers with
+  // the lowest `cost`. Free accelerators are preferred if the cells that lie
+  // there can be placed elsewhere.
   void Relocate(const std::vector<int>& moving, const PlacementCost& cost);
-  // Moves unused cells onto given workers, one per slot in order. Changes
-  // nothing and returns false when another cell would lose its place.
+  // Moves the cells `moving`, which have no allocations, onto `workers`: for
+  // each cell one worker per slot. Returns false and changes nothing if another
+  // cell would lose its place.
   bool RelocateTo(const std::vector<int>& moving,
                   const std::vector<std::vector<WorkerIndex>>& workers);
 
@@ -119,30 +124,33 @@
   bool PlaceInOrder(const std::vector<int>& moving,
                     const AcceleratorsByWorker& room,
                     const PlacementCost& cost);
+  // Whether all slots of `cells` lie on free accelerators.
   bool FitsFreeAccelerators(const std::vector<int>& cells) const;
   AcceleratorsByWorker FreeOutsideUnmovableCells() const;
-  // Unplaces movable cells from workers whose cells exceed their room.
+  // Unplaces the movable cells of workers whose cells exceed their capacity.
   void UnplaceOvercommitted();
-  // Places every missing movable cell, those of `first` before the others.
+  // Places movable cells that have no place, those in `first` before others.
   void PlaceMissing(const std::vector<int>& first);
-  // Tries a whole new layout; `first` are the cells that found no place in
-  // the earlier attempts and go first.
+  // Makes a new layout of all movable cells. `first` are the cells that found
+  // no place in earlier attempts; they are placed first, and the list is
+  // extended by the rack cells that found none in this attempt.
   void Rebuild(std::vector<int>* first);
-  // Tries new layouts until fewer than `missing` cells are missing.
+  // Tries new layouts until fewer than `missing` cells are missing. Returns
+  // false if no attempt succeeds.
   bool RebuildWithFewerMissing(int missing);
   std::vector<int> UsableCells() const;
   bool AreUsable(const std::vector<int>& cells) const;
-  // Clears what is overfull and places it anew; false when that costs one of
-  // `usable` its place.
+  // Moves cells off workers whose cells exceed their capacity. Returns false if
+  // one of the cells in `usable` is left without a usable place.
   bool ResolveOvercommit(const std::vector<int>& usable);
 
   const ClusterModel& cluster_;
   std::mt19937_64 random_;
   std::vector<Cell> cells_;
-  // Capacity of each worker minus its cells. Invariant outside of a method:
-  // negative only where cells in use lie on unusable workers.
+  // Capacity of each worker minus its cells. Invariant between calls: negative
+  // only where cells with allocations lie on unusable workers.
   AcceleratorsByWorker unreserved_;
-  // Places before the changes that are not committed yet.
+  // Previous places of the cells moved since the last Commit() or Rollback().
   std::vector<SavedPlace> undo_log_;
 };
 
--- a/src/libs/scheduling/cluster_model.cc
+++ b/src/libs/scheduling/cluster_model.cc
@@ -11,7 +11,7 @@
     const auto [entry, is_new] = worker_by_name_.emplace(info.name, size());
     if (is_new) workers_.emplace_back();
     Worker& worker = workers_[entry->second];
-    if (worker.present) continue;  // named twice: the first one counts
+    if (worker.present) continue;  // duplicate name: the first entry counts
     worker.info = info;
     worker.rack = RackIndex(info.rack);
     worker.present = true;
--- a/src/libs/scheduling/cluster_model.h
+++ b/src/libs/scheduling/cluster_model.h
@@ -1,8 +1,10 @@
-// The workers as the scheduler counts them: racks, failure domains, what is
-// held by leases and what is claimed by plans.
+// The workers as the scheduler accounts for them: racks, accelerators held by
+// leases and accelerators claimed by plans.
 //
-// Counts our own decisions, never reported usage: an accelerator is held from
-// the decision to grant until the lease is proved gone.
+// The accounting follows the scheduler's own decisions, not reported usage: an
+// accelerator is held from the decision to grant a lease until the lease is
+// proved to be gone. The exceptions are leases that a worker reports and the
+// scheduler does not know.
 #ifndef THORNPLANK_SCHEDULING_CLUSTER_MODEL_H_
 #define THORNPLANK_SCHEDULING_CLUSTER_MODEL_H_
 
@@ -14,11 +16,11 @@
 
 namespace thornplank {
 
-// Position of a worker in the model; stays valid for the model's life.
+// Index of a worker in the model; valid for the lifetime of the model.
 using WorkerIndex = int;
 inline constexpr WorkerIndex kNoWorker = -1;
 
-// Accelerators per worker, by WorkerIndex, that a decision may use.
+// A number of accelerators for each worker, indexed by WorkerIndex.
 using AcceleratorsByWorker = std::vector<int>;
 
 // `members` members of a gang on one worker.
@@ -26,13 +28,13 @@
   WorkerIndex worker = kNoWorker;
   int members = 0;
 };
-// A gang's workers, each named once.
+// The workers of a gang; each worker appears once.
 using Placement = std::vector<WorkerShare>;
 
 class ClusterModel {
  public:
-  // Replaces the set of workers; a missing one keeps its index and holdings
-  // and takes no new gang.
+  // Replaces the set of workers. A known worker that is not in `workers` keeps
+  // its index and its held accelerators but gets no new gang.
   void SetWorkers(const std::vector<WorkerInfo>& workers);
 
   WorkerIndex Find(const std::string& name) const;
@@ -46,28 +48,30 @@
     return racks_[index];
   }
 
-  // Accelerators of the worker when it may be used, else 0.
+  // Accelerators of the worker if it is usable, else 0. A worker is usable if
+  // it is declared and neither leaving, lost nor quarantined.
   int capacity(WorkerIndex worker) const;
-  // Accelerators that no lease, unknown lease or claim holds.
+  // Accelerators that are neither held by a lease, tracked or not, nor claimed.
   int free(WorkerIndex worker) const;
-  // The same with what is claimed.
+  // Accelerators that no lease holds, whether or not they are claimed.
   int unheld(WorkerIndex worker) const;
   int total_capacity() const;
   int total_free() const;
-  // Largest accelerators of one usable worker.
+  // Accelerators of the largest usable worker.
   int largest_worker() const;
   AcceleratorsByWorker FreeByWorker() const;
   AcceleratorsByWorker CapacityByWorker() const;
 
-  // A lease of a gang.
+  // Accounts for the lease of a gang member.
   void Hold(WorkerIndex worker, int accelerators);
   void Release(WorkerIndex worker, int accelerators);
   int held(WorkerIndex worker) const { return workers_[worker].held; }
   int claimed(WorkerIndex worker) const { return workers_[worker].claimed; }
-  // A plan that waits for borrowers to leave.
+  // Reserves accelerators for a plan that waits for borrowers to stop.
   void Claim(WorkerIndex worker, int accelerators);
   void Unclaim(WorkerIndex worker, int accelerators);
-  // Leases in the worker's own table that are not ours.
+  // Accelerators held by leases that the worker reports and no current gang
+  // holds.
   void SetUntrackedHeld(WorkerIndex worker, int accelerators);
 
   bool leaving(WorkerIndex worker) const;
@@ -75,11 +79,12 @@
   bool quarantined(WorkerIndex worker) const {
     return workers_[worker].quarantined;
   }
-  // Whether the worker is declared, staying and reachable.
+  // Whether the worker is declared, not leaving and reachable.
   bool present(WorkerIndex worker) const;
   void SetLost(WorkerIndex worker, bool lost);
   void SetQuarantined(WorkerIndex worker, bool quarantined);
-  // Refused a grant that should have fitted: nothing is free there for now.
+  // A worker that refused a grant although it should have fitted counts as
+  // having no free accelerators while `refusing` is set.
   void SetRefusing(WorkerIndex worker, bool refusing);
 
  private:
@@ -90,8 +95,8 @@
     bool lost = false;
     bool quarantined = false;
     bool refusing = false;
-    // held + untracked_held may exceed the accelerators for a moment only when
-    // the worker itself reports leases that are not ours.
+    // held + untracked_held may exceed the worker's accelerators temporarily,
+    // but only if the worker reports leases that no current gang holds.
     int held = 0;
     int claimed = 0;
     int untracked_held = 0;
--- a/src/libs/scheduling/cluster_snapshot.h
+++ b/src/libs/scheduling/cluster_snapshot.h
@@ -1,5 +1,4 @@
-// One look over all gangs, taken at the start of a decision and shared by its
-// steps.
+// Figures about all gangs, computed once per decision and shared by its steps.
 #ifndef THORNPLANK_SCHEDULING_CLUSTER_SNAPSHOT_H_
 #define THORNPLANK_SCHEDULING_CLUSTER_SNAPSHOT_H_
 
@@ -17,7 +16,7 @@
   const Gang* gang = nullptr;
   bool borrower = false;
   bool urgent = false;
-  // Already being saved or stopped.
+  // Being checkpointed or stopped.
   bool stopping = false;
   Time expected_end;
 };
@@ -25,23 +24,27 @@
 struct ClusterSnapshot {
   ClusterSnapshot(const SchedulerState& state, Time now);
 
-  // Accelerators that each account borrows over its share of all by weight.
+  // Accelerators that the account borrows, divided by its share by weight of
+  // all accelerators. 0 if it borrows nothing.
   double BorrowedToShareRatio(const SchedulerState& state,
                               const std::string& account) const;
   std::vector<ExpectedRelease> Releases() const;
-  // Accelerators per worker in use or claimed and not expected free by `at`.
+  // Accelerators that are claimed, or in use and not expected to be free by
+  // `at`.
   AcceleratorsByWorker InUseAt(const ClusterModel& cluster, Time at) const;
-  // Accelerators per worker that only borrowers hold, urgent ones excepted
-  // unless `urgent_too`.
+  // Accelerators of usable workers that borrowers hold or that are being
+  // released. Urgent borrowers count only if `urgent_too`.
   AcceleratorsByWorker Reclaimable(const ClusterModel& cluster,
                                    bool urgent_too) const;
-  // When the last gang of each rack is expected to end; `now` for an idle one.
+  // When the last gang in each rack is expected to end; `now` for idle racks.
   std::vector<Time> RackEndTimes(const ClusterModel& cluster, Time now) const;
-  // Work lost per borrowed accelerator when a worker is cleared.
+  // For each worker, the work lost per borrowed accelerator if its borrowers
+  // are stopped, in seconds.
   std::vector<double> DisplacementCost(const SchedulerState& state,
                                        Time now) const;
 
   std::vector<GangView> gangs;
+  // Accelerators held by borrowing gangs, by account.
   std::map<std::string, int> borrowed;
   double total_weight = 0;
   int total_capacity = 0;
--- a/src/libs/scheduling/event_calendar.cc
+++ b/src/libs/scheduling/event_calendar.cc
@@ -5,7 +5,8 @@
 namespace thornplank {
 namespace {
 
-// A borrower should run for at least this many times what saving it takes.
+// A borrower that would run past the start of an event is started only if it
+// can first run for this many times its lead time.
 constexpr int kMinRunTimePerLeadTime = 3;
 
 }  // namespace
--- a/src/libs/scheduling/event_calendar.h
+++ b/src/libs/scheduling/event_calendar.h
@@ -1,4 +1,5 @@
-// The declared events and what their fixed starts forbid to borrowers.
+// The declared events and the limits that their fixed start times set for
+// borrowers.
 #ifndef THORNPLANK_SCHEDULING_EVENT_CALENDAR_H_
 #define THORNPLANK_SCHEDULING_EVENT_CALENDAR_H_
 
@@ -17,13 +18,15 @@
   const std::vector<EventReservation>& events() const { return events_; }
   const EventReservation* Find(const std::string& name) const;
 
-  // Whether a borrower that would start now, end at `expected_end` and need
-  // `lead_time` to be saved and stopped must keep off the event's accelerators.
-  // One that crosses the start may use them only when it can do useful work
-  // first and still be saved in time.
+  // Whether a borrower that would start now, is expected to end at
+  // `expected_end` and takes `lead_time` to be checkpointed and stopped must
+  // not use the event's accelerators. A borrower that is expected to run past
+  // the event's start may use them only if it can do enough work before it has
+  // to be checkpointed. After the start no borrower may use them.
   static bool MustAvoid(const EventReservation& event, Time now,
                         Time expected_end, Duration lead_time);
-  // When a borrower that needs `lead_time` has to be moved off.
+  // When the checkpoint of a borrower that takes `lead_time` to be stopped has
+  // to begin.
   static Time ReclaimTime(const EventReservation& event, Duration lead_time) {
     return event.start - lead_time;
   }
--- a/src/libs/scheduling/failure_tracker.cc
+++ b/src/libs/scheduling/failure_tracker.cc
@@ -5,7 +5,7 @@
 namespace thornplank {
 namespace {
 
-// Quarantine never lasts longer than this many times its first length.
+// The longest quarantine, as a multiple of the first one.
 constexpr int kMaxQuarantineFactor = 16;
 
 }  // namespace
@@ -68,7 +68,8 @@
     ++good_workers;
     failures_on_good += count;
   }
-  // A cluster with fewer workers than that is judged by the failures alone.
+  // A cluster may have fewer than failures_to_judge_job workers; then the
+  // number of failures decides.
   return good_workers >= limits_.failures_to_judge_job ||
          failures_on_good >= 2 * limits_.failures_to_judge_job - 1;
 }
--- a/src/libs/scheduling/failure_tracker.h
+++ b/src/libs/scheduling/failure_tracker.h
@@ -1,10 +1,10 @@
-// Tells faulty workers from faulty jobs by crossing their failures.
+// Attributes failures to faulty workers or to faulty jobs by correlating them.
 //
-// A worker is suspected when several jobs failed there that did not prove to
-// fail elsewhere as well; a job is judged bad when it failed on several
-// workers that are not suspected themselves. A suspected worker goes into
-// quarantine, never more of them at once than a set share, and comes back
-// through a probe.
+// A worker is suspected when several distinct jobs failed on it, not counting
+// jobs that turned out to be bad. A job is bad when it failed on several
+// workers that are not suspected themselves. A suspected worker is quarantined,
+// unless the limit on the share of quarantined workers is reached. It is
+// released when a gang that is placed on it as a probe succeeds.
 #ifndef THORNPLANK_SCHEDULING_FAILURE_TRACKER_H_
 #define THORNPLANK_SCHEDULING_FAILURE_TRACKER_H_
 
@@ -20,11 +20,12 @@
 namespace thornplank {
 
 struct FailureLimits {
-  // Distinct jobs that have to fail on a worker without a success between.
+  // Distinct jobs that must fail on a worker, with no success in between, to
+  // make it suspected.
   int jobs_to_suspect_worker = 3;
   // Failures on distinct unsuspected workers that make a job bad.
   int failures_to_judge_job = 3;
-  // Failures on any worker after which a job is bad whatever the workers.
+  // Failures that make a job bad whichever workers they occurred on.
   int failures_at_most = 8;
   double max_quarantined_share = 0.1;
   Duration quarantine_time = std::chrono::seconds(60);
@@ -36,41 +37,44 @@
 
   explicit FailureTracker(FailureLimits limits);
 
-  // A member of `job` failed on `worker`. Quarantines the worker when it is
-  // due and fewer than the allowed share of `worker_count` are; returns
-  // whether that happened now. Quarantine lasts twice as long after a failed
-  // probe.
+  // Records that a member of `job` failed on `worker`. Quarantines the worker
+  // if it is now suspected and fewer than the allowed share of `worker_count`
+  // workers are in quarantine. A failed probe always sends the worker back into
+  // quarantine, for twice as long. Returns whether the worker was quarantined
+  // by this call.
   bool RecordFailure(const std::string& job, WorkerIndex worker,
                      int worker_count, Time now);
-  // A member of `job` ran on `worker` to its end. Returns whether that ended
-  // the worker's quarantine.
+  // Records that a member of `job` ran successfully on `worker`. Returns
+  // whether that ended the worker's quarantine.
   bool RecordSuccess(const std::string& job, WorkerIndex worker);
-  // Whether the job failed wherever it ran.
+  // Whether the failures of the job are attributed to the job itself.
   bool IsBadJob(const std::string& job) const;
-  // Forgets the job; when it was bad, its failures no longer count against
-  // the workers.
+  // Removes the job. If it was bad, its failures no longer count against the
+  // workers on which they occurred.
   void ForgetJob(const std::string& job);
 
   WorkerState state(WorkerIndex worker) const;
-  // In quarantine for long enough to take one gang as a probe.
+  // Whether the worker has been in quarantine long enough to be probed with a
+  // gang.
   bool IsProbeDue(WorkerIndex worker, Time now) const;
   void StartProbe(WorkerIndex worker);
-  // The probe ended without an answer, for instance by being cancelled.
+  // The probe ended without a result, for example because it was cancelled.
   void AbandonProbe(WorkerIndex worker);
+  // Workers that are in quarantine or being probed.
   std::vector<WorkerIndex> quarantined() const;
-  // When the next worker becomes due for a probe.
+  // When the next probe of a worker is due.
   std::optional<Time> NextProbe() const;
 
  private:
   struct Worker {
-    // Jobs that failed here since the last success.
+    // Jobs that failed on the worker since the last success there.
     std::set<std::string> failed_jobs;
     WorkerState state = WorkerState::kHealthy;
     Time probe_at;
     Duration quarantine_time = Duration::zero();
   };
   struct Job {
-    // Workers where it failed, with the number of failures.
+    // Number of failures by worker.
     std::map<WorkerIndex, int> failed_on;
     int failures = 0;
   };
--- a/src/libs/scheduling/feasibility.cc
+++ b/src/libs/scheduling/feasibility.cc
@@ -1,4 +1,5 @@
-// Whether guarantees fit together and whether a job can ever run.
+// Checks whether guarantees can be honoured together and whether a job can ever
+// run.
 #include "scheduling/cluster_model.h"
 #include "scheduling/guarantee_placement.h"
 #include "scheduling/job_scheduler.h"
@@ -15,7 +16,7 @@
   return nullptr;
 }
 
-// Workers that leave may be declared back, so they count as if they stayed.
+// A leaving worker may be declared as staying again, so it counts as staying.
 std::vector<WorkerInfo> AssumeStaying(std::vector<WorkerInfo> workers) {
   for (WorkerInfo& worker : workers) worker.leaving = false;
   return workers;
@@ -42,7 +43,7 @@
   return shape.members > 0 && shape.accelerators_per_member > 0;
 }
 
-// Whether the account's own guarantee could hold the job.
+// Whether the guarantee of the account could hold the job.
 bool GuaranteeCanHold(const JobSpec& job, const AccountGuarantee& account,
                       const ClusterModel& cluster) {
   GuaranteePlacement placement(cluster, 0);
@@ -69,7 +70,7 @@
   if (!Fits(cluster, job.shape, cluster.CapacityByWorker())) {
     return InfeasibleReason(job.shape, cluster);
   }
-  // Jobs of an event have the event's shapes beside the guarantee.
+  // Jobs of an event may also use the shapes reserved for the event.
   if (account->borrowing || !job.event.empty()) return std::nullopt;
   if (GuaranteeCanHold(job, *account, cluster)) return std::nullopt;
   return "account " + job.account + " may not borrow and its guarantee does " +
--- a/src/libs/scheduling/fragmentation_score.cc
+++ b/src/libs/scheduling/fragmentation_score.cc
@@ -5,8 +5,8 @@
 namespace thornplank {
 namespace {
 
-// A rack that cannot serve the shape now counts this share of its slots, so
-// that a rack which is closer to serving it is broken up later.
+// Slots that do not make up a whole gang in a rack count with this weight, so
+// that racks that are close to holding a gang are fragmented last.
 constexpr double kPartialRackShare = 0.2;
 
 }  // namespace
--- a/src/libs/scheduling/fragmentation_score.h
+++ b/src/libs/scheduling/fragmentation_score.h
@@ -1,8 +1,9 @@
-// How many of the declared large shapes free accelerators can still serve.
+// Measures how well free accelerators can serve the declared large shapes.
 //
-// The same figure scores placements and is reported: the fragmentation of a
-// moment is the share of free accelerators that cannot serve the declared
-// large shapes, taken over the shapes by their weight.
+// Fragmentation, as reported, is the share of the free accelerators that cannot
+// serve the declared large shapes, averaged over the shapes by weight.
+// Placements are scored accordingly, by the capacity for these shapes that they
+// take away.
 #ifndef THORNPLANK_SCHEDULING_FRAGMENTATION_SCORE_H_
 #define THORNPLANK_SCHEDULING_FRAGMENTATION_SCORE_H_
 
@@ -22,20 +23,22 @@
  public:
   explicit FragmentationScore(const ClusterModel& cluster);
 
-  // The large shapes that should stay possible; weights are normalized.
+  // Sets the large shapes that should remain placeable; normalizes weights.
   void SetShapes(std::vector<WeightedShape> shapes);
   const std::vector<WeightedShape>& shapes() const { return shapes_; }
 
-  // Accelerators' worth of large shapes that `rack` can serve less when
-  // `share` of a gang is placed into `room` there.
+  // Accelerators, averaged over the large shapes, that `rack` can no longer
+  // serve them with once `share` of a gang is placed there. `room` are the free
+  // accelerators before that.
   double Loss(int rack, const Placement& share, int accelerators_per_member,
               const AcceleratorsByWorker& room) const;
-  // Share of the accelerators in `room` that serve none of the shapes, by
-  // weight; 0 when nothing is free or no shape is declared.
+  // Share of the accelerators in `room` that cannot serve the shapes, averaged
+  // by weight. 0 if nothing is free or no shape is declared.
   double Fragmentation(const AcceleratorsByWorker& room) const;
 
  private:
-  // Accelerators of `slots` member slots in one rack that serve the shape.
+  // Accelerators that serve the shape when one rack has `slots` slots for its
+  // members.
   double ServedAccelerators(const Shape& shape, int slots) const;
 
   const ClusterModel& cluster_;
--- a/src/libs/scheduling/gang.h
+++ b/src/libs/scheduling/gang.h
@@ -1,4 +1,5 @@
-// One attempt to run a job: its members, their leases, and what ends it.
+// A gang: one attempt to run a job, with its members, their leases and the way
+// it ends. All members run at the same time, or none does.
 #ifndef THORNPLANK_SCHEDULING_GANG_H_
 #define THORNPLANK_SCHEDULING_GANG_H_
 
@@ -14,18 +15,19 @@
 namespace thornplank {
 
 enum class MemberState {
-  // Granted by us, not confirmed by the worker; may be held there.
+  // The lease was granted but the worker has not confirmed it; the worker may
+  // or may not hold it.
   kPending,
   kConfirmed,
   kCheckpointed,
   kFinished,
   kFailed,
-  // No lease is held.
+  // The worker holds no lease for the member.
   kGone,
 };
 inline constexpr int kMemberStates = 6;
 
-// What becomes of the job once the last lease of the gang is gone.
+// What happens to the job once the last lease of the gang is gone.
 enum class JobDisposition { kRequeue, kCancel, kFail, kFinish };
 
 struct MemberRecord {
@@ -33,10 +35,10 @@
   WorkerIndex worker = kNoWorker;
   MemberState state = MemberState::kPending;
   Time confirmed_at;
-  // Progress since the start of the gang, as saved; set with kCheckpointed
-  // when the worker reports it.
+  // Run time since the start of the gang that the checkpoint has saved. Set in
+  // state kCheckpointed if the worker reports it.
   std::optional<Duration> saved_progress;
-  // Set while the worker is lost: the lease is gone from then on.
+  // Set while the worker is lost: when the lease lapses without renewal.
   std::optional<Time> lapses_at;
 };
 
@@ -51,7 +53,7 @@
   const std::vector<MemberRecord>& members() const { return members_; }
   int size() const { return static_cast<int>(members_.size()); }
   int accelerators() const { return accelerators_; }
-  // Members in `state`.
+  // Number of members in `state`.
   int count(MemberState state) const {
     return counts_[static_cast<int>(state)];
   }
@@ -59,8 +61,9 @@
   void SetSavedProgress(int member, std::optional<Duration> progress) {
     members_[member].saved_progress = progress;
   }
-  // The least over the members that saved their state; nullopt when one of
-  // them did not report it. A finished member has nothing to go on with.
+  // The smallest saved progress over the members that were checkpointed, or
+  // nullopt if one of them did not report it. Finished members do not count:
+  // they have nothing left to resume.
   std::optional<Duration> MinSavedProgress() const;
   void SetLapseTime(int member, std::optional<Time> lapses_at) {
     members_[member].lapses_at = lapses_at;
@@ -72,12 +75,14 @@
   JobDisposition disposition = JobDisposition::kRequeue;
   std::string end_reason;
   Time granted_at;
-  // When the throttle was lifted.
+  // When the throttle was lifted, that is, when the gang began to run.
   std::optional<Time> started_at;
   Time checkpoint_asked_at;
-  // kStarting: stopped when not whole by then. kCheckpointing: stopped then.
+  // kStarting: the gang is stopped if a member is not confirmed by then.
+  // kCheckpointing: the gang is stopped then even if the checkpoint is not
+  // done.
   Time deadline;
-  // The state of all members was saved before the stop.
+  // Whether all members had saved their state when the gang was stopped.
   bool checkpointed = false;
 
  private:
@@ -86,7 +91,7 @@
   std::string account_;
   std::vector<MemberRecord> members_;
   int accelerators_ = 0;
-  // Invariant: sums to members_.size().
+  // Number of members by MemberState. Invariant: sums to members_.size().
   std::array<int, kMemberStates> counts_{};
 };
 
--- a/src/libs/scheduling/gang_lifecycle.cc
+++ b/src/libs/scheduling/gang_lifecycle.cc
@@ -9,7 +9,7 @@
 
 bool IsStopping(const Gang& gang) { return gang.phase == JobPhase::kStopping; }
 
-// Whether a member in `state` should appear in its worker's lease table.
+// Whether the worker's lease table should contain a member in `state`.
 bool ShouldBeListed(MemberState state) {
   return state != MemberState::kPending && state != MemberState::kGone;
 }
@@ -52,7 +52,8 @@
   }
   added.started_at = now - ran_for;
   if (phase == JobPhase::kRunning) return;
-  // What the checkpoint was asked for is not known here: stop and place anew.
+  // The reason for the checkpoint or stop is not known to this coordinator:
+  // stop the gang and place the job again.
   added.phase = JobPhase::kRunning;
   Stop(added, "being stopped at takeover", JobDisposition::kRequeue, now,
        actions);
@@ -62,7 +63,7 @@
                                Duration deadline, Time now,
                                SchedulerActions* actions) {
   if (gang.phase == JobPhase::kStarting) {
-    // Nothing has run yet, so there is nothing to save.
+    // The gang has not run yet, so there is nothing to save.
     Stop(gang, reason, JobDisposition::kRequeue, now, actions);
     return;
   }
@@ -137,7 +138,7 @@
                                  SchedulerActions* actions) {
   const MemberRecord record = gang.members()[member];
   if (record.state == MemberState::kFailed) return;
-  // A refused grant holds nothing; a failed task holds its lease until stopped.
+  // A refused member holds no lease; a failed one holds it until stopped.
   const MemberState state = refused ? MemberState::kGone : MemberState::kFailed;
   gangs_.SetState(gang, member, state, now);
   if (!IsStopping(gang)) {
@@ -231,8 +232,8 @@
     const auto [gang, member] = gangs_.FindLease(lease.lease_id);
     if (gang && gang->members()[member].state != MemberState::kGone) {
       listed.insert(lease.lease_id);
-      // A lease that was confirmed after the question was sent may be missing
-      // from an answer that overtook the grant.
+      // A lease that was confirmed after the request was sent may be missing
+      // from a reply that was made before the grant reached the worker.
       const bool overtaken = lease.state == LeaseState::kGone &&
                              gang->members()[member].confirmed_at >= asked_at;
       if (!overtaken) ApplyLeaseState(*gang, member, lease, now, actions);
@@ -251,7 +252,7 @@
       if (record.confirmed_at >= asked_at) continue;
       if (listed.count(record.member.lease_id) > 0) continue;
       MemberGone(*gang, i, "not known to the worker", now, actions);
-      gang = gangs_.Find(id);  // it may have ended
+      gang = gangs_.Find(id);  // nullptr if the gang ended
     }
   }
   return untracked_held;
--- a/src/libs/scheduling/gang_lifecycle.h
+++ b/src/libs/scheduling/gang_lifecycle.h
@@ -1,8 +1,10 @@
-// The rules by which a gang starts, runs, is saved and stops, as one.
+// The state machine by which a gang starts, runs, is checkpointed and stops as
+// a unit.
 //
-// The throttle is lifted only when every member has confirmed; a member that
-// is lost, refused or failed stops all others; a gang ends only when no lease
-// of it can be held any more, so that no job has two attempts at once.
+// - The throttle is lifted only when every member is confirmed.
+// - If a member is lost, refused or fails, all members are stopped.
+// - A gang ends only when none of its leases can be held any more, so that a
+//   job never has two attempts at the same time.
 #ifndef THORNPLANK_SCHEDULING_GANG_LIFECYCLE_H_
 #define THORNPLANK_SCHEDULING_GANG_LIFECYCLE_H_
 
@@ -19,7 +21,7 @@
 
 namespace thornplank {
 
-// Told of what happens to gangs.
+// Receives the events of gangs.
 class GangObserver {
  public:
   virtual ~GangObserver() = default;
@@ -29,31 +31,35 @@
   virtual void OnMemberFailed(const Gang& gang, const MemberRecord& member,
                               bool refused, const std::string& reason,
                               Time now) = 0;
-  // All members saved their state `took` after being asked.
+  // All members have saved their state, `took` after the checkpoint request.
   virtual void OnCheckpointed(const Gang& gang, Duration took) = 0;
   // The checkpoint was not done by its deadline.
   virtual void OnCheckpointHung(const Gang& gang) = 0;
-  // Every member finished; the leases are released next.
+  // Every member finished; the leases are about to be released.
   virtual void OnFinished(const Gang& gang, Time now) = 0;
-  // No lease is left; the gang is removed next.
+  // No lease is left; the gang is about to be removed.
   virtual void OnEnded(const Gang& gang) = 0;
 };
 
 class GangLifecycle {
  public:
-  // All arguments outlive the object.
+  // All arguments must outlive the object.
   GangLifecycle(const SchedulerOptions& options, GangTable& gangs,
                 GangObserver& observer);
 
   void Start(std::unique_ptr<Gang> gang, const std::string& reason, Time now,
              SchedulerActions* actions);
-  // Takes over a gang whose members are all held.
+  // Adds a gang whose leases were found at the workers after a change of
+  // coordinator. `phase` is its phase under the previous coordinator.
   void TakeOver(std::unique_ptr<Gang> gang, JobPhase phase, Duration ran_for,
                 Time now, SchedulerActions* actions);
-  // Does nothing to a gang that is already being saved or stopped, except
-  // that `end` is taken over when the job was cancelled.
+  // Requests a checkpoint, to be followed by a stop after `deadline` at the
+  // latest. A gang that has not started to run is stopped at once. Does nothing
+  // if the gang is already being checkpointed or stopped.
   void Checkpoint(Gang& gang, const std::string& reason, Duration deadline,
                   Time now, SchedulerActions* actions);
+  // Does nothing if the gang is already being stopped, except that the
+  // disposition kCancel replaces the earlier one.
   void Stop(Gang& gang, const std::string& reason, JobDisposition disposition,
             Time now, SchedulerActions* actions);
 
@@ -61,13 +67,16 @@
                     const std::string& reason, Time now,
                     SchedulerActions* actions);
   void CheckpointDone(Gang& gang, Time now, SchedulerActions* actions);
-  // Returns the accelerators held on `worker` by leases that are not ours.
+  // Applies the lease table that `worker` sent in reply to a request of
+  // `asked_at`. Returns the accelerators held by leases of no current gang.
   int ApplyWorkerReport(WorkerIndex worker, const std::string& worker_name,
                         const std::vector<LeaseReport>& leases, Time asked_at,
                         Time now, SchedulerActions* actions);
+  // The worker is unreachable; its leases lapse at `lapses_at`.
   void WorkerLost(WorkerIndex worker, Time lapses_at, Time now,
                   SchedulerActions* actions);
   void Tick(Time now, SchedulerActions* actions);
+  // When Tick is next needed; nullopt if no gang has a deadline.
   std::optional<Time> NextDue() const;
 
  private:
@@ -85,7 +94,7 @@
                                     SchedulerActions* actions);
   void LiftThrottleIfAllConfirmed(Gang& gang, Time now,
                                   SchedulerActions* actions);
-  // Removes the gang when no lease is left; `gang` is then invalid.
+  // Removes the gang if no lease is left; `gang` is invalid after that.
   void RemoveIfAllGone(Gang& gang);
   void TickGang(Gang& gang, Time now, SchedulerActions* actions);
 
--- a/src/libs/scheduling/gang_table.h
+++ b/src/libs/scheduling/gang_table.h
@@ -1,7 +1,7 @@
-// Every gang that may hold a lease, and which accelerators they hold.
+// All gangs that may hold a lease.
 //
-// Invariant: for each member that is not gone, its accelerators are held in
-// the cluster model; a gang leaves the table when all its members are gone.
+// Invariant: the accelerators of each member that is not gone are held in the
+// cluster model. A gang is removed when all its members are gone.
 #ifndef THORNPLANK_SCHEDULING_GANG_TABLE_H_
 #define THORNPLANK_SCHEDULING_GANG_TABLE_H_
 
@@ -19,34 +19,35 @@
 
 class GangTable {
  public:
-  // `cluster` outlives the table.
+  // `cluster` must outlive the table.
   explicit GangTable(ClusterModel& cluster);
 
-  // Takes the gang in and holds its accelerators.
+  // Adds the gang and holds its accelerators in the cluster model.
   Gang& Add(std::unique_ptr<Gang> gang);
   Gang* Find(const std::string& gang_id);
   const Gang* Find(const std::string& gang_id) const;
-  // The gang and position of a member, or {nullptr, 0}.
+  // The gang that has the lease and the index of its member, or {nullptr, 0}.
   std::pair<Gang*, int> FindLease(const std::string& lease_id);
-  // Releases the accelerators when `state` is kGone. Returns false when the
-  // member was already gone.
+  // Releases the accelerators if `state` is kGone. Returns false and changes
+  // nothing if the member is already gone.
   bool SetState(Gang& gang, int member, MemberState state, Time now);
-  // Takes out a gang whose members are all gone.
+  // Removes a gang whose members are all gone.
   void Remove(const std::string& gang_id);
 
-  // In the order of gang ids, so that decisions are reproducible.
+  // Ordered by gang id, so that decisions are reproducible.
   const std::map<std::string, std::unique_ptr<Gang>>& gangs() const {
     return gangs_;
   }
-  // Ids of gangs with a member that may be held on `worker`.
+  // Ids of the gangs with a member on `worker` that is not gone.
   std::vector<std::string> GangsOn(WorkerIndex worker) const;
 
  private:
   ClusterModel& cluster_;
   std::map<std::string, std::unique_ptr<Gang>> gangs_;
+  // Gang and index of its member, by lease id.
   std::unordered_map<std::string, std::pair<Gang*, int>> leases_;
-  // By worker, how many members of each gang may be held there.
-  // Invariant: no count is 0.
+  // For each worker, the number of members of each gang on it that are not
+  // gone. Invariant: no count is 0.
   std::unordered_map<WorkerIndex, std::map<std::string, int>>
       members_by_worker_;
 };
--- a/src/libs/scheduling/guarantee_placement.cc
+++ b/src/libs/scheduling/guarantee_placement.cc
@@ -6,6 +6,7 @@
 namespace thornplank {
 namespace {
 
+// Whether jobs of `owner` may use the cell.
 bool IsOpenTo(const Cell& cell, const CellOwner& owner) {
   if (cell.retired || cell.owner.account != owner.account) return false;
   if (owner.event.empty()) {
@@ -14,7 +15,7 @@
   return cell.owner.event == owner.event || cell.lent_to == owner.event;
 }
 
-// `event` is not empty.
+// Whether only jobs of `event` may use the cell. `event` must not be empty.
 bool IsReservedForEvent(const Cell& cell, const std::string& event) {
   if (cell.retired) return false;
   return cell.owner.event == event || cell.lent_to == event;
@@ -29,7 +30,7 @@
   return cell;
 }
 
-// Cells that one demand amounts to.
+// Number of cells that `guaranteed` needs.
 int CellCount(const GuaranteedShape& guaranteed) {
   const bool rack = guaranteed.shape.adjacency == Adjacency::kRack;
   return rack ? guaranteed.count : guaranteed.count * guaranteed.shape.members;
@@ -57,7 +58,7 @@
   std::vector<Cell> added;
   for (const CellDemand& demand : demands) {
     int missing = CellCount(demand.guaranteed);
-    // Cells in use are kept before unused ones.
+    // Cells with allocations are kept in preference to unused ones.
     for (const bool in_use : {true, false}) {
       for (size_t i = 0; i < cells().size() && missing > 0; ++i) {
         const Cell& cell = cells()[i];
@@ -88,7 +89,8 @@
   return found;
 }
 
-// Members of `shape` that the unused part of the cell holds.
+// Number of members of `shape` that fit into the unallocated part of the cell,
+// or into the whole cell if `assume_unused`.
 int GuaranteePlacement::CountFreeMembers(const Cell& cell, const Shape& shape,
                                          bool assume_unused) const {
   const int size = cell.shape.accelerators_per_member;
@@ -104,9 +106,9 @@
   return members;
 }
 
-// Order of preference: an unused cell of exactly this shape; for members that
-// are independent, the account's one-member cells, those in use first; a rack
-// cell partly in use; the smallest unused rack cell; any mixture.
+// Order of preference: an unused rack cell of exactly this shape; for members
+// that need not share a rack, units, those in use first; a rack cell that is
+// partly in use; the smallest unused rack cell; any mixture of cells.
 std::optional<std::vector<int>> GuaranteePlacement::ChooseCells(
     const CellOwner& owner, const Shape& shape, bool assume_unused) const {
   struct Option {
@@ -135,7 +137,7 @@
               return a.cell < b.cell;
             });
   if (NeedsOneRack(shape)) {
-    // Members of one rack need one cell that holds them all.
+    // Only the slots of a single cell are known to lie in the same rack.
     for (const Option& option : options) {
       if (option.members >= shape.members) return std::vector<int>{option.cell};
     }
@@ -183,7 +185,8 @@
   return std::nullopt;
 }
 
-// Slots on free accelerators come first.
+// Allocates slots on free accelerators first. The result has fewer slots than
+// `shape` has members if the cells do not hold all of them.
 CellAllocation GuaranteePlacement::AllocateSlots(const std::vector<int>& chosen,
                                                  const Shape& shape) {
   struct Slot {
--- a/src/libs/scheduling/job_order.cc
+++ b/src/libs/scheduling/job_order.cc
@@ -6,7 +6,7 @@
 namespace thornplank {
 namespace {
 
-// Exponent of the accelerators when only fragmentation counts.
+// Exponent of the number of accelerators at a fragmentation weight of 1.
 constexpr double kSizeExponent = 0.15;
 constexpr double kMinExpectedSeconds = 0.05;
 
--- a/src/libs/scheduling/job_order.h
+++ b/src/libs/scheduling/job_order.h
@@ -1,4 +1,4 @@
-// In which order waiting jobs borrow.
+// The order in which waiting jobs may borrow accelerators.
 #ifndef THORNPLANK_SCHEDULING_JOB_ORDER_H_
 #define THORNPLANK_SCHEDULING_JOB_ORDER_H_
 
@@ -7,20 +7,22 @@
 namespace thornplank {
 
 struct BorrowCandidate {
-  // Since the job was submitted.
+  // Time since the job was submitted.
   Duration waited = Duration::zero();
-  // Corrected run time.
+  // Expected run time, corrected by the account's earlier jobs.
   Duration expected = Duration::zero();
   int accelerators = 1;
-  // Accelerators that the account borrows now over its share of all by weight.
+  // Accelerators that the account borrows now, divided by its share by weight
+  // of all accelerators.
   double borrowed_to_share_ratio = 0;
-  // 0: only completion time counts; 1: only fragmentation counts.
+  // From 0 (only completion time counts) to 1 (only fragmentation counts).
   double fragmentation_weight = 0.5;
 };
 
-// The job with the highest score goes first. The longer a job waited relative
-// to its run time, the higher; with fragmentation in mind, large ones count
-// more, since what they need comes free rarely.
+// Jobs are started in order of descending score. The score grows with the
+// waiting time relative to the expected run time and shrinks with what the
+// account already borrows. With `fragmentation_weight` above 0 it also grows
+// with the size of the job, since room for large jobs becomes free rarely.
 double BorrowScore(const BorrowCandidate& candidate);
 
 }  // namespace thornplank
--- a/src/libs/scheduling/job_record.h
+++ b/src/libs/scheduling/job_record.h
@@ -1,4 +1,4 @@
-// What the scheduler remembers of one job, and of jobs that are alike.
+// The scheduler's record of a job, and of a class of interchangeable jobs.
 #ifndef THORNPLANK_SCHEDULING_JOB_RECORD_H_
 #define THORNPLANK_SCHEDULING_JOB_RECORD_H_
 
@@ -13,10 +13,11 @@
 
 namespace thornplank {
 
-// Workers chosen for a job that still has to wait for borrowers to leave.
-// While it exists, its accelerators are claimed in the cluster model.
+// Workers chosen for a job that has to wait until borrowers on them have
+// stopped. While the plan exists, its accelerators are claimed in the cluster
+// model.
 struct ClaimedPlan {
-  // One per member.
+  // One worker per member.
   std::vector<WorkerIndex> workers;
   std::string reason;
 };
@@ -28,35 +29,40 @@
   JobPhase phase = JobPhase::kWaiting;
   std::string reason;
   Time submitted_at;
-  // The current attempt; empty while none is under way. Invariant: empty
-  // whenever phase is kWaiting or final.
+  // Gang of the current attempt; empty if there is none. Invariant: empty
+  // whenever `phase` is kWaiting or final.
   std::string gang_id;
   int attempts = 0;
   // Set only while waiting.
   std::optional<ClaimedPlan> plan;
-  // Slots of the guarantee that the plan or the gang uses, kept until the
-  // last lease is gone. Without it a gang is a borrower.
+  // Slots of the guarantee that are allocated to the plan or the gang, until
+  // its last lease is gone. A gang without an allocation is a borrower.
   std::optional<CellAllocation> allocation;
-  // Workers on which an attempt failed by itself.
+  // Workers on which a task of the job failed, one entry per failed attempt.
   std::vector<WorkerIndex> failed_on;
   std::string last_failure;
-  // Run time kept by checkpoints, for the expected run time: as reported, or
-  // the time run when a worker did not report it.
+  // Run time that checkpoints have saved: as reported by the workers, or the
+  // time the gang ran if a worker did not report it. Used to estimate the
+  // remaining run time.
   Duration saved_run_time = Duration::zero();
-  // The part of it that all members reported: the next attempt begins there.
+  // The part of saved_run_time that every member reported. The next attempt
+  // resumes there.
   Duration saved_progress = Duration::zero();
-  // Not placed before, after a failed start.
+  // The job is not placed before this time; set when a worker refused it.
   Time not_before;
 };
 
-// Jobs of one account, shape, event and priority: what fits one, fits all.
+// The jobs with the same account, shape, event and priority. Workers that fit
+// one of them fit all of them.
 struct JobClass {
   std::string account;
   Shape shape;
   std::string event;
   Priority priority = Priority::kNormal;
+  // In the order of submission.
   std::vector<JobRecord*> waiting;
-  // Since when no set of the declared workers could hold it.
+  // Since when the class could not run even if all declared workers were empty,
+  // or is forbidden by the rules of its account; nullopt if it could.
   std::optional<Time> infeasible_since;
   std::string infeasible_reason;
 
--- a/src/libs/scheduling/job_scheduler.h
+++ b/src/libs/scheduling/job_scheduler.h
@@ -1,17 +1,20 @@
-// Decides which gang runs where and when: the one place where jobs,
-// guarantees, events and workers meet.
+// Decides which gang runs where and when, given jobs, guarantees, events and
+// workers.
 //
-// Decision code: events and a Time go in, SchedulerActions come out, to be
-// carried out in their order. Only the coordinator of the current epoch holds
-// one; after a takeover it is rebuilt by SetWorkers, SetGuarantees, SetEvents,
-// Submit for every job that is not final, then Adopt for every gang found at
-// the workers, and then Tick. Nothing is placed before the first Tick.
+// Decision code without I/O: each call takes an event and the time and returns
+// SchedulerActions, which the caller carries out in order. Only the coordinator
+// of the current epoch has a JobScheduler. A new coordinator builds it by
+// calling SetWorkers, SetGuarantees and SetEvents, then Submit for every job
+// that is not final, then Adopt for every gang found at the workers, and then
+// Tick. Nothing is placed before the first Tick.
 //
-// What the carrier owes: it renews the leases of a gang until the StopGang of
-// that gang and never after it; it repeats a GrantGang or StopGang whose reply
-// was lost; it reports a member that had not confirmed as kGone only after a
-// stop with a newer token was answered by its worker, since an older grant
-// may still be on its way.
+// Requirements on the caller:
+// - It renews the leases of a gang until the StopGang of that gang, and never
+//   after that.
+// - It repeats a GrantGang or StopGang whose reply was lost.
+// - It reports an unconfirmed member as kGone only after the worker has
+//   answered a stop with a newer token, since an earlier grant may still be in
+//   flight.
 #ifndef THORNPLANK_SCHEDULING_JOB_SCHEDULER_H_
 #define THORNPLANK_SCHEDULING_JOB_SCHEDULER_H_
 
@@ -31,40 +34,44 @@
 class GuaranteePlacement;
 
 struct SchedulerOptions {
-  // Part of every gang and lease id: the coordinator's epoch, so that no two
-  // coordinators make the same id.
+  // The coordinator's epoch. It is part of every gang and lease id, so that no
+  // two coordinators create the same id.
   std::string id_prefix = "0";
-  // From GrantGang until the gang is stopped when a member has not confirmed.
+  // Time from GrantGang until the gang is stopped if a member is not confirmed.
   Duration start_timeout = std::chrono::seconds(10);
-  // Attempts of a job that fail by themselves before the job fails.
+  // Number of attempts that end by a failing task, on distinct workers that are
+  // not suspected, after which the job fails.
   int max_attempts = 3;
-  // A job is large when it needs at least this share of all accelerators...
+  // A job is large if it needs at least this share of all accelerators.
   double large_job_share = 0.05;
-  // ... and the oldest one gets a reservation after waiting this long.
+  // The oldest large job gets a reservation after waiting this long.
   Duration large_job_wait_bound = std::chrono::seconds(60);
-  // How often backfilled jobs that overrun may delay one reservation before
-  // nothing more is backfilled around it.
+  // Number of times that backfilled jobs may delay a reservation by overrunning
+  // before nothing more is backfilled around it.
   int max_reservation_delays = 3;
-  // Added to the measured checkpoint time, as a share of it, when borrowers
-  // are moved off before an event.
+  // Safety margin, as a share of the measured checkpoint time, that is added to
+  // it when borrowers are stopped ahead of an event.
   double checkpoint_margin = 0.5;
-  // Checkpoint time assumed for an account before one was measured.
+  // Checkpoint time assumed for an account until one has been measured.
   Duration assumed_checkpoint_time = std::chrono::seconds(10);
-  // Largest share of workers in quarantine at once.
+  // Largest share of the workers that may be in quarantine at the same time.
   double max_quarantined_share = 0.1;
-  // From quarantine until a probe is placed on the worker.
+  // Time in quarantine after which a probe is placed on the worker. Doubled
+  // after each failed probe, up to a limit.
   Duration quarantine_time = std::chrono::seconds(60);
-  // A waiting job that the declared workers could not hold even if empty, or
-  // that its account's rules forbid, fails after this long.
+  // A waiting job fails after this long if the declared workers could not hold
+  // it even when empty, or if the rules of its account forbid it.
   Duration infeasible_job_timeout = std::chrono::seconds(30);
-  // A worker that refused a grant gets none for this long, nor does the job.
+  // After a refused grant, neither the worker nor the job gets a new grant for
+  // this long.
   Duration refusal_backoff = std::chrono::seconds(5);
+  // Seed of the search for layouts of cells; see CellLayout.
   uint64_t seed = 1;
 };
 
-// How one member of a gang fared.
+// What became of one member of a gang.
 enum class MemberOutcome {
-  // The lease is granted, throttled.
+  // The lease is granted and throttled.
   kConfirmed,
   // The worker refused the grant: nothing is held there.
   kRefused,
@@ -72,40 +79,40 @@
   kFailed,
   // The task finished; the lease is held until stopped.
   kFinished,
-  // The lease is proved gone: stopped, lapsed or unknown to the worker.
+  // The lease is proved to be gone: stopped, lapsed or unknown to the worker.
   kGone,
 };
 
-// A gang found at takeover in the workers' own lease tables.
+// A gang that a new coordinator found in the lease tables of the workers.
 struct AdoptedGang {
   std::string job;
   std::string gang_id;
-  // Every member found, on all workers.
+  // All members found on any worker.
   std::vector<GangMember> members;
-  // Phase of the job by the job stream, or kCancelled when the stream holds
-  // a cancellation that was not carried through.
+  // Phase of the job according to the job stream, or kCancelled if the stream
+  // contains a cancellation that was not completed.
   JobPhase phase = JobPhase::kRunning;
-  // How long the gang has run; zero when unknown.
+  // How long the gang has run; zero if unknown.
   Duration ran_for = Duration::zero();
-  // Set when every member has saved its state and the job does not count it
-  // yet: the least progress over the members. The gang is stopped.
+  // The smallest progress over the members. Set if every member has saved its
+  // state and the job's progress does not include it yet; the gang is stopped.
   std::optional<Duration> saved_progress;
 };
 
-// What is known about one job, for callers and operators.
+// The state of one job, for callers and operators.
 struct JobStatus {
   JobSpec spec;
   JobPhase phase = JobPhase::kWaiting;
-  // Why it is in this phase; for a waiting job, what it waits for.
+  // Why the job is in this phase; for a waiting job, what it waits for.
   std::string reason;
-  // Empty when no attempt is under way.
+  // Empty if no attempt is in progress.
   std::string gang_id;
   std::vector<GangMember> members;
   int attempts = 0;
-  // Whether the gang uses its account's own guarantee.
+  // Whether the gang runs under the guarantee of its account.
   bool guaranteed = false;
-  // Run time saved by the checkpoints that completed on every member; a gang
-  // that starts begins there.
+  // Run time saved by checkpoints that completed on every member. A new attempt
+  // resumes there.
   Duration saved_progress = Duration::zero();
 };
 
@@ -116,35 +123,37 @@
   JobScheduler(const JobScheduler&) = delete;
   JobScheduler& operator=(const JobScheduler&) = delete;
 
-  // Replaces the set of workers. A worker missing from `workers` is treated
-  // as leaving while a gang of ours is on it.
+  // Replaces the set of workers. A worker missing from `workers` is treated as
+  // leaving while a gang still has a member on it.
   SchedulerActions SetWorkers(const std::vector<WorkerInfo>& workers, Time now);
-  // Replaces all guarantees. Call CheckGuaranteesFit first: a set that does
-  // not fit is taken as far as it goes and the rest reported as a shortfall.
+  // Replaces all guarantees. Call CheckGuaranteesFit first: if the guarantees
+  // do not fit, as many as possible are placed and the rest is reported as a
+  // shortfall.
   SchedulerActions SetGuarantees(const std::vector<AccountGuarantee>& accounts,
                                  Time now);
-  // Replaces all events. One that cannot be served whole is reported at once.
-  // An event stays until it is left out of a later call.
+  // Replaces all events; an event that is left out ends. An event that cannot
+  // be served completely is reported as a shortfall at once.
   SchedulerActions SetEvents(const std::vector<EventReservation>& events,
                              Time now);
 
-  // Takes a job in. A repeat of a known id changes nothing. `saved_progress`
-  // is what checkpoints under an earlier coordinator saved.
+  // Adds a job. A known id changes nothing. `saved_progress` is the run time
+  // that checkpoints under an earlier coordinator have saved.
   SchedulerActions Submit(const JobSpec& job, Time now,
                           Duration saved_progress = Duration::zero());
-  // No start after this. A running gang is stopped; the phase becomes
-  // kCancelled when no lease of it is left.
+  // The job is not started after this. A running gang is stopped; the phase
+  // becomes kCancelled when none of its leases is left.
   SchedulerActions Cancel(const std::string& job, Time now);
-  // A gang whose job is unknown, final or already has another gang, or which
-  // was found with part of its members only, is stopped.
+  // Takes over a gang that runs at the workers. The gang is stopped if its job
+  // is unknown, final or has another gang, or if some of its members are
+  // missing.
   SchedulerActions Adopt(const AdoptedGang& gang, Time now);
 
-  // The lease table of `worker` as answered to a call sent at `asked_at`. A
-  // lease that was confirmed before `asked_at` and is missing here is gone.
+  // The lease table that `worker` returned to a request sent at `asked_at`. A
+  // lease that was confirmed before `asked_at` and is missing from it is gone.
   SchedulerActions WorkerReported(const std::string& worker,
                                   const std::vector<LeaseReport>& leases,
                                   Time asked_at, Time now);
-  // Ignored when `gang_id` is not the job's current attempt.
+  // Ignored if `gang_id` is not the job's current attempt.
   SchedulerActions MemberResult(const std::string& job,
                                 const std::string& gang_id,
                                 const std::string& lease_id,
@@ -153,24 +162,25 @@
   // All members have saved their state.
   SchedulerActions CheckpointDone(const std::string& job,
                                   const std::string& gang_id, Time now);
-  // The worker cannot be reached. Every lease on it is held until
-  // `leases_lapse_at` (last renewal sent + term + margin for its clock).
+  // The worker is unreachable. Its leases count as held until
+  // `leases_lapse_at`: the time of the last renewal sent, plus the lease term,
+  // plus a margin for the worker's clock.
   SchedulerActions WorkerLost(const std::string& worker, Time leases_lapse_at,
                               Time now);
-  // The worker answers again; its lease table follows by WorkerReported.
+  // The worker is reachable again; WorkerReported with its lease table follows.
   SchedulerActions WorkerRecovered(const std::string& worker, Time now);
 
-  // Acts on what has come due and places what fits.
+  // Handles expired deadlines and places the jobs that fit.
   SchedulerActions Tick(Time now);
-  // When Tick is next needed if nothing else happens; nullopt when never.
+  // When Tick is next needed if no other event comes; nullopt if never.
   std::optional<Time> NextWake() const;
 
   std::optional<JobStatus> job(const std::string& id) const;
-  // Workers that take no gang because of their failures.
+  // Workers that get no gang because of their failures, except as probes.
   std::vector<std::string> quarantined_workers() const;
   // Accelerators not held by any lease on workers that may be used.
   int free_accelerators() const;
-  // Where every guarantee would be honoured now.
+  // The current placement of all guarantees.
   const GuaranteePlacement& guarantee_placement() const;
 
  private:
@@ -178,14 +188,14 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// Why the guarantees cannot all be held at once by `workers` (none of them
-// lost), or nullopt when they can.
+// Why `workers`, all of them reachable, cannot honour all guarantees at the
+// same time; nullopt if they can.
 std::optional<std::string> CheckGuaranteesFit(
     const std::vector<WorkerInfo>& workers,
     const std::vector<AccountGuarantee>& guarantees);
 
-// Why `job` can never run on `workers` even when all are empty, or by the
-// rules of its account; nullopt when it can.
+// Why `job` can never run, either on `workers` even when all are empty or by
+// the rules of its account; nullopt if it can.
 std::optional<std::string> CheckJobCanEverRun(
     const JobSpec& job, const std::vector<WorkerInfo>& workers,
     const std::vector<AccountGuarantee>& guarantees);
--- a/src/libs/scheduling/job_types.h
+++ b/src/libs/scheduling/job_types.h
@@ -1,7 +1,7 @@
-// The words that jobs, guarantees, events and workers are described in.
+// Value types that describe jobs, guarantees, events and workers.
 //
-// Plain values shared by the scheduler, the fold of the job stream and the
-// carrier of jobs. Nothing here decides anything.
+// They are shared by the scheduler, the fold of the job stream and the code
+// that carries out scheduling decisions, and contain no scheduling logic.
 #ifndef THORNPLANK_SCHEDULING_JOB_TYPES_H_
 #define THORNPLANK_SCHEDULING_JOB_TYPES_H_
 
@@ -15,14 +15,14 @@
 
 namespace thornplank {
 
-// Where the members of a gang may lie relative to each other.
+// How close to each other the members of a gang must be placed.
 enum class Adjacency {
   kAnywhere,
   // All members within one rack.
   kRack,
 };
 
-// What a gang needs. Several members may share a worker.
+// The resources that a gang needs. Several members may share a worker.
 struct Shape {
   int members = 1;
   int accelerators_per_member = 1;
@@ -34,27 +34,29 @@
            accelerators_per_member == other.accelerators_per_member &&
            adjacency == other.adjacency;
   }
-  // "4x8 in one rack".
+  // For example "4x8 in one rack" for 4 members of 8 accelerators each.
   std::string ToString() const;
 };
 
-// `count` gangs of `shape` can run at once at any moment.
+// Guarantees that `count` gangs of `shape` can run at the same time.
 struct GuaranteedShape {
   Shape shape;
   int count = 1;
 };
 
-// What a client account holds, with the effective settings of its node.
+// The guarantee of a client account and its effective scheduling settings.
 struct AccountGuarantee {
   std::string account;
   std::vector<GuaranteedShape> shapes;
-  // Share of borrowed accelerators relative to other accounts; above 0.
+  // Weight of the account when free accelerators are shared among borrowers;
+  // above 0.
   double weight = 1.0;
-  // Whether jobs beyond the guarantee may use what others leave unused.
+  // Whether jobs beyond the guarantee may use accelerators that guarantees of
+  // others leave unused.
   bool borrowing = true;
-  // 0: only completion time counts; 1: only fragmentation counts.
+  // From 0 (only completion time counts) to 1 (only fragmentation counts).
   double fragmentation_weight = 0.5;
-  // From the order to checkpoint until a reclaimed gang of this account is
+  // Time from the checkpoint request until a reclaimed gang of this account is
   // stopped, whether or not the checkpoint is done.
   Duration checkpoint_deadline = std::chrono::seconds(30);
 };
@@ -68,13 +70,14 @@
   int accelerators = 0;
   int cores = 0;
   int64_t memory_mb = 0;
-  // Takes no new gang; the gangs on it are moved off whole.
+  // Gets no new gang; every gang with a member on it is checkpointed and placed
+  // elsewhere.
   bool leaving = false;
 };
 
 enum class Priority {
   kNormal,
-  // Placed before all normal work; may reclaim borrowers.
+  // Placed before all normal jobs; may stop borrowers to get accelerators.
   kUrgent,
 };
 
@@ -82,16 +85,17 @@
   std::string id;
   std::string account;
   Shape shape;
-  // Run time as the caller declared it; often wrong. Zero when unknown.
+  // Run time declared by the caller, often inaccurate. Zero if unknown.
   Duration declared_run_time = Duration::zero();
   Priority priority = Priority::kNormal;
-  // Name of the event that the job belongs to; empty when none.
+  // Name of the event that the job belongs to; empty if none.
   std::string event;
-  // Position in the job stream: the order of arrival over all accounts.
+  // Offset of the submission in the job stream, which gives the order of
+  // arrival over all accounts.
   int64_t submitted_order = 0;
 };
 
-// Shapes that must be free at a fixed start.
+// Capacity for `shapes` that must be free at a fixed start time.
 struct EventReservation {
   std::string name;
   std::string account;
@@ -106,9 +110,9 @@
   kStarting,
   // All members confirmed and the throttle lifted.
   kRunning,
-  // Told to save its state before it is stopped.
+  // Asked to save its state, to be stopped after that.
   kCheckpointing,
-  // Told to stop; some lease may still be held.
+  // Asked to stop; some leases may still be held.
   kStopping,
   // The last three are final.
   kFinished,
@@ -116,12 +120,12 @@
   kFailed,
 };
 
-// "waiting", "starting", ...
+// The name used in records and APIs, for example "waiting".
 std::string_view JobPhaseName(JobPhase phase);
 std::optional<JobPhase> JobPhaseFromName(std::string_view name);
 bool IsFinal(JobPhase phase);
 
-// One member of one attempt, held by one lease.
+// One member of a gang, with the lease that holds its accelerators.
 struct GangMember {
   std::string worker;
   std::string lease_id;
--- a/src/libs/scheduling/large_job_reservation.cc
+++ b/src/libs/scheduling/large_job_reservation.cc
@@ -5,7 +5,8 @@
 namespace thornplank {
 namespace {
 
-// Counts the member slots of a shape per rack while accelerators come free.
+// Counts how many members of a shape fit, in all and in each rack, while
+// accelerators are released.
 class SlotCounter {
  public:
   SlotCounter(const ClusterModel& cluster, const Shape& shape,
--- a/src/libs/scheduling/large_job_reservation.h
+++ b/src/libs/scheduling/large_job_reservation.h
@@ -1,10 +1,10 @@
-// The one reservation for a large job that waited too long.
+// A reservation for a large job that has waited too long. There is at most one.
 //
-// It names workers and a start. Others may run on these workers meanwhile if
-// they are expected to end before the start. Expectations are wrong at times:
-// each time the start passes without the job being placed counts as a delay,
-// and after a bounded number of them the reservation is exhausted, upon which
-// the scheduler claims the accelerators for the job.
+// It consists of workers and a start time. Other jobs may be backfilled on
+// these workers if they are expected to end before the start. As the expected
+// run times may be wrong, each start that passes without the job being placed
+// counts as a delay. After a limited number of delays the reservation is
+// exhausted and the scheduler claims accelerators for the job.
 #ifndef THORNPLANK_SCHEDULING_LARGE_JOB_RESERVATION_H_
 #define THORNPLANK_SCHEDULING_LARGE_JOB_RESERVATION_H_
 
@@ -18,20 +18,21 @@
 
 namespace thornplank {
 
-// Accelerators that are expected to come free.
+// Accelerators that are expected to become free at `at`.
 struct ExpectedRelease {
   Time at;
   WorkerIndex worker = kNoWorker;
   int accelerators = 0;
 };
 
+// The earliest time at which a gang is expected to fit, and its workers then.
 struct EarliestStart {
   Time at;
   Placement placement;
 };
 
-// When `shape` first fits, given `room` now and `releases` later; nullopt when
-// it doesn't after the last of them.
+// When and where `shape` first fits if `room` is free now and `releases`
+// follow. nullopt if it does not fit even after the last release.
 std::optional<EarliestStart> FindEarliestStart(
     const ClusterModel& cluster, const Shape& shape, AcceleratorsByWorker room,
     std::vector<ExpectedRelease> releases, Time now, const PlacementCost& cost);
@@ -44,25 +45,27 @@
   const std::string& job() const { return job_; }
   Time start() const { return start_; }
   int delays() const { return delays_; }
-  // No more delay is allowed.
+  // Whether the allowed number of delays is used up.
   bool exhausted() const { return delays_ >= max_delays_; }
 
-  // For another job than before the delays are counted anew.
+  // Sets or updates the reservation. The delays are reset if `job` is a
+  // different job than before.
   void Reserve(const std::string& job, const Shape& shape,
                const EarliestStart& earliest);
   void Clear();
   // The start passed without the job being placed.
   void CountDelay() { ++delays_; }
 
-  // Whether a job that ends at `expected_end` may use the reserved workers
-  // without regard to the reservation.
+  // Whether a job that is expected to end at `expected_end` may be backfilled
+  // on the reserved workers.
   bool EndsInTime(Time expected_end) const;
-  // Takes from `room` what the job needs at the start. `in_use_at_start` holds,
-  // per worker, the accelerators in use that are not expected free by then.
+  // Subtracts from `room` the accelerators that the job needs at the start.
+  // `in_use_at_start` are those in use that are not expected to be free by
+  // then.
   void SubtractReserved(const ClusterModel& cluster,
                         const AcceleratorsByWorker& in_use_at_start,
                         AcceleratorsByWorker* room) const;
-  // Whether a worker of the reservation can no longer be used.
+  // Whether a worker of the reservation is no longer usable.
   bool HasUnusableWorker(const ClusterModel& cluster) const;
 
  private:
--- a/src/libs/scheduling/placement_costs.cc
+++ b/src/libs/scheduling/placement_costs.cc
@@ -5,13 +5,15 @@
 namespace thornplank {
 namespace {
 
-// Displacing anyone weighs more than any loss of large shapes.
+// Cost of displacing any borrower; exceeds the cost of any loss of large
+// shapes.
 constexpr double kDisplacementCost = 1e4;
+// Cost of a worker on which the job has failed; far above that of displacement.
 constexpr double kPreviousFailureCost = 1e9;
-// Borrowing what a guarantee may soon call back, per accelerator.
+// Cost per borrowed accelerator that a guarantee may soon reclaim.
 constexpr double kReservedAcceleratorCost = 0.05;
-// Each second by which a rack comes free later than without the gang, in
-// accelerators of large shapes lost.
+// Cost per second by which the gang delays the time at which its rack is
+// entirely free, in accelerators lost to large shapes.
 constexpr double kRackExtensionCostPerSecond = 0.2;
 
 bool FailedOn(const JobRecord& job, WorkerIndex worker) {
--- a/src/libs/scheduling/placement_costs.h
+++ b/src/libs/scheduling/placement_costs.h
@@ -1,5 +1,5 @@
-// What weighs on the choice of workers: displaced work, large shapes that
-// become impossible, and workers where the job failed before.
+// Cost functions for the choice of workers. They weigh displaced work, large
+// shapes that can no longer be placed, and workers on which the job has failed.
 #ifndef THORNPLANK_SCHEDULING_PLACEMENT_COSTS_H_
 #define THORNPLANK_SCHEDULING_PLACEMENT_COSTS_H_
 
@@ -12,11 +12,11 @@
 
 namespace thornplank {
 
-// For gangs that may displace borrowers.
+// Cost for gangs that may displace borrowers.
 class DisplacingCost : public PlacementCost {
  public:
-  // `displacement` is the work lost per accelerator by worker. All references
-  // outlive the object.
+  // `displacement` is the work lost per displaced accelerator, by worker. All
+  // references must outlive the object.
   DisplacingCost(const ClusterModel& cluster,
                  const FragmentationScore& fragmentation,
                  const std::vector<double>& displacement, const JobRecord& job);
@@ -32,20 +32,21 @@
   const JobRecord& job_;
 };
 
-// What borrowing weighs, shared by the jobs of one round.
+// Input to BorrowingCost that is the same for all jobs of a round.
 struct BorrowingContext {
   const FragmentationScore& fragmentation;
-  // What guarantees hold unused, by worker.
+  // Accelerators that guarantees reserve and do not use.
   const AcceleratorsByWorker& unused_reserved;
   // When the last gang of each rack is expected to end.
   const std::vector<Time>& rack_end_times;
 };
 
-// For gangs that use free accelerators only. Racks whose gangs end late anyway
-// are preferred for long gangs, so that others come free as a whole.
+// Cost for gangs that use free accelerators only. Long gangs prefer racks whose
+// current gangs end late anyway, so that other racks become entirely free.
 class BorrowingCost : public PlacementCost {
  public:
-  // `expected_end` is that of the gang. The references outlive the object.
+  // `expected_end` is the expected end of the gang. All references must outlive
+  // the object.
   BorrowingCost(const BorrowingContext& view, const AcceleratorsByWorker& room,
                 const JobRecord& job, Time expected_end);
 
--- a/src/libs/scheduling/placement_round.cc
+++ b/src/libs/scheduling/placement_round.cc
@@ -11,7 +11,8 @@
 namespace thornplank {
 namespace {
 
-// Borrowers that one decision starts, so that none takes long.
+// Limits the number of borrowers started per decision, so that no decision
+// takes long.
 constexpr int kMaxStartsPerRound = 8;
 
 bool ArrivedLater(const JobRecord* a, const JobRecord* b) {
@@ -93,7 +94,7 @@
   }
 }
 
-// Whether the leases of others leave the accelerators free, claims aside.
+// Whether the accelerators are free of leases; claims do not count.
 bool PlacementRound::IsFreeNow(const JobRecord& job,
                                const std::vector<WorkerIndex>& workers) const {
   std::map<WorkerIndex, int> needed;
@@ -139,7 +140,7 @@
   const std::vector<JobRecord*> waiting = job_class.waiting;
   for (JobRecord* job : waiting) {
     if (!MayStart(*job)) continue;
-    // What does not fit for one does not fit for the next of the class.
+    // If one job of the class does not fit, the others do not fit either.
     if (!TryGuaranteed(*job)) return;
   }
 }
@@ -229,9 +230,9 @@
              state_.guarantee_placement.UnusedReservedFor(event);
 }
 
-// Free accelerators that the job may borrow: none that an event needs before
-// the job can be out of the way, none that the reserved job needs, none where
-// it failed before.
+// Free accelerators that the job may borrow. Excludes those that an event needs
+// before the job could be stopped, those that the reserved job needs, and
+// workers on which the job has failed.
 AcceleratorsByWorker PlacementRound::BorrowableAccelerators(
     const JobRecord& job, bool ignore_reservation) {
   AcceleratorsByWorker room = state_.cluster.FreeByWorker();
@@ -306,7 +307,8 @@
     return ArrivedLater(a.second, b.second);
   };
   std::make_heap(entries.begin(), entries.end(), lower);
-  // Classes, with limits, that found no room: it only shrinks in a round.
+  // Classes, with their constraints, that did not fit. Free accelerators only
+  // decrease during a round, so these need not be tried again.
   std::set<std::pair<int, std::set<std::string>>> without_room;
   int started = 0;
   while (!entries.empty()) {
@@ -396,7 +398,8 @@
       state_.cluster, job.spec.shape, BorrowableAccelerators(job, true),
       snapshot_.Releases(), now_, cost);
   if (!earliest) {
-    // Not even when everything ends: other workers have to come back first.
+    // The job would not fit even if every gang ended. More workers have to
+    // become usable first.
     state_.reservation.Clear();
     return;
   }
@@ -421,7 +424,8 @@
   }
 }
 
-// The shortest normal job that fits the worker alone.
+// The job of normal priority with the shortest expected run time that fits on
+// the worker alone.
 JobRecord* PlacementRound::FindProbeJob(WorkerIndex worker) const {
   JobRecord* best = nullptr;
   for (const JobClass& job_class : state_.classes) {
--- a/src/libs/scheduling/placement_round.h
+++ b/src/libs/scheduling/placement_round.h
@@ -1,5 +1,5 @@
-// One round of placing: what is guaranteed first, then urgent work, then the
-// borrowers around the reservation of the oldest large job.
+// One round of placement. Guaranteed jobs are placed first, then urgent jobs,
+// then borrowers are backfilled around the reservation of the oldest large job.
 #ifndef THORNPLANK_SCHEDULING_PLACEMENT_ROUND_H_
 #define THORNPLANK_SCHEDULING_PLACEMENT_ROUND_H_
 
@@ -14,7 +14,7 @@
 
 namespace thornplank {
 
-// Starts an attempt on the given workers, one per member.
+// Starts an attempt of a job on the given workers, one worker per member.
 class GangStarter {
  public:
   virtual ~GangStarter() = default;
@@ -25,19 +25,22 @@
 
 class PlacementRound {
  public:
-  // Both outlive the object, which serves one decision at `now`.
+  // `state` and `starter` must outlive the object, which serves a single
+  // decision at `now`.
   PlacementRound(SchedulerState& state, GangStarter& starter, Time now);
 
-  // Looks at every waiting job. Returns false when it stopped early, having
-  // started as many borrowers as one decision may: another round is due.
+  // Tries to place every waiting job. Returns false if it stopped early because
+  // it has started as many borrowers as one decision may; another round is then
+  // due.
   bool Run();
-  // Looks at one job that was just submitted; nothing else has changed.
+  // Tries to place one job that was just submitted, when nothing else changed.
   void RunForJob(JobRecord& job);
-  // Starts the plans whose accelerators have come free and drops those that
-  // can no longer be carried out.
+  // Starts the plans whose accelerators have become free and drops the plans
+  // that can no longer be carried out.
   void StartReadyPlans();
 
  private:
+  // Whether the job waits without a plan and its earliest start has come.
   bool MayStart(const JobRecord& job) const;
   bool MayBorrow(const JobClass& job_class) const;
 
@@ -48,6 +51,7 @@
 
   void PlaceUrgent();
   bool TryUrgent(JobRecord& job);
+  // Plans the job on accelerators that borrowers have to give back.
   bool ClaimFromBorrowers(JobRecord& job, const std::string& reason);
 
   bool PlaceBorrowers();
@@ -55,11 +59,12 @@
   double ScoreOf(const JobRecord& job) const;
   AcceleratorsByWorker BorrowableAccelerators(const JobRecord& job,
                                               bool ignore_reservation);
-  // What its expected end keeps the job off: the reservation and events, by
-  // name. Jobs of one class with the same limits have the same room.
+  // The constraints on the job that follow from its expected end: the names of
+  // the events whose accelerators it must avoid, and "" for the reservation.
+  // Jobs of one class with the same constraints may use the same accelerators.
   std::set<std::string> ConstraintsOf(const JobRecord& job) const;
   bool MustAvoidReservation(const JobRecord& job, Time end) const;
-  // Looks at what borrowing weighs.
+  // Computes the input to the costs and limits of borrowing.
   void PrepareBorrowing();
   void StartBorrowing(JobRecord& job, const Placement& placement,
                       const std::string& reason);
@@ -84,7 +89,8 @@
   std::vector<double> displacement_cost_;
   AcceleratorsByWorker unused_reserved_;
   std::vector<Time> rack_end_times_;
-  // In use past the start of the reservation; kept up to date while placing.
+  // Accelerators in use past the start of the reservation; updated while gangs
+  // are started. Empty until PrepareBorrowing.
   AcceleratorsByWorker in_use_at_start_;
   std::map<std::string, AcceleratorsByWorker> reserved_for_event_;
 };
--- a/src/libs/scheduling/placement_search.cc
+++ b/src/libs/scheduling/placement_search.cc
@@ -13,11 +13,12 @@
   double cost = 0;
 };
 
+// The members of a gang that a rack can take, and the cost of that.
 struct RackOffer {
   int rack = 0;
   int members = 0;
   double cost = 0;
-  // Slots of the rack that stay unused.
+  // Slots of the rack that remain unused.
   int spare_slots = 0;
   Placement share;
 };
@@ -45,7 +46,7 @@
   return candidates;
 }
 
-// The share of at most `wanted` members that `rack` would take.
+// The cheapest placement of at most `wanted` members in `rack`.
 RackOffer MakeRackOffer(const ClusterModel& cluster, int rack, int wanted,
                         const Shape& shape, const AcceleratorsByWorker& room,
                         const PlacementCost& cost) {
@@ -82,7 +83,7 @@
   return a.rack < b.rack;
 }
 
-// Fills racks from the cheapest on, whatever their number.
+// Fills racks in order of cost per member until all members are placed.
 std::optional<RackOffer> SpreadOverRacks(const ClusterModel& cluster,
                                          std::vector<RackOffer> offers,
                                          const Shape& shape,
@@ -117,7 +118,7 @@
   return offers;
 }
 
-// The cheapest single rack that holds all of it.
+// The cheapest offer of a single rack that holds all members, or nullptr.
 const RackOffer* CheapestSingleRackOffer(const std::vector<RackOffer>& offers,
                                          int members) {
   const RackOffer* best = nullptr;
--- a/src/libs/scheduling/placement_search.h
+++ b/src/libs/scheduling/placement_search.h
@@ -1,9 +1,11 @@
-// Finds workers for one gang within given room.
+// Finds workers for one gang within the given free accelerators.
 //
-// Works rack by rack, so that its cost grows linearly with the workers: a
-// rack-adjacent gang takes the cheapest rack that holds it whole, any other
-// gang fills racks from the cheapest on. Within a rack the fullest workers
-// that still hold a member come first.
+// The search goes rack by rack, so that its cost grows linearly with the number
+// of workers. A gang that must lie in one rack gets the cheapest rack that
+// holds all of it. Any other gang gets the cheapest single rack, or fills
+// several racks in order of cost if that is cheaper. Within a rack, workers are
+// taken in order of cost; at equal cost the fullest worker that holds a member
+// comes first (best fit).
 #ifndef THORNPLANK_SCHEDULING_PLACEMENT_SEARCH_H_
 #define THORNPLANK_SCHEDULING_PLACEMENT_SEARCH_H_
 
@@ -15,20 +17,20 @@
 
 namespace thornplank {
 
-// What using a worker costs beside the room itself; lower is better.
+// The cost of a placement. Lower is better.
 class PlacementCost {
  public:
   virtual ~PlacementCost() = default;
   // Cost of one member on `worker`.
   virtual double WorkerCost(WorkerIndex worker) const = 0;
-  // Cost of the whole change in `rack`: `share` is placed there, leaving
-  // `room_after` in place of `room` on the workers of `share`.
+  // Additional cost of placing `share` of a gang in `rack`. `room` are the free
+  // accelerators before that.
   virtual double RackCost(int rack, const Placement& share,
                           int accelerators_per_member,
                           const AcceleratorsByWorker& room) const = 0;
 };
 
-// Nothing costs anything: plain best fit.
+// All placements cost the same, which results in plain best fit.
 class NoPlacementCost : public PlacementCost {
  public:
   double WorkerCost(WorkerIndex worker) const override;
@@ -36,17 +38,17 @@
                   const AcceleratorsByWorker& room) const override;
 };
 
-// Workers for `shape` within `room` (by WorkerIndex), or nullopt.
+// Workers for `shape` on the accelerators in `room`, or nullopt if none fit.
 std::optional<Placement> FindPlacement(const ClusterModel& cluster,
                                        const Shape& shape,
                                        const AcceleratorsByWorker& room,
                                        const PlacementCost& cost);
 
-// Whether `room` holds `shape` at all; cheaper than FindPlacement.
+// Whether FindPlacement would find a placement; cheaper than finding it.
 bool Fits(const ClusterModel& cluster, const Shape& shape,
           const AcceleratorsByWorker& room);
 
-// The worker of each member, in order.
+// The worker of each member, one entry per member.
 std::vector<WorkerIndex> MemberWorkers(const Placement& placement);
 
 }  // namespace thornplank
--- a/src/libs/scheduling/reclaimer.cc
+++ b/src/libs/scheduling/reclaimer.cc
@@ -5,12 +5,15 @@
 namespace thornplank {
 namespace {
 
-// An urgent borrower leaves only when no other one will do.
+// Added to the work lost by stopping an urgent borrower, so that one is stopped
+// only if no other borrower would do. In accelerator seconds.
 constexpr double kUrgentVictimCost = 1e6;
-// Events are settled this long before the first borrower has to be told.
+// The cells of an event are pinned this long before the first borrower may have
+// to be stopped for it.
 constexpr Duration kEventPreparationTime = std::chrono::seconds(1);
 
-// Moving an event's cells costs the work that its borrowers would lose.
+// The cost of a place for an event's cells is the work that the borrowers there
+// would lose.
 class DisplacementPlacementCost : public NoPlacementCost {
  public:
   DisplacementPlacementCost(const ClusterModel& cluster,
@@ -129,7 +132,7 @@
   for (const std::string& id :
        SelectVictims(missing, Candidates(snapshot, true, now))) {
     Gang& gang = *state_.gangs.Find(id);
-    // Those that are saved faster run on until their own time comes.
+    // Gangs that are checkpointed faster run on until their own reclaim time.
     if (now < EventCalendar::ReclaimTime(
                   event, state_.ReclaimLeadTime(gang.account()))) {
       continue;
--- a/src/libs/scheduling/reclaimer.h
+++ b/src/libs/scheduling/reclaimer.h
@@ -1,5 +1,5 @@
-// Moves borrowers off: for plans that wait for their accelerators, and for
-// events before their fixed start.
+// Stops borrowers whose accelerators are needed: by plans that wait for them,
+// and by events before their fixed start.
 #ifndef THORNPLANK_SCHEDULING_RECLAIMER_H_
 #define THORNPLANK_SCHEDULING_RECLAIMER_H_
 
@@ -16,26 +16,28 @@
 
 class Reclaimer {
  public:
-  // Both outlive the object.
+  // Both must outlive the object.
   Reclaimer(SchedulerState& state, GangStopper& stopper);
 
-  // Starts the leaving of whatever borrower still stands in the way.
+  // Requests the stop of every borrower that has to give way now.
   void Run(Time now);
-  // Lends cells to the events that come near and settles them where the
-  // least work is lost.
+  // Lends cells to events that start soon and pins them where the least work of
+  // borrowers is lost.
   void PrepareEvents(const ClusterSnapshot& snapshot, Time now);
-  // When the next event has to be looked at; nullopt when none is ahead.
+  // When an event next requires an action; nullopt if no event is ahead.
   std::optional<Time> NextDue(Time now) const;
 
  private:
-  // Which plans' claims are served.
+  // The plans for which accelerators are reclaimed: those under a guarantee, or
+  // all.
   enum class PlanFilter { kGuaranteed, kAll };
 
   void ReclaimForPlans(PlanFilter claims, const ClusterSnapshot& snapshot,
                        Time now);
   void ReclaimForEvent(const EventReservation& event,
                        const ClusterSnapshot& snapshot, Time now);
-  // Claimed accelerators per worker beyond what is free or coming free.
+  // For each worker in `claimed`, the claimed accelerators minus those that are
+  // free or held by gangs that are being stopped. May be negative.
   std::map<WorkerIndex, int> AcceleratorsToReclaim(
       const std::map<WorkerIndex, int>& claimed,
       const ClusterSnapshot& snapshot) const;
--- a/src/libs/scheduling/run_time_estimator.cc
+++ b/src/libs/scheduling/run_time_estimator.cc
@@ -6,12 +6,15 @@
 namespace thornplank {
 namespace {
 
-// Weight of the newest run time in the means, once several are known.
+// Smallest weight of a new run time in the averages. The first samples have a
+// larger weight: each is 1 / number of samples.
 constexpr double kMinSampleWeight = 0.1;
 constexpr double kMaxCorrectionFactor = 50;
-// Expected of a job of which neither it nor its account says anything.
+// Expected run time if neither the job nor the history of its account gives
+// one.
 constexpr Duration kDefaultRunTime = std::chrono::seconds(600);
-// A job that overran is expected to run on for this share of what it ran.
+// The expected remaining run time of a job that overran, as a share of the time
+// it has run.
 constexpr double kOverrunShare = 0.25;
 constexpr Duration kMinRemainingRunTime = std::chrono::milliseconds(100);
 constexpr size_t kMaxCheckpoints = 16;
--- a/src/libs/scheduling/run_time_estimator.h
+++ b/src/libs/scheduling/run_time_estimator.h
@@ -1,5 +1,6 @@
-// Learns, per account, how far declared run times are from the truth, and how
-// long checkpoints take.
+// Estimates run times and checkpoint times from the history of each account.
+// Declared run times are corrected by the ratio of actual to declared run
+// times.
 #ifndef THORNPLANK_SCHEDULING_RUN_TIME_ESTIMATOR_H_
 #define THORNPLANK_SCHEDULING_RUN_TIME_ESTIMATOR_H_
 
@@ -13,25 +14,30 @@
 
 class RunTimeEstimator {
  public:
-  // `assumed_checkpoint_time` holds for an account until one was measured.
+  // `assumed_checkpoint_time` is used for an account until a checkpoint has
+  // been measured.
   explicit RunTimeEstimator(Duration assumed_checkpoint_time);
 
-  // A job that was declared to run for `declared` ran for `actual` in all.
+  // A job with the declared run time `declared` (zero: unknown) ran for
+  // `actual` in total.
   void RecordRunTime(const std::string& account, Duration declared,
                      Duration actual);
-  // Expected run time in all of a job declared as `declared` (zero: unknown).
+  // Expected total run time of a job with the declared run time `declared`
+  // (zero: unknown).
   Duration ExpectedRunTime(const std::string& account, Duration declared) const;
-  // Expected time left after `ran_for`; grows with a job that overruns.
+  // Expected remaining run time after `ran_for`. Grows with `ran_for` once the
+  // job overruns its expected run time.
   Duration RemainingRunTime(const std::string& account, Duration declared,
                             Duration ran_for) const;
-  // Expected over declared run time; 1 before anything is known.
+  // Ratio of expected to declared run time; 1 without history.
   double correction_factor(const std::string& account) const;
 
   void RecordCheckpoint(const std::string& account, Duration took);
   void RecordHungCheckpoint(const std::string& account);
-  // Longest of the latest checkpoints of the account.
+  // The longest of the account's recent checkpoints that completed in time.
   Duration CheckpointTime(const std::string& account) const;
-  // Share of the latest checkpoints that were not done in time, 0 to 1.
+  // Share of the account's recent checkpoints that did not complete in time,
+  // from 0 to 1.
   double HungCheckpointShare(const std::string& account) const;
 
  private:
@@ -40,12 +46,13 @@
     bool hung;
   };
   struct Account {
-    // Mean of ln(actual / declared), the latest counting most.
+    // Moving average of ln(actual / declared).
     double log_factor = 0;
+    // Number of recorded run times.
     int finished = 0;
-    // Mean run time in seconds, for jobs that declare none.
+    // Moving average of the run time in seconds, for jobs that declare none.
     double mean_seconds = 0;
-    // The latest last, at most kMaxCheckpoints.
+    // The most recent checkpoints, at most kMaxCheckpoints, newest last.
     std::deque<Checkpoint> checkpoints;
   };
 
--- a/src/libs/scheduling/scheduler_actions.h
+++ b/src/libs/scheduling/scheduler_actions.h
@@ -1,4 +1,4 @@
-// What the job scheduler asks its carrier to do.
+// The actions that the job scheduler asks its caller to carry out.
 #ifndef THORNPLANK_SCHEDULING_SCHEDULER_ACTIONS_H_
 #define THORNPLANK_SCHEDULING_SCHEDULER_ACTIONS_H_
 
@@ -10,23 +10,23 @@
 
 namespace thornplank {
 
-// Grant every member its lease, throttled. `gang_id` is new for each attempt.
-// A lost reply is repeated with the same lease ids.
+// Grant a throttled lease to every member. `gang_id` is new for each attempt.
+// If a reply is lost, the grant is repeated with the same lease ids.
 struct GrantGang {
   std::string job;
   std::string gang_id;
   std::vector<GangMember> members;
-  // Why this job now and why these workers, for the log.
+  // Why the job was placed, for the log.
   std::string reason;
 };
 
-// All members confirmed: release the throttle of every member.
+// All members are confirmed: lift the throttle of every member.
 struct LiftThrottle {
   std::string job;
   std::string gang_id;
 };
 
-// Save the state of every member; report through
+// Save the state of every member. Completion is reported through
 // JobScheduler::WorkerReported (state kCheckpointed) or CheckpointDone.
 struct CheckpointGang {
   std::string job;
@@ -34,34 +34,34 @@
   std::string reason;
 };
 
-// Stop every member that may still hold a lease, and release the lease.
-// Repeat until each worker reports it gone or its lease has lapsed; a repeat
-// of this action for the same gang changes nothing.
+// Stop every member that may still hold a lease, and release the lease. To be
+// repeated to each worker until it reports the lease as gone or the lease has
+// lapsed. Repeating this action for the same gang changes nothing.
 struct StopGang {
   std::string job;
   std::string gang_id;
   std::string reason;
 };
 
-// Stop one lease that belongs to no gang of ours: of an older attempt, or
-// unknown at takeover.
+// Stop one lease that belongs to no current gang, such as the lease of an
+// earlier attempt or one that a new coordinator does not know.
 struct StopLease {
   std::string worker;
   std::string lease_id;
   std::string reason;
 };
 
-// The carrier appends it to the job stream.
+// The phase of a job changed. The caller appends this to the job stream.
 struct PhaseChanged {
   std::string job;
   JobPhase phase = JobPhase::kWaiting;
   std::string reason;
-  // JobStatus::saved_progress at this moment.
+  // JobStatus::saved_progress at the time of the change.
   Duration saved_progress = Duration::zero();
 };
 
-// A guarantee or an event that cannot be served whole now. An empty `text`
-// takes an earlier report of the same account or event back.
+// A guarantee or an event that cannot be served completely now. An empty `text`
+// withdraws the earlier report about the same account or event.
 struct ReportShortfall {
   enum class Subject { kAccount, kEvent };
   Subject subject = Subject::kAccount;
@@ -69,8 +69,8 @@
   std::string text;
 };
 
-// A worker was taken out of placement for failing what others run, is being
-// probed with one gang, or was taken back.
+// A worker was quarantined because several jobs failed on it, is being probed
+// with one gang, or was released from quarantine.
 struct WorkerQuarantineChanged {
   enum class Verdict { kQuarantined, kProbed, kReleased };
   std::string worker;
--- a/src/libs/scheduling/scheduler_core.cc
+++ b/src/libs/scheduling/scheduler_core.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr char kCancelled[] = "cancelled by its account";
-// A waiting job that may not start yet is looked at again after this long.
+// While jobs wait, placement is tried again after this long.
 constexpr Duration kRetryInterval = std::chrono::seconds(1);
 
 }  // namespace
@@ -89,7 +89,8 @@
     job->allocation = state_.guarantee_placement.AllocateAt(
         {job->spec.account, ""}, job->spec.shape, workers);
   }
-  // A gang found with part of its members must not have its throttle lifted.
+  // The throttle of a gang with missing members must not be lifted. In phase
+  // kRunning, adopting the gang does not lift it.
   const JobPhase phase = whole && !cancelled ? found.phase : JobPhase::kRunning;
   if (whole && found.saved_progress) {
     job->saved_run_time += *found.saved_progress;
@@ -189,7 +190,7 @@
 }
 
 std::optional<Time> SchedulerCore::NextWake(Time now) const {
-  if (dirty_) return now;  // a round stopped early
+  if (dirty_) return now;  // the last round stopped early
   std::optional<Time> next;
   const auto consider = [&next](std::optional<Time> due) {
     if (due && (!next || *due < *next)) next = due;
@@ -205,7 +206,7 @@
     consider(*job_class.infeasible_since +
              state_.options.infeasible_job_timeout);
   }
-  // Scores, reservations, probes and pauses move with time.
+  // Scores, reservations, probes and backoffs change as time passes.
   if (waiting) consider(now + kRetryInterval);
   return next;
 }
--- a/src/libs/scheduling/scheduler_core.h
+++ b/src/libs/scheduling/scheduler_core.h
@@ -1,5 +1,6 @@
-// Takes the events of JobScheduler apart and runs the steps of a decision in
-// their order: end and repair, place, reclaim, report.
+// Implements JobScheduler. Handles its events and runs the steps of a decision
+// in order: repair the placement of guarantees, place jobs, reclaim
+// accelerators, report shortfalls.
 #ifndef THORNPLANK_SCHEDULING_SCHEDULER_CORE_H_
 #define THORNPLANK_SCHEDULING_SCHEDULER_CORE_H_
 
@@ -25,7 +26,7 @@
   void SetWorkers(const std::vector<WorkerInfo>& workers, Time now);
   void SetGuarantees(const std::vector<AccountGuarantee>& accounts, Time now);
   void SetEvents(const std::vector<EventReservation>& events);
-  // Returns nullptr when the job was known.
+  // Returns nullptr if the job is already known.
   JobRecord* Submit(const JobSpec& spec, Duration saved_progress, Time now);
   void Cancel(const std::string& id, Time now);
   void Adopt(const AdoptedGang& found, Time now);
@@ -39,7 +40,9 @@
   void WorkerRecovered(WorkerIndex worker);
   void Tick(Time now);
 
-  // End an event: place, reclaim, report, and hand out the actions.
+  // To be called after each event: runs the steps of a decision and returns the
+  // actions of the event and the decision. DecideForJob does so after the
+  // submission of `job`.
   SchedulerActions Decide(Time now);
   SchedulerActions DecideForJob(JobRecord& job, Time now);
   std::optional<Time> NextWake(Time now) const;
@@ -68,7 +71,8 @@
  private:
   void UpdateCellDemands();
   void UpdateLargeShapes();
-  // Takes the guarantee from gangs and plans whose cells are gone or lent.
+  // Turns gangs into borrowers, and drops plans, whose cells are no longer
+  // declared or have been lent to an event.
   void DemoteGangsWithoutCells();
   void CheckFeasibility(JobClass& job_class, Time now);
   void FailInfeasibleJobs(Time now);
@@ -80,6 +84,7 @@
   void ClearStaleReports();
   void ReportIfChanged(ReportShortfall::Subject subject,
                        const std::string& name, const std::string& text);
+  // Describes the capacity that the event lacks; empty if it lacks none.
   std::string EventShortfall(const EventReservation& event) const;
   SchedulerActions TakeActions();
 
@@ -87,18 +92,22 @@
   GangLifecycle lifecycle_;
   Reclaimer reclaimer_;
   std::vector<WorkerInfo> workers_;
-  // Shortfalls that stand reported: subject, name -> text.
+  // Last reported text by subject and name; empty if there is no shortfall.
   std::map<std::pair<ReportShortfall::Subject, std::string>, std::string>
       reported_shortfalls_;
-  // Whether one of them has a text.
+  // Whether a shortfall was reported and has not been withdrawn.
   bool has_reported_shortfall_ = false;
+  // Time of the latest decision.
   Time last_event_;
+  // Number of the last gang started; part of gang ids.
   int64_t last_gang_ = 0;
+  // Whether Tick was called; nothing is placed before that.
   bool ticked_ = false;
-  // Something other than a new job changed since the last full round.
+  // Whether anything other than a new job changed since the last complete
+  // round.
   bool dirty_ = false;
-  // The workers or the cells changed since the guarantee_placement was
-  // repaired.
+  // Whether the workers or the cells changed since the placement of guarantees
+  // was last repaired.
   bool repair_due_ = false;
 };
 
--- a/src/libs/scheduling/scheduler_maintenance.cc
+++ b/src/libs/scheduling/scheduler_maintenance.cc
@@ -1,5 +1,5 @@
-// The parts of SchedulerCore that keep what is declared in line with what is:
-// cells, impossible jobs, leaving and faulty workers, shortfalls.
+// The parts of SchedulerCore that react to changes of declarations and workers:
+// cells of guarantees, infeasible jobs, leaving and faulty workers, shortfalls.
 #include <algorithm>
 #include <utility>
 
@@ -9,8 +9,8 @@
 namespace thornplank {
 namespace {
 
-// Accelerators of the account's own guarantee that `shape` of its event may
-// be lent from.
+// Number of gangs of `shape` that the guarantee of the account covers. Cells
+// for as many can be lent to an event of the account.
 int GuaranteedCount(const AccountGuarantee& account, const Shape& shape) {
   int count = 0;
   for (const GuaranteedShape& own : account.shapes) {
@@ -52,7 +52,8 @@
 }
 
 void SchedulerCore::SetEvents(const std::vector<EventReservation>& events) {
-  // What is lent to an event that stays is kept: its gangs may run there.
+  // Cells lent to an event that remains declared stay lent, since its gangs may
+  // already run in them.
   for (const EventReservation& old : state_.calendar.events()) {
     const bool stays =
         std::any_of(events.begin(), events.end(), [&old](const auto& event) {
@@ -71,7 +72,8 @@
       demands.push_back({{name, ""}, shape});
     }
   }
-  // An event uses its account's own shapes; only what goes beyond is extra.
+  // An event first uses the guaranteed shapes of its account; only the excess
+  // needs additional cells.
   for (const EventReservation& event : state_.calendar.events()) {
     const AccountGuarantee& account = state_.Account(event.account);
     for (GuaranteedShape shape : event.shapes) {
@@ -88,7 +90,7 @@
   repair_due_ = true;
 }
 
-// The declared large shapes: those of guarantees and of the jobs seen.
+// The large shapes are those of guarantees and of all job classes so far.
 void SchedulerCore::UpdateLargeShapes() {
   std::vector<WeightedShape> shapes;
   for (const auto& entry : state_.accounts) {
@@ -178,7 +180,7 @@
   JobRecord* job = state_.FindJob(gang.job());
   if (!job) return;
   if (refused) {
-    // It holds something that we don't know of yet.
+    // The worker probably holds leases that the scheduler does not know of.
     job->not_before = now + state_.options.refusal_backoff;
     state_.refusing_until[member.worker] = now + state_.options.refusal_backoff;
     state_.cluster.SetRefusing(member.worker, true);
@@ -209,7 +211,8 @@
   }
 }
 
-// A probe that has run for as long as the quarantine shows a good worker.
+// A probe succeeds once it has run for the quarantine time, even if its job has
+// not finished.
 void SchedulerCore::CompleteProbes(Time now) {
   for (const auto& entry : state_.gangs.gangs()) {
     const Gang& gang = *entry.second;
@@ -268,7 +271,7 @@
   }
 }
 
-// Takes back what was said of accounts and events that are declared no more.
+// Withdraws the reports about accounts and events that are no longer declared.
 void SchedulerCore::ClearStaleReports() {
   for (auto one = reported_shortfalls_.begin();
        one != reported_shortfalls_.end();) {
--- a/src/libs/scheduling/scheduler_state.cc
+++ b/src/libs/scheduling/scheduler_state.cc
@@ -6,9 +6,10 @@
 namespace thornplank {
 namespace {
 
-// Final jobs remembered here; the fold of the job stream knows all of them.
+// Limit on the final jobs kept here. The fold of the job stream remains their
+// record.
 constexpr size_t kMaxFinalJobs = 20000;
-// From the order to stop until the worker's answer.
+// Time allowed from the request to stop a gang until its workers answer.
 constexpr Duration kStopAllowance = std::chrono::seconds(2);
 
 double Seconds(Duration duration) {
@@ -89,7 +90,7 @@
   const JobRecord* job = FindJob(oldest);
   if (!job) return;
   if (job->allocation) {
-    final_jobs_.push_back(oldest);  // its last leases are not released yet
+    final_jobs_.push_back(oldest);  // some of its leases are still held
   } else {
     jobs.erase(oldest);
   }
@@ -151,7 +152,7 @@
   const Duration saving = std::chrono::duration_cast<Duration>(
       estimator.CheckpointTime(account) * margin);
   const Duration deadline = Account(account).checkpoint_deadline;
-  // One that may hang is given up at the deadline.
+  // A checkpoint that hangs is abandoned at the deadline.
   const bool may_hang = estimator.HungCheckpointShare(account) > 0;
   return (may_hang ? deadline : std::min(saving, deadline)) + kStopAllowance;
 }
--- a/src/libs/scheduling/scheduler_state.h
+++ b/src/libs/scheduling/scheduler_state.h
@@ -1,4 +1,4 @@
-// What the parts of the scheduler share, and the questions they all ask of it.
+// The state that the parts of the scheduler share, and queries on it.
 #ifndef THORNPLANK_SCHEDULING_SCHEDULER_STATE_H_
 #define THORNPLANK_SCHEDULING_SCHEDULER_STATE_H_
 
@@ -29,11 +29,11 @@
 
   JobRecord* FindJob(const std::string& id) const;
   JobClass& ClassOf(const JobRecord& job) { return classes[job.job_class]; }
-  // The class of jobs like `spec`, made when new.
+  // Index of the class of jobs like `spec`, which is added if it is new.
   int FindOrAddClass(const JobSpec& spec);
   void AddWaiting(JobRecord& job);
   void RemoveWaiting(JobRecord& job);
-  // Records the phase and tells the carrier.
+  // Sets the phase and emits a PhaseChanged action.
   void SetPhase(JobRecord& job, JobPhase phase, const std::string& reason);
   void DropPlan(JobRecord& job);
   void ReleaseAllocation(JobRecord& job);
@@ -41,15 +41,15 @@
   const AccountGuarantee& Account(const std::string& name) const;
   bool IsLarge(const Shape& shape) const;
   bool IsBorrower(const Gang& gang) const;
-  // Run time still expected of a job that is not running.
+  // Expected remaining run time of a job that is not running.
   Duration RemainingTimeOf(const JobRecord& job) const;
   Time ExpectedEnd(const Gang& gang, Time now) const;
-  // From the order to save a gang of the account until its accelerators are
-  // free, with the margin.
+  // Expected time from the checkpoint request to a gang of the account until
+  // its accelerators are free, including the safety margin.
   Duration ReclaimLeadTime(const std::string& account) const;
-  // The longest of all accounts that borrow.
+  // The longest lead time over all accounts that borrow now.
   Duration LongestReclaimLeadTime() const;
-  // In accelerator seconds.
+  // Work expected to be lost by stopping the gang now, in accelerator seconds.
   double WorkLost(const Gang& gang, Time now) const;
 
   const SchedulerOptions options;
@@ -62,29 +62,32 @@
   FragmentationScore fragmentation;
   LargeJobReservation reservation;
   std::map<std::string, AccountGuarantee> accounts;
+  // By id. Final jobs are kept up to a limit.
   std::unordered_map<std::string, std::unique_ptr<JobRecord>> jobs;
   std::vector<JobClass> classes;
-  // Waiting jobs that hold a plan, by id.
+  // Waiting jobs that have a plan, by id.
   std::map<std::string, JobRecord*> planned;
   // Accelerators held by borrowing gangs, per account.
   std::map<std::string, int> borrowed;
-  // Until when a worker that refused a grant is left alone.
+  // Workers that refused a grant, and when they may get grants again.
   std::map<WorkerIndex, Time> refusing_until;
+  // Actions emitted since the last decision was returned to the caller.
   SchedulerActions actions;
 
  private:
-  // Final jobs beyond a bound are forgotten, the oldest first.
+  // Removes the oldest final job if there are more than the limit.
   void DropOldFinalJobs();
 
   std::map<std::string, int> class_by_key_;
   std::deque<std::string> final_jobs_;
 };
 
-// Stops borrowers for a claim of a guarantee, an event or urgent work.
+// Stops gangs so that their accelerators become free.
 class GangStopper {
  public:
   virtual ~GangStopper() = default;
-  // Saves the gang and stops it at its account's deadline at the latest.
+  // Checkpoints the gang and stops it, at the latest after the checkpoint
+  // deadline of its account.
   virtual void CheckpointAndStop(Gang& gang, const std::string& reason,
                                  Time now) = 0;
 };
--- a/src/libs/scheduling/victim_selection.cc
+++ b/src/libs/scheduling/victim_selection.cc
@@ -5,7 +5,7 @@
 namespace thornplank {
 namespace {
 
-// Needed accelerators that stopping the candidate would free.
+// Number of needed accelerators that stopping the candidate would free.
 int NeededAcceleratorsFreed(const VictimCandidate& candidate,
                             const std::map<WorkerIndex, int>& needed) {
   int freed = 0;
@@ -17,6 +17,8 @@
   return freed;
 }
 
+// Subtracts the accelerators of the candidate from `needed`, or adds them back
+// if `sign` is -1.
 void SubtractHeld(const VictimCandidate& candidate, int sign,
                   std::map<WorkerIndex, int>* needed) {
   for (const auto& [worker, accelerators] : candidate.holds) {
@@ -41,7 +43,7 @@
   return best;
 }
 
-// Whether `victim` can stay although all the others of the choice leave.
+// Whether stopping the other chosen victims is enough without `victim`.
 bool IsRedundant(const VictimCandidate& victim,
                  const std::map<WorkerIndex, int>& left) {
   return std::all_of(
@@ -69,7 +71,7 @@
     open.erase(std::find(open.begin(), open.end(), best));
   }
   std::vector<std::string> victims;
-  // Costly ones are spared first.
+  // The most expensive victims are spared first.
   std::sort(chosen.begin(), chosen.end(), [](const auto* a, const auto* b) {
     return a->work_lost > b->work_lost;
   });
--- a/src/libs/scheduling/victim_selection.h
+++ b/src/libs/scheduling/victim_selection.h
@@ -1,4 +1,4 @@
-// Chooses which borrowers leave so that given workers get accelerators free.
+// Chooses which borrowers to stop to free accelerators on given workers.
 #ifndef THORNPLANK_SCHEDULING_VICTIM_SELECTION_H_
 #define THORNPLANK_SCHEDULING_VICTIM_SELECTION_H_
 
@@ -13,16 +13,16 @@
 // A borrower that could be stopped.
 struct VictimCandidate {
   std::string gang_id;
-  // Work lost by stopping it, in accelerator seconds.
+  // Work lost by stopping the gang, in accelerator seconds.
   double work_lost = 0;
-  // Accelerators that it holds, per worker.
+  // Accelerators that the gang holds, by worker.
   std::map<WorkerIndex, int> holds;
 };
 
-// Gangs to stop so that each worker of `needed` gets that many accelerators
-// free, as far as the candidates can give them: repeatedly the one that loses
-// the least work for each needed accelerator that it frees, without those
-// that the later choices made needless.
+// Ids of gangs to stop so that, as far as possible, each worker in `needed`
+// gets that many more free accelerators. Greedy: repeatedly chooses the
+// candidate that loses the least work per needed accelerator that it frees, and
+// finally omits candidates that later choices have made redundant.
 std::vector<std::string> SelectVictims(
     const std::map<WorkerIndex, int>& needed,
     const std::vector<VictimCandidate>& candidates);
--- a/src/libs/state/coordinator_election.cc
+++ b/src/libs/state/coordinator_election.cc
@@ -1,4 +1,4 @@
-// The timing of claims on the coordinator's epoch.
+// Timing of claims to the coordinator epoch.
 #include "state/coordinator_election.h"
 
 #include <xxhash.h>
--- a/src/libs/state/coordinator_election.h
+++ b/src/libs/state/coordinator_election.h
@@ -1,9 +1,11 @@
-// When this entry should claim the next epoch.
+// Decides when this entry claims the next coordinator epoch.
 //
-// Decision code. The log decides who wins; this only keeps entries from all
-// claiming at once, and from deposing a coordinator that has just begun: each
-// waits longer by its rank, and a new epoch is left alone for `min_tenure`,
-// so that two halves of a split mesh cannot depose each other at every turn.
+// Decision code without I/O. The order of the log decides which claim wins.
+// This class only limits the number of claims in two ways. Each entry waits for
+// a time that depends on its rank, so that entries do not all claim at the same
+// time. And a new epoch is not challenged for `min_tenure`, so that the two
+// sides of a network partition do not depose each other's coordinator over and
+// over.
 #ifndef THORNPLANK_STATE_COORDINATOR_ELECTION_H_
 #define THORNPLANK_STATE_COORDINATOR_ELECTION_H_
 
@@ -18,13 +20,14 @@
 namespace thornplank {
 
 struct ElectionSettings {
-  // How long there must have been no live coordinator before the first claim.
+  // Time without a live coordinator after which the entry of rank 0 claims.
   Duration vacancy_delay = std::chrono::milliseconds(300);
-  // Each place in the ranking waits this much longer.
+  // Additional delay per rank.
   Duration rank_delay = std::chrono::milliseconds(400);
-  // A claim whose fate is unknown is repeated after this.
+  // Time after which a claim without a known outcome is repeated.
   Duration claim_interval = std::chrono::milliseconds(2500);
-  // No claim this soon after an epoch began, its resignation excepted.
+  // Time after the beginning of an epoch during which there is no claim, unless
+  // the holder has resigned.
   Duration min_tenure = std::chrono::seconds(3);
 };
 
@@ -33,21 +36,25 @@
   CoordinatorElection(std::string name, std::string incarnation,
                       ElectionSettings settings);
 
-  // An epoch was won or resigned, by the stream.
+  // Sets the epoch after the job stream showed that one was won or resigned.
   void SetEpoch(const CoordinatorEpoch& epoch, Time now);
-  // The live entries, by observation.
+  // Sets the names of the entries that this entry observes to be alive.
   void SetLiveEntries(const std::set<std::string>& names, Time now);
 
-  // The number to claim now, or nullopt. Each answer is one claim.
+  // The epoch number to claim now, or nullopt. The caller must make a claim for
+  // every number that is returned.
   std::optional<int64_t> ClaimIfDue(Time now);
-  // When Claim is next worth asking.
+  // When ClaimIfDue can next return a number; nullopt if there is no vacancy.
   std::optional<Time> NextWake() const;
 
  private:
+  // Whether there is no live coordinator. An epoch held by an earlier process
+  // of this entry counts as vacant.
   bool IsVacant() const;
   void UpdateVacancy(Time now);
-  // Place of this entry among the live ones for the next epoch; the order
-  // differs by epoch, so that an entry that claims in vain is not always first.
+  // Rank of this entry among the live ones for the next epoch, from 0. The
+  // order differs by epoch, so that an entry that claims in vain is not always
+  // first.
   int Rank() const;
 
   const std::string name_;
@@ -55,9 +62,11 @@
   const ElectionSettings settings_;
   CoordinatorEpoch epoch_;
   std::set<std::string> live_;
-  // Set exactly while IsVacant().
+  // Set if and only if IsVacant().
   std::optional<Time> vacant_since_;
+  // When the current epoch was first seen.
   std::optional<Time> epoch_began_at_;
+  // When the next epoch was last claimed.
   std::optional<Time> claimed_at_;
 };
 
--- a/src/libs/state/epoch_table.h
+++ b/src/libs/state/epoch_table.h
@@ -1,7 +1,7 @@
-// Who coordinates: the fold of the epoch and resign records.
+// The current coordinator epoch: the fold of the epoch and resign records.
 //
-// Decision code. The order of the log is the only arbiter: of several claims
-// on one number the first wins, on every entry alike.
+// Decision code without I/O. Of several claims to the same number the first one
+// in the log wins, so that all entries agree.
 #ifndef THORNPLANK_STATE_EPOCH_TABLE_H_
 #define THORNPLANK_STATE_EPOCH_TABLE_H_
 
@@ -12,12 +12,12 @@
 
 namespace thornplank {
 
-// The newest epoch. Number 0 is held by nobody.
+// The newest epoch. Number 0 means that no epoch was claimed yet.
 struct CoordinatorEpoch {
   int64_t number = 0;
   std::string holder;
   std::string incarnation;
-  // The holder gave it up; no record of this epoch counts after that.
+  // The holder has resigned. Later records of this epoch are ignored.
   bool resigned = false;
 
   bool operator==(const CoordinatorEpoch& other) const {
@@ -28,22 +28,23 @@
 
 class EpochTable {
  public:
-  // True when the claim won. A claim wins only with the next number, so that
-  // rivals and repeats are ignored.
+  // Returns whether the claim wins. Only a claim to the next number wins, so
+  // that competing and repeated claims are ignored.
   bool Claim(const EpochRecord& record);
-  // True when the current holder gave its epoch up.
+  // Returns whether this resigned the current epoch. Ignored unless the record
+  // is by its holder.
   bool Resign(const ResignRecord& record);
-  // Whether a record written under `epoch` counts now.
+  // Whether records written under `epoch` are accepted.
   bool IsInForce(int64_t epoch) const;
   bool IsHeldBy(const std::string& holder,
                 const std::string& incarnation) const;
 
   const CoordinatorEpoch& current() const { return current_; }
-  // For snapshots.
+  // Replaces the current epoch by that of a snapshot.
   void Restore(const CoordinatorEpoch& epoch) { current_ = epoch; }
 
  private:
-  // Invariant: the number only grows, by one at a time.
+  // Invariant: the number only increases, by one at a time, except in Restore.
   CoordinatorEpoch current_;
 };
 
--- a/src/libs/state/job_records.cc
+++ b/src/libs/state/job_records.cc
@@ -1,4 +1,4 @@
-// JSON form of the records of the job stream.
+// JSON encoding of the records of the job stream.
 #include "state/job_records.h"
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr char kDecodeStep[] = "read job";
-// Bounds on what one job may ask for; far above any cluster it runs on.
+// Limits on a single job, far above the size of any cluster.
 constexpr int64_t kMaxMembers = 4096;
 constexpr int64_t kMaxAcceleratorsPerMember = 1024;
 constexpr int64_t kMaxRunTimeMs = int64_t{366} * 24 * 3600 * 1000;
 constexpr int64_t kMaxProgressMs = 10 * kMaxRunTimeMs;
 constexpr size_t kMaxNameBytes = 200;
 constexpr size_t kMaxTaskBytes = 64 * 1024;
-// Leaves room for what wraps a task in the records and frames that carry it.
+// Leaves room for the levels of the records and frames that contain a task.
 constexpr int kMaxTaskDepth = 16;
 
 std::string TextOrEmpty(const Json& data, std::string_view name) {
@@ -36,7 +36,7 @@
   return std::nullopt;
 }
 
-// An optional whole number within [low, high].
+// An optional whole number within [low, high]; `fallback` if absent.
 std::optional<int64_t> BoundedField(const Json& data, std::string_view name,
                                     int64_t fallback, int64_t low, int64_t high,
                                     Error* error) {
@@ -48,7 +48,7 @@
                            std::to_string(low) + " to " + std::to_string(high));
 }
 
-// An optional string of bounded length.
+// An optional string of limited length; empty if absent.
 std::optional<std::string> NameField(const Json& data, std::string_view name,
                                      Error* error) {
   if (data.find(std::string(name)) == data.end()) return std::string();
--- a/src/libs/state/job_records.h
+++ b/src/libs/state/job_records.h
@@ -1,8 +1,8 @@
-// The records of the stream "jobs" as typed values, and their JSON form.
+// The records of the stream "jobs" as typed values, and their JSON encoding.
 //
-// Decoding never throws; a record of an unknown type or without a needed
-// field is nullopt and is skipped by the fold, so that an older entry reads
-// the stream of a newer one. See "4. Streams" in docs/PROTOCOLS.md.
+// Decoding never throws. A record of an unknown type or without a required
+// field decodes to nullopt and is skipped by the fold, so that an older entry
+// can read the stream of a newer one. See "4. Streams" in docs/PROTOCOLS.md.
 #ifndef THORNPLANK_STATE_JOB_RECORDS_H_
 #define THORNPLANK_STATE_JOB_RECORDS_H_
 
@@ -19,33 +19,35 @@
 
 namespace thornplank {
 
-// What a caller asked for: the scheduler's part and what is passed through.
+// A job as requested by a caller: the part for the scheduler and the part that
+// is passed through to the worker.
 struct JobRequest {
   // `submitted_order` is set by the fold.
   JobSpec spec;
-  // Readable name for people; not unique.
+  // Name for display; not unique.
   std::string name;
-  // Handed to the worker with each lease.
+  // Passed to the worker with each lease.
   Json task = Json::object();
 };
 
-// A job as accepted. Idempotent by job id.
+// A job was accepted. Repeats with the same job id are ignored.
 struct SubmittedRecord {
   JobRequest job;
 };
 
-// No start of the job after this record.
+// A job was cancelled. It is not started after this record.
 struct CancelledRecord {
   std::string job;
   // Name of the access token that asked for it.
   std::string by;
 };
 
-// The coordinator of `epoch` intends to grant this gang. A takeover learns
-// the members from it.
+// The coordinator of `epoch` is about to grant this gang. A new coordinator
+// learns the members from this record.
 struct PlacedRecord {
   int64_t epoch = 0;
-  // Numbers the coordinator's records of one job; see JobEntry::revision.
+  // Sequence number of the coordinator's records about the job; see
+  // JobEntry::revision.
   int64_t revision = 0;
   std::string job;
   std::string gang_id;
@@ -58,35 +60,37 @@
   std::string job;
   JobPhase phase = JobPhase::kWaiting;
   std::string reason;
-  // Run time of the job that completed checkpoints have saved so far; left
-  // out of the JSON form when zero.
+  // Run time of the job that completed checkpoints have saved so far. Omitted
+  // from the JSON if zero.
   Milliseconds progress{0};
 };
 
-// A claim to be the coordinator. It wins when `number` is the current epoch
-// plus one at its place in the log, so the first of several rivals wins.
+// A claim to be the coordinator. It wins if `number` is one more than the
+// current epoch at its position in the log, so that the first of several claims
+// wins.
 struct EpochRecord {
   int64_t number = 0;
   std::string holder;
-  // Id of the holder's process, new at each start.
+  // Id of the holder's process, which is new at each start.
   std::string incarnation;
 };
 
-// The holder gives its epoch up, on a planned stop.
+// The holder resigns its epoch because it stops as planned.
 struct ResignRecord {
   int64_t epoch = 0;
   std::string holder;
   std::string incarnation;
 };
 
-// One part of a snapshot of the fold; see job_snapshot.h.
+// One part of a snapshot of the folded stream; see job_snapshot.h.
 struct SnapshotPartRecord {
   std::string snapshot_id;
+  // Index of this part, from 0, and the number of parts.
   int part = 0;
   int parts = 1;
-  // The snapshot holds the effect of every record with an offset below this.
+  // The snapshot contains the effect of all records with offsets below this.
   int64_t covers = 0;
-  // Tables in part; read by job_snapshot.cc.
+  // A part of the tables, encoded by job_snapshot.cc.
   Json content = Json::object();
 };
 
@@ -97,12 +101,13 @@
 Json EncodeJobRecord(const JobStreamRecord& record);
 std::optional<JobStreamRecord> DecodeJobRecord(const Json& data);
 
-// The form of a job in POST /v1/jobs, in records and in snapshots.
+// Encodes a job as in POST /v1/jobs, records and snapshots.
 Json EncodeJobRequest(const JobRequest& job);
-// nullopt and `*error` (step "read job") with a reason for the caller.
+// Returns nullopt and sets `*error` (step "read job") to a reason for the
+// caller if the job is malformed.
 std::optional<JobRequest> DecodeJobRequest(const Json& data, Error* error);
 
-// The field "progress_ms" within its bounds; zero when it is not there.
+// The field "progress_ms", clamped to its bounds; zero if absent.
 Milliseconds DecodeProgress(const Json& data);
 
 Json EncodeMembers(const std::vector<GangMember>& members);
--- a/src/libs/state/job_snapshot.cc
+++ b/src/libs/state/job_snapshot.cc
@@ -1,4 +1,4 @@
-// Encoding and collecting of snapshots of the job stream.
+// Encodes, decodes and collects snapshots of the job stream.
 #include "state/job_snapshot.h"
 
 #include <algorithm>
@@ -81,7 +81,8 @@
   }
 }
 
-// Open jobs by id, then final ones in the order of their end.
+// Jobs that are not final by id, then final jobs in the order in which they
+// ended.
 std::vector<const JobEntry*> EntriesInOrder(const JobTable& jobs) {
   std::vector<const JobEntry*> entries;
   entries.reserve(jobs.jobs().size());
@@ -153,7 +154,8 @@
   std::vector<SnapshotPartRecord> whole;
   whole.reserve(parts_.size());
   for (auto& [number, record] : parts_) whole.push_back(std::move(record));
-  // Keeps the id: a repeat of the last part must not start it anew.
+  // The id is kept, so that a repeat of the last part does not restart the
+  // snapshot.
   parts_.clear();
   return whole;
 }
--- a/src/libs/state/job_snapshot.h
+++ b/src/libs/state/job_snapshot.h
@@ -1,7 +1,7 @@
-// Snapshots of the folded job stream, in parts that fit the log's records.
+// Snapshots of the folded job stream, split into parts that fit into records.
 //
-// Decision code. A snapshot is a pure function of the stream up to the offset
-// that it covers, so it is valid whoever wrote it.
+// Decision code without I/O. A snapshot is a pure function of the stream up to
+// the offset that it covers, so it is valid whichever entry wrote it.
 #ifndef THORNPLANK_STATE_JOB_SNAPSHOT_H_
 #define THORNPLANK_STATE_JOB_SNAPSHOT_H_
 
@@ -18,30 +18,34 @@
 
 namespace thornplank {
 
-// Both tables as they stand before the record at `covers`. `snapshot_id` must
-// be unique for ever. Each part holds at most `jobs_per_part` jobs.
+// A snapshot of both tables, which contain the records with offsets below
+// `covers`. `snapshot_id` must never be used again. Each part holds at most
+// `jobs_per_part` jobs.
 std::vector<SnapshotPartRecord> MakeJobSnapshot(const std::string& snapshot_id,
                                                 int64_t covers,
                                                 const JobTable& jobs,
                                                 const EpochTable& epochs,
                                                 size_t jobs_per_part);
 
-// Fills two empty tables from every part, in order of part. False when a part
-// cannot be read; the tables are then not to be used.
+// Fills two empty tables from all parts, which must be in order. Returns false
+// if a part is malformed; the tables must not be used then.
 bool RestoreJobSnapshot(const std::vector<SnapshotPartRecord>& parts,
                         JobTable* jobs, EpochTable* epochs);
 
-// Collects the parts of snapshots as they come along in the stream.
+// Collects the parts of snapshots while the stream is read.
 class JobSnapshotCollector {
  public:
-  // Every part, in order, once `part` made its snapshot whole. Repeats of a
-  // part are ignored. Starting a newer snapshot drops older unfinished ones.
+  // Returns all parts in order if `part` completes its snapshot. Repeated parts
+  // are ignored. The first part of a newer snapshot drops an incomplete older
+  // one.
   std::optional<std::vector<SnapshotPartRecord>> Add(SnapshotPartRecord part);
   void Clear() { parts_.clear(); }
 
  private:
   std::string snapshot_id_;
+  // SnapshotPartRecord::covers of the newest snapshot seen.
   int64_t covers_ = -1;
+  // Parts received so far, by index.
   std::map<int, SnapshotPartRecord> parts_;
 };
 
--- a/src/libs/state/job_stream_fold.cc
+++ b/src/libs/state/job_stream_fold.cc
@@ -1,4 +1,4 @@
-// The fold of the job stream in log order.
+// Folds the job stream in log order.
 #include "state/job_stream_fold.h"
 
 #include <algorithm>
--- a/src/libs/state/job_stream_fold.h
+++ b/src/libs/state/job_stream_fold.h
@@ -1,14 +1,15 @@
-// The whole fold of the job stream: jobs, epochs and snapshots, in log order.
+// The fold of the job stream, in log order, into tables of jobs and epochs.
 //
-// Decision code. A fold is complete when it stands on every record since
-// offset 0 or on a snapshot with every record since. While it is not, because
-// retention took records before they were read, records are kept aside until
-// a snapshot that reaches back far enough has come along whole.
+// Decision code without I/O. A fold is complete if it is based on all records
+// since offset 0, or on a snapshot and all records since that snapshot. It is
+// incomplete if log retention removed records before they were read. It then
+// buffers further records until it has a complete snapshot that covers the gap.
 //
-// A record whose id was folded before is ignored. Ids are remembered for a
-// bounded number of records, far more than lie between an append and its
-// repeat; the tables themselves ignore repeats of what their writers had
-// folded before writing, so that a snapshot need not hold the ids.
+// A record whose id was folded before is ignored. The ids of a limited number
+// of records are remembered, far more than lie between an append and its
+// repetition. The tables themselves ignore repeats of records that their
+// writers had folded before writing, so that snapshots need not contain the
+// ids.
 #ifndef THORNPLANK_STATE_JOB_STREAM_FOLD_H_
 #define THORNPLANK_STATE_JOB_STREAM_FOLD_H_
 
@@ -25,10 +26,11 @@
 
 namespace thornplank {
 
-// What one record changed.
+// The change made by one record.
 struct FoldChange {
   enum class Kind {
-    // A repeat, an unknown type, out of date, or kept aside.
+    // No change: the record is a repeat, of unknown type, out of date, or was
+    // buffered.
     kNone,
     kSubmitted,
     kCancelled,
@@ -36,11 +38,11 @@
     kPhase,
     kEpoch,
     kResigned,
-    // Both tables were replaced: everything may have changed.
+    // Both tables were replaced by a snapshot; anything may have changed.
     kRestored,
   };
   Kind kind = Kind::kNone;
-  // For kSubmitted, kCancelled, kPlaced, kPhase.
+  // Job id, for kSubmitted, kCancelled, kPlaced and kPhase.
   std::string job;
 };
 
@@ -48,30 +50,33 @@
  public:
   explicit JobStreamFold(JobRetention retention);
 
-  // Records in order of offset. An offset below next_offset() is a repeat.
+  // Records must come in the order of their offsets. A record with an offset
+  // below next_offset() is ignored as a repeat.
   FoldChange Fold(const LogRecord& record);
-  // Records before `first_kept` were lost unread.
+  // To be called when the records before `first_kept` are gone from the log and
+  // were not all read. The fold is incomplete after that.
   void SkipLostRecords(int64_t first_kept);
-  // Takes a snapshot from a peer. One that covers less than what is folded
-  // changes nothing. True when the tables were replaced; reading then goes on
-  // at next_offset().
+  // Installs a snapshot from a peer. A snapshot that covers less than what is
+  // already folded changes nothing. Returns whether the tables were replaced;
+  // reading then continues at next_offset().
   bool Restore(const std::vector<SnapshotPartRecord>& parts);
 
-  // The tables as a snapshot, or empty while incomplete.
+  // A snapshot of the tables; empty while the fold is incomplete.
   std::vector<SnapshotPartRecord> MakeSnapshot(const std::string& snapshot_id,
                                                size_t jobs_per_part) const;
 
   bool complete() const { return complete_; }
   // The offset of the next record to fold.
   int64_t next_offset() const { return next_offset_; }
-  // What the newest whole snapshot seen in the stream covers; 0 when none
-  // was seen. Retention must not take records from here on.
+  // The offset up to which the newest complete snapshot in the stream covers
+  // it; 0 if there was none. Retention must keep the records from this offset
+  // on.
   int64_t newest_snapshot_end() const { return newest_snapshot_end_; }
   const JobTable& jobs() const { return jobs_; }
   const EpochTable& epochs() const { return epochs_; }
 
  private:
-  // False when the id was seen already.
+  // Returns false if the id is already remembered.
   bool RememberId(const std::string& id);
   FoldChange Apply(const LogRecord& record, const JobStreamRecord& typed);
   FoldChange AddSnapshotPart(const SnapshotPartRecord& part);
@@ -81,15 +86,15 @@
   JobTable jobs_;
   EpochTable epochs_;
   JobSnapshotCollector collector_;
-  // The ids of the last records, oldest first; the set holds the same ids.
+  // The ids of the latest records, oldest first; `ids_` contains the same ids.
   std::deque<std::string> id_order_;
   std::unordered_set<std::string> ids_;
-  // Invariant: while complete_, the tables hold exactly the effect of every
-  // record below next_offset_.
+  // Invariant: if complete_, the tables contain exactly the effect of all
+  // records below next_offset_.
   bool complete_ = true;
   int64_t next_offset_ = 0;
   int64_t newest_snapshot_end_ = 0;
-  // While not complete_: every record from pending_from_ to next_offset_.
+  // If not complete_: all records from pending_from_ up to next_offset_.
   std::vector<LogRecord> pending_records_;
   int64_t pending_from_ = 0;
 };
--- a/src/libs/state/job_table.cc
+++ b/src/libs/state/job_table.cc
@@ -1,4 +1,4 @@
-// The fold of job records.
+// Folds the records of single jobs.
 #include "state/job_table.h"
 
 #include <algorithm>
--- a/src/libs/state/job_table.h
+++ b/src/libs/state/job_table.h
@@ -1,9 +1,10 @@
-// Every job by id: the fold of the job stream without its epochs.
+// All jobs by id: the fold of the job stream without its epochs.
 //
-// Decision code. Each call takes one record in log order and says whether it
-// changed anything. Repeats change nothing by their meaning, not by a list of
-// remembered record ids: a job id is taken once, a final phase stays, and a
-// coordinator's record counts only with a higher revision than the last one.
+// Decision code without I/O. Each record method takes the next record in log
+// order and returns whether it changed anything. Repeats need no list of record
+// ids to be recognized: a job id is accepted once, a final phase never changes,
+// and a coordinator's record is accepted only if its revision is higher than
+// the last.
 #ifndef THORNPLANK_STATE_JOB_TABLE_H_
 #define THORNPLANK_STATE_JOB_TABLE_H_
 
@@ -25,14 +26,15 @@
   JobRequest request;
   JobPhase phase = JobPhase::kWaiting;
   std::string reason;
-  // Empty, with no members, unless an attempt is under way.
+  // Gang of the current attempt; empty, with no members, if there is none.
   std::string gang_id;
   std::vector<GangMember> members;
   int attempts = 0;
-  // Number of the coordinator's last record that counted. Since the records
-  // of older epochs are ignored, one coordinator at a time numbers them.
+  // Sequence number of the last accepted record of a coordinator. Since records
+  // of older epochs are ignored, only one coordinator at a time assigns
+  // revisions.
   int64_t revision = 0;
-  // Run time that completed checkpoints have saved; never becomes less.
+  // Run time that completed checkpoints have saved; never decreases.
   Milliseconds progress{0};
   // Times by the clock of the log service.
   WallTime submitted_at;
@@ -40,12 +42,12 @@
   std::optional<WallTime> ended_at;
 };
 
-// How long final jobs are kept. The same bounds must hold on every entry,
-// else their folds differ in what they still show.
+// How long final jobs are kept. All entries must use the same limits; otherwise
+// they show different jobs.
 struct JobRetention {
   size_t max_final_jobs = 10000;
   Milliseconds max_final_age{24 * 3600 * 1000};
-  // Ids of dropped jobs that are refused as repeats after that.
+  // Number of ids of dropped jobs that are still refused as repeats.
   size_t max_refused_ids = 20000;
 };
 
@@ -53,43 +55,48 @@
  public:
   explicit JobTable(JobRetention retention) : retention_(retention) {}
 
-  // Takes a job in; `offset` becomes its submitted_order.
+  // Adds a job; `offset` becomes its submitted_order.
   bool Submit(const SubmittedRecord& record, int64_t offset, WallTime time);
-  // The job is final from here on. An unknown id is remembered, so that a
-  // later submission of it is refused.
+  // Makes the job final. If the id is unknown, a later submission of it is
+  // refused.
   bool Cancel(const CancelledRecord& record, WallTime time);
-  // The caller has checked that the record's epoch is in force.
+  // For Place and ChangePhase the caller must check that the record's epoch is
+  // in force.
   bool Place(const PlacedRecord& record, WallTime time);
   bool ChangePhase(const PhaseRecord& record, WallTime time);
 
   const JobEntry* Find(const std::string& id) const;
-  // Whether a submission of `id` would be a repeat.
+  // Whether a submission of `id` would be refused as a repeat.
   bool IsKnown(const std::string& id) const;
   const std::map<std::string, JobEntry>& jobs() const { return jobs_; }
   size_t final_job_count() const { return final_order_.size(); }
 
-  // For snapshots: final jobs in the order in which they ended, and dropped
-  // ids from the oldest on.
+  // For snapshots: ids of final jobs in the order in which they ended, and
+  // refused ids that are not in jobs(), oldest first.
   const std::deque<std::string>& final_order() const { return final_order_; }
   const std::deque<std::string>& refused_ids() const { return refused_order_; }
-  // Adds an entry of a snapshot; final ones in the order of their end.
+  // Adds an entry of a snapshot. Final jobs must be added in the order in which
+  // they ended.
   void Restore(JobEntry entry);
   void RestoreRefusedId(const std::string& id);
 
  private:
+  // The job if it is not final and `revision` is higher than its last one, else
+  // nullptr.
   JobEntry* FindOpen(const std::string& id, int64_t revision);
   void EndJob(JobEntry* entry, JobPhase phase, const std::string& reason,
               WallTime time);
-  // Drops final jobs beyond the bounds; `now` is the time of a record.
+  // Drops the final jobs that exceed the limits. `now` is the time of a record,
+  // so that all entries drop the same jobs.
   void DropOldJobs(WallTime now);
   void RefuseId(const std::string& id);
 
   JobRetention retention_;
   std::map<std::string, JobEntry> jobs_;
-  // Exactly the final jobs of jobs_, oldest end first.
+  // Ids of exactly the final jobs in jobs_, in the order in which they ended.
   std::deque<std::string> final_order_;
-  // Ids that are refused though not in jobs_, oldest first; the set holds the
-  // same ids.
+  // Ids that are refused although they are not in jobs_, oldest first;
+  // `refused_ids_` contains the same ids.
   std::deque<std::string> refused_order_;
   std::set<std::string> refused_ids_;
 };
