--- a/tests/auto/scheduling/scheduling_fixtures.h
+++ b/tests/auto/scheduling/scheduling_fixtures.h
@@ -1,4 +1,4 @@
-// Short ways to build workers, jobs and accounts for the scheduling tests.
+// Builds workers, jobs and accounts for the scheduling tests.
 #ifndef THORNPLANK_TESTS_SCHEDULING_FIXTURES_H_
 #define THORNPLANK_TESTS_SCHEDULING_FIXTURES_H_
 
@@ -14,7 +14,8 @@
 
 inline Time At(int64_t second) { return Time() + seconds(second); }
 
-// `racks` racks of `per_rack` workers named "w0", "w1", ...
+// `racks` racks of `per_rack` workers, named "w0", "w1" and so on over all
+// racks.
 inline std::vector<WorkerInfo> Workers(int racks, int per_rack,
                                        int accelerators) {
   std::vector<WorkerInfo> workers;
@@ -49,12 +50,12 @@
   return account;
 }
 
-inline constexpr Shape kOne{1, 1, Adjacency::kAnywhere};
-inline constexpr Shape kWhole{1, 8, Adjacency::kAnywhere};
+inline constexpr Shape kOneAccelerator{1, 1, Adjacency::kAnywhere};
+inline constexpr Shape kWholeWorker{1, 8, Adjacency::kAnywhere};
 
-// The actions of one kind, in their order.
+// The actions of type `Action`, in their order.
 template <typename Action>
-std::vector<Action> Only(const SchedulerActions& actions) {
+std::vector<Action> ActionsOfType(const SchedulerActions& actions) {
   std::vector<Action> found;
   for (const SchedulerAction& action : actions) {
     if (const Action* one = std::get_if<Action>(&action)) found.push_back(*one);
@@ -62,7 +63,7 @@
   return found;
 }
 
-// Confirms every member of `grant`; returns the actions of all answers.
+// Reports `outcome` for every member of `grant`. Returns all resulting actions.
 inline SchedulerActions ConfirmAll(
     JobScheduler& scheduler, const GrantGang& grant, Time now,
     MemberOutcome outcome = MemberOutcome::kConfirmed) {
--- a/tests/auto/scheduling/tst_gang_lifecycle.cc
+++ b/tests/auto/scheduling/tst_gang_lifecycle.cc
@@ -1,4 +1,4 @@
-// A gang starts, runs and stops as one, whatever its members do.
+// Tests that a gang starts, runs and stops as a unit, whatever its members do.
 #include <doctest/doctest.h>
 
 #include "scheduling_fixtures.h"
@@ -8,17 +8,19 @@
 
 constexpr Shape kPair{2, 8, Adjacency::kRack};
 
-// Two racks of two workers with a gang of two granted.
-struct Granted {
+// A scheduler with two racks of two workers, which has granted a gang of two
+// members for job "j".
+struct GrantedGang {
   JobScheduler scheduler{SchedulerOptions()};
   GrantGang grant;
 
-  Granted() {
+  GrantedGang() {
     scheduler.SetWorkers(Workers(2, 2, 8), At(0));
     scheduler.SetGuarantees({Account("a")}, At(0));
     scheduler.Tick(At(0));
     grant =
-        Only<GrantGang>(scheduler.Submit(Job("j", "a", kPair), At(1))).at(0);
+        ActionsOfType<GrantGang>(scheduler.Submit(Job("j", "a", kPair), At(1)))
+            .at(0);
   }
   SchedulerActions Result(int member, MemberOutcome outcome, int second) {
     return scheduler.MemberResult("j", grant.gang_id,
@@ -29,14 +31,16 @@
 };
 
 TEST_CASE("the throttle is lifted only when every member has confirmed") {
-  Granted t;
+  GrantedGang t;
   CHECK(t.grant.members.size() == 2);
   CHECK(t.grant.members[0].worker != t.grant.members[1].worker);
-  CHECK(Only<LiftThrottle>(t.Result(0, MemberOutcome::kConfirmed, 2)).empty());
-  CHECK(Only<LiftThrottle>(t.Result(0, MemberOutcome::kConfirmed, 2)).empty());
+  CHECK(ActionsOfType<LiftThrottle>(t.Result(0, MemberOutcome::kConfirmed, 2))
+            .empty());
+  CHECK(ActionsOfType<LiftThrottle>(t.Result(0, MemberOutcome::kConfirmed, 2))
+            .empty());
   CHECK(t.phase() == JobPhase::kStarting);
-  CHECK(Only<LiftThrottle>(t.Result(1, MemberOutcome::kConfirmed, 3)).size() ==
-        1);
+  CHECK(ActionsOfType<LiftThrottle>(t.Result(1, MemberOutcome::kConfirmed, 3))
+            .size() == 1);
   CHECK(t.phase() == JobPhase::kRunning);
 }
 
@@ -50,25 +54,26 @@
     SUBCASE("failed") { chosen = MemberOutcome::kFailed; }
     return chosen;
   }();
-  Granted t;
+  GrantedGang t;
   t.Result(0, MemberOutcome::kConfirmed, 2);
   const SchedulerActions actions = t.Result(1, outcome, 3);
-  CHECK(Only<StopGang>(actions).size() == 1);
+  CHECK(ActionsOfType<StopGang>(actions).size() == 1);
   CHECK(t.phase() == JobPhase::kStopping);
-  CHECK(Only<LiftThrottle>(t.Result(1, MemberOutcome::kConfirmed, 4)).empty());
+  CHECK(ActionsOfType<LiftThrottle>(t.Result(1, MemberOutcome::kConfirmed, 4))
+            .empty());
   t.Result(1, MemberOutcome::kGone, 5);
-  CHECK(Only<GrantGang>(t.scheduler.Tick(At(6))).empty());
+  CHECK(ActionsOfType<GrantGang>(t.scheduler.Tick(At(6))).empty());
   SchedulerActions last = t.Result(0, MemberOutcome::kGone, 7);
   for (SchedulerAction& action : t.scheduler.Tick(At(100))) {
     last.push_back(std::move(action));
   }
-  const std::vector<GrantGang> again = Only<GrantGang>(last);
+  const std::vector<GrantGang> again = ActionsOfType<GrantGang>(last);
   REQUIRE(again.size() == 1);
   CHECK(again[0].gang_id != t.grant.gang_id);
 }
 
-TEST_CASE("answers about an older attempt are ignored") {
-  Granted t;
+TEST_CASE("results of an earlier attempt are ignored") {
+  GrantedGang t;
   const GrantGang first = t.grant;
   t.Result(0, MemberOutcome::kRefused, 2);
   t.Result(1, MemberOutcome::kGone, 3);
@@ -78,23 +83,24 @@
   CHECK(t.phase() == JobPhase::kStarting);
 }
 
-TEST_CASE("a gang that is not whole in time is stopped") {
-  Granted t;
+TEST_CASE("a gang whose members are not all confirmed in time is stopped") {
+  GrantedGang t;
   t.Result(0, MemberOutcome::kConfirmed, 2);
   REQUIRE(t.scheduler.NextWake().has_value());
-  CHECK(Only<StopGang>(t.scheduler.Tick(*t.scheduler.NextWake())).size() == 1);
+  CHECK(ActionsOfType<StopGang>(t.scheduler.Tick(*t.scheduler.NextWake()))
+            .size() == 1);
 }
 
 TEST_CASE("a lost worker's lease counts as held until it lapses") {
-  Granted t;
+  GrantedGang t;
   ConfirmAll(t.scheduler, t.grant, At(2));
   const SchedulerActions lost =
       t.scheduler.WorkerLost(t.grant.members[0].worker, At(20), At(3));
-  CHECK(Only<StopGang>(lost).size() == 1);
-  CHECK(Only<GrantGang>(t.Result(1, MemberOutcome::kGone, 4)).empty());
+  CHECK(ActionsOfType<StopGang>(lost).size() == 1);
+  CHECK(ActionsOfType<GrantGang>(t.Result(1, MemberOutcome::kGone, 4)).empty());
   CHECK(t.phase() == JobPhase::kStopping);
   const std::vector<GrantGang> again =
-      Only<GrantGang>(t.scheduler.Tick(At(20)));
+      ActionsOfType<GrantGang>(t.scheduler.Tick(At(20)));
   REQUIRE(again.size() == 1);
   for (const GangMember& member : again[0].members) {
     CHECK(member.worker != t.grant.members[0].worker);
@@ -102,10 +108,11 @@
 }
 
 TEST_CASE("a cancelled job never starts afterwards") {
-  Granted t;
+  GrantedGang t;
   t.Result(0, MemberOutcome::kConfirmed, 2);
-  CHECK(Only<StopGang>(t.scheduler.Cancel("j", At(3))).size() == 1);
-  CHECK(Only<LiftThrottle>(t.Result(1, MemberOutcome::kConfirmed, 4)).empty());
+  CHECK(ActionsOfType<StopGang>(t.scheduler.Cancel("j", At(3))).size() == 1);
+  CHECK(ActionsOfType<LiftThrottle>(t.Result(1, MemberOutcome::kConfirmed, 4))
+            .empty());
   t.Result(0, MemberOutcome::kGone, 5);
   CHECK(t.phase() == JobPhase::kStopping);
   t.Result(1, MemberOutcome::kGone, 6);
@@ -114,8 +121,10 @@
   CHECK(t.scheduler.Submit(Job("j", "a", kPair), At(201)).empty());
 }
 
-TEST_CASE("an answer that overtook the grant does not count as a lost member") {
-  Granted t;
+TEST_CASE(
+    "a lease report requested before the grant was confirmed does not make "
+    "the member count as lost") {
+  GrantedGang t;
   ConfirmAll(t.scheduler, t.grant, At(5));
   const std::string worker = t.grant.members[0].worker;
   t.scheduler.WorkerReported(worker, {}, At(4), At(6));
@@ -124,18 +133,18 @@
   CHECK(t.phase() == JobPhase::kStopping);
 }
 
-TEST_CASE("finished members finish the job once all are done") {
-  Granted t;
+TEST_CASE("a job finishes once all members have finished") {
+  GrantedGang t;
   ConfirmAll(t.scheduler, t.grant, At(5));
   t.Result(0, MemberOutcome::kFinished, 50);
   CHECK(t.phase() == JobPhase::kRunning);
   const SchedulerActions done = t.Result(1, MemberOutcome::kFinished, 60);
   CHECK(t.phase() == JobPhase::kFinished);
-  CHECK(Only<StopGang>(done).size() == 1);
+  CHECK(ActionsOfType<StopGang>(done).size() == 1);
 }
 
-TEST_CASE("takeover keeps what runs whole and stops the rest") {
-  Granted t;
+TEST_CASE("a new coordinator keeps complete gangs and stops the others") {
+  GrantedGang t;
   JobScheduler next{SchedulerOptions()};
   next.SetWorkers(Workers(2, 2, 8), At(0));
   next.SetGuarantees({Account("a")}, At(0));
@@ -146,19 +155,19 @@
                     JobPhase::kRunning,
                     Duration::zero(),
                     std::nullopt};
-  SUBCASE("whole") {
+  SUBCASE("all members found") {
     CHECK(next.Adopt(found, At(1)).empty());
     CHECK(next.Tick(At(2)).empty());
     CHECK(next.job("j")->phase == JobPhase::kRunning);
   }
-  SUBCASE("part of its members") {
+  SUBCASE("a member is missing") {
     found.members.pop_back();
-    CHECK(Only<StopGang>(next.Adopt(found, At(1))).size() == 1);
-    CHECK(Only<GrantGang>(next.Tick(At(2))).empty());
+    CHECK(ActionsOfType<StopGang>(next.Adopt(found, At(1))).size() == 1);
+    CHECK(ActionsOfType<GrantGang>(next.Tick(At(2))).empty());
   }
-  SUBCASE("cancelled before") {
+  SUBCASE("cancelled before the takeover") {
     found.phase = JobPhase::kCancelled;
-    CHECK(Only<StopGang>(next.Adopt(found, At(1))).size() == 1);
+    CHECK(ActionsOfType<StopGang>(next.Adopt(found, At(1))).size() == 1);
     for (const GangMember& member : found.members) {
       next.MemberResult("j", found.gang_id, member.lease_id,
                         MemberOutcome::kGone, "", At(2));
@@ -171,7 +180,7 @@
     found.gang_id = "other";
     found.members[0].lease_id = "other.0";
     found.members[1].lease_id = "other.1";
-    CHECK(Only<StopLease>(next.Adopt(found, At(1))).size() == 2);
+    CHECK(ActionsOfType<StopLease>(next.Adopt(found, At(1))).size() == 2);
     CHECK(next.job("j")->phase == JobPhase::kRunning);
   }
 }
--- a/tests/auto/scheduling/tst_guarantees.cc
+++ b/tests/auto/scheduling/tst_guarantees.cc
@@ -1,4 +1,5 @@
-// Guarantees: which fit together, how they are called back, what is reported.
+// Tests of guarantees: which ones fit together, how their accelerators are
+// reclaimed from borrowers, and which shortfalls are reported.
 #include <doctest/doctest.h>
 
 #include "scheduling/guarantee_placement.h"
@@ -25,7 +26,7 @@
   cluster.DeliverAll();
 }
 
-TEST_CASE("guarantees that cannot be held together are refused") {
+TEST_CASE("guarantees that cannot be honoured together are refused") {
   struct Case {
     const char* name;
     std::vector<GuaranteedShape> first;
@@ -33,13 +34,22 @@
     bool fits;
   };
   const std::vector<Case> cases = {
-      {"all of it", {{kRackFour, 2}}, {{kRackPair, 2}}, true},
+      {"all accelerators", {{kRackFour, 2}}, {{kRackPair, 2}}, true},
       {"one worker too many", {{kRackFour, 2}}, {{kRackPair, 3}}, false},
-      {"no worker so large", {{{1, 9, Adjacency::kAnywhere}, 1}}, {}, false},
-      {"no rack so large", {{{7, 8, Adjacency::kRack}, 1}}, {}, false},
-      {"halves share workers", {{kRackFive, 2}}, {{kRackFour, 1}}, true},
-      {"the hard one is declared last", {{kOne, 64}}, {{kRackFour, 1}}, true},
-      {"nothing", {{{0, 8, Adjacency::kRack}, 1}}, {}, false},
+      {"a member larger than any worker",
+       {{{1, 9, Adjacency::kAnywhere}, 1}},
+       {},
+       false},
+      {"a gang larger than any rack",
+       {{{7, 8, Adjacency::kRack}, 1}},
+       {},
+       false},
+      {"two gangs share workers", {{kRackFive, 2}}, {{kRackFour, 1}}, true},
+      {"the shape that is hardest to place is declared last",
+       {{kOneAccelerator, 64}},
+       {{kRackFour, 1}},
+       true},
+      {"no members", {{{0, 8, Adjacency::kRack}, 1}}, {}, false},
   };
   for (const Case& one : cases) {
     CAPTURE(one.name);
@@ -49,7 +59,7 @@
   }
 }
 
-TEST_CASE("jobs that can never run are told why") {
+TEST_CASE("jobs that can never run are rejected with a reason") {
   AccountGuarantee strict = Account("strict", {{kRackPair, 1}});
   strict.borrowing = false;
   const std::vector<AccountGuarantee> accounts = {Account("a"), strict};
@@ -63,9 +73,9 @@
       {"a", {7, 8, Adjacency::kRack}, false},
       {"a", {1, 9, Adjacency::kAnywhere}, false},
       {"a", {13, 8, Adjacency::kAnywhere}, false},
-      {"nobody", kOne, false},
+      {"nobody", kOneAccelerator, false},
       {"strict", kRackPair, true},
-      {"strict", kOne, true},
+      {"strict", kOneAccelerator, true},
       {"strict", kRackFour, false},
   };
   for (const Case& one : cases) {
@@ -80,15 +90,15 @@
   CHECK(PhaseOf(cluster, "never") == JobPhase::kFailed);
 }
 
-// Everything is lent to borrowers when the holder comes.
-TEST_CASE("a guaranteed gang gets its accelerators back") {
+// All accelerators are in use by borrowers when the guaranteed job arrives.
+TEST_CASE("a guaranteed gang reclaims its accelerators from borrowers") {
   bool hang = false;
   SUBCASE("checkpoints are answered") { hang = false; }
   SUBCASE("checkpoints hang") { hang = true; }
   VirtualCluster cluster(Workers(2, 4, 8),
                          {Account("a", {{kRackFour, 1}}), Account("c")});
   for (int i = 0; i < 8; ++i) {
-    cluster.Submit(Job("c" + std::to_string(i), "c", kWhole));
+    cluster.Submit(Job("c" + std::to_string(i), "c", kWholeWorker));
   }
   cluster.DeliverAll();
   REQUIRE(cluster.scheduler().free_accelerators() == 0);
@@ -108,11 +118,11 @@
 
 TEST_CASE("urgent work reclaims from borrowers, never from a guarantee") {
   VirtualCluster cluster(Workers(1, 2, 8),
-                         {Account("a", {{kWhole, 1}}), Account("c")});
-  cluster.Submit(Job("a0", "a", kWhole));
-  cluster.Submit(Job("c0", "c", kWhole));
+                         {Account("a", {{kWholeWorker, 1}}), Account("c")});
+  cluster.Submit(Job("a0", "a", kWholeWorker));
+  cluster.Submit(Job("c0", "c", kWholeWorker));
   cluster.DeliverAll();
-  JobSpec urgent = Job("u0", "c", kWhole);
+  JobSpec urgent = Job("u0", "c", kWholeWorker);
   urgent.priority = Priority::kUrgent;
   cluster.Submit(urgent);
   urgent.id = "u1";
@@ -124,49 +134,52 @@
   CHECK(PhaseOf(cluster, "u1") == JobPhase::kWaiting);
 }
 
-TEST_CASE("a guarantee that lost its workers is reported, and taken back") {
+TEST_CASE(
+    "a shortfall is reported when a guarantee loses its workers and is "
+    "withdrawn afterwards") {
   JobScheduler scheduler{SchedulerOptions()};
   scheduler.SetWorkers(Workers(2, 4, 8), At(0));
   scheduler.SetGuarantees({Account("a", {{kRackFour, 2}})}, At(0));
-  CHECK(Only<ReportShortfall>(scheduler.Tick(At(0))).empty());
+  CHECK(ActionsOfType<ReportShortfall>(scheduler.Tick(At(0))).empty());
   const auto lost =
-      Only<ReportShortfall>(scheduler.WorkerLost("w0", At(15), At(1)));
+      ActionsOfType<ReportShortfall>(scheduler.WorkerLost("w0", At(15), At(1)));
   REQUIRE(lost.size() == 1);
   CHECK(lost[0].name == "a");
   CHECK_FALSE(lost[0].text.empty());
   const auto back =
-      Only<ReportShortfall>(scheduler.WorkerRecovered("w0", At(20)));
+      ActionsOfType<ReportShortfall>(scheduler.WorkerRecovered("w0", At(20)));
   REQUIRE(back.size() == 1);
   CHECK(back[0].text.empty());
 }
 
-TEST_CASE("a guarantee moves off a lost worker when there is room") {
+TEST_CASE("cells move off a lost worker if there is room elsewhere") {
   JobScheduler scheduler{SchedulerOptions()};
   scheduler.SetWorkers(Workers(2, 3, 8), At(0));
   scheduler.SetGuarantees({Account("a", {{kRackPair, 2}})}, At(0));
   scheduler.Tick(At(0));
   for (const char* worker : {"w0", "w5"}) {
     const SchedulerActions lost = scheduler.WorkerLost(worker, At(15), At(1));
-    CHECK(Only<ReportShortfall>(lost).empty());
+    CHECK(ActionsOfType<ReportShortfall>(lost).empty());
   }
   CHECK(scheduler.guarantee_placement().IsComplete());
 }
 
-// With too few workers for all, who has a place keeps it.
-TEST_CASE("a start never takes the place of another account's guarantee") {
+// Guards against a start that moves cells of other accounts out of their place
+// when there are too few workers for all guarantees.
+TEST_CASE("a start does not displace the cells of another account") {
   AccountGuarantee strict = Account("strict", {{{3, 4, Adjacency::kRack}, 1}});
   VirtualCluster cluster(
       Workers(3, 3, 8),
       {Account("a", {{kRackPair, 1}, {{2, 2, Adjacency::kAnywhere}, 2}}),
-       Account("b", {{kWhole, 2}}), strict});
+       Account("b", {{kWholeWorker, 2}}), strict});
   const auto missing = [&cluster](const std::string& account) {
     return cluster.scheduler().guarantee_placement().Shortfall({account, ""});
   };
-  cluster.LoseOrReturn(6);
+  cluster.ToggleLost(6);
   cluster.Submit(Job("j0", "b", kRackPair));
-  cluster.LoseOrReturn(2);
-  cluster.Submit(Job("j1", "a", kOne));
-  cluster.LoseOrReturn(7);
+  cluster.ToggleLost(2);
+  cluster.Submit(Job("j1", "a", kOneAccelerator));
+  cluster.ToggleLost(7);
   const std::string of_b = missing("b");
   const std::string of_strict = missing("strict");
   cluster.Submit(Job("j2", "a", {2, 2, Adjacency::kAnywhere}));
@@ -174,7 +187,7 @@
   CHECK(missing("strict") == of_strict);
 }
 
-TEST_CASE("victims lose the least work for what they unblock") {
+TEST_CASE("the chosen victims lose the least work per accelerator freed") {
   struct Case {
     const char* name;
     std::map<WorkerIndex, int> needed;
@@ -182,21 +195,21 @@
     std::vector<std::string> victims;
   };
   const std::vector<Case> cases = {
-      {"the cheap ones",
+      {"the cheapest gangs",
        {{0, 8}},
-       {{"dear", 100, {{0, 8}}}, {"b", 10, {{0, 4}}}, {"c", 9, {{0, 4}}}},
+       {{"expensive", 100, {{0, 8}}}, {"b", 10, {{0, 4}}}, {"c", 9, {{0, 4}}}},
        {"b", "c"}},
-      {"the one that frees both",
+      {"one gang that frees both workers",
        {{0, 4}, {1, 4}},
        {{"a", 10, {{0, 4}}},
         {"b", 10, {{1, 4}}},
         {"both", 12, {{0, 4}, {1, 4}}}},
        {"both"}},
-      {"none that a later choice made needless",
+      {"no gang that a later choice made redundant",
        {{0, 8}},
        {{"small", 1, {{0, 4}}}, {"whole", 10, {{0, 8}}}},
        {"whole"}},
-      {"nobody elsewhere", {{0, 8}}, {{"a", 1, {{1, 8}}}}, {}},
+      {"no gang on other workers", {{0, 8}}, {{"a", 1, {{1, 8}}}}, {}},
   };
   for (const Case& one : cases) {
     CAPTURE(one.name);
@@ -204,15 +217,18 @@
   }
 }
 
-TEST_CASE("borrowers that are saved fast leave before those that are not") {
-  VirtualCluster cluster(Workers(1, 2, 8), {Account("a", {{kWhole, 1}}),
+TEST_CASE(
+    "borrowers with short checkpoints are stopped before those with long "
+    "ones") {
+  VirtualCluster cluster(Workers(1, 2, 8), {Account("a", {{kWholeWorker, 1}}),
                                             Account("fast"), Account("slow")});
-  // Each account's checkpoints are measured once, by a gang of its own.
+  // Makes the scheduler measure a checkpoint of the account: a guaranteed job
+  // reclaims one of its borrowers.
   const auto measure = [&cluster](const std::string& account, int took) {
-    cluster.Submit(Job("m" + account, account, kWhole));
-    cluster.Submit(Job("n" + account, account, kWhole));
+    cluster.Submit(Job("m" + account, account, kWholeWorker));
+    cluster.Submit(Job("n" + account, account, kWholeWorker));
     cluster.DeliverAll();
-    cluster.Submit(Job("a" + account, "a", kWhole));
+    cluster.Submit(Job("a" + account, "a", kWholeWorker));
     cluster.Advance(seconds(took));
     cluster.DeliverAll();
     for (const char* prefix : {"m", "n", "a"}) cluster.Cancel(prefix + account);
@@ -220,21 +236,22 @@
   };
   measure("slow", 20);
   measure("fast", 1);
-  cluster.Submit(Job("slow", "slow", kWhole));
-  cluster.Submit(Job("fast", "fast", kWhole));
+  cluster.Submit(Job("slow", "slow", kWholeWorker));
+  cluster.Submit(Job("fast", "fast", kWholeWorker));
   Run(cluster, 5);
-  cluster.Submit(Job("holder", "a", kWhole));
+  cluster.Submit(Job("holder", "a", kWholeWorker));
   Run(cluster, 1);
   CHECK(PhaseOf(cluster, "fast") == JobPhase::kWaiting);
   CHECK(PhaseOf(cluster, "slow") == JobPhase::kRunning);
 }
 
-TEST_CASE("a leaving worker's gangs are saved and moved whole") {
+TEST_CASE(
+    "the gangs of a leaving worker are checkpointed and placed elsewhere") {
   VirtualCluster cluster(Workers(2, 2, 8), {Account("a", {{kRackPair, 1}})});
   cluster.Submit(Job("a0", "a", kRackPair));
   cluster.DeliverAll();
   const std::string worker = cluster.scheduler().job("a0")->members[0].worker;
-  cluster.LeaveOrStay(static_cast<size_t>(std::stoi(worker.substr(1))));
+  cluster.ToggleLeaving(static_cast<size_t>(std::stoi(worker.substr(1))));
   CHECK(PhaseOf(cluster, "a0") == JobPhase::kCheckpointing);
   Run(cluster, 2);
   CHECK(PhaseOf(cluster, "a0") == JobPhase::kRunning);
--- a/tests/auto/scheduling/tst_large_jobs_and_events.cc
+++ b/tests/auto/scheduling/tst_large_jobs_and_events.cc
@@ -1,5 +1,5 @@
-// Reservations of large jobs, events with a fixed start, faulty workers and
-// faulty jobs.
+// Tests of reservations for large jobs, events with a fixed start, faulty
+// workers and faulty jobs.
 #include <doctest/doctest.h>
 
 #include "scheduling/failure_tracker.h"
@@ -11,18 +11,19 @@
 
 constexpr Shape kRackFour{4, 8, Adjacency::kRack};
 
-// Answers every action at once; jobs run as long as the test says.
-class Answering {
+// A scheduler whose actions succeed at once, apart from checkpoints while
+// `checkpoints_hang` is set. Jobs run until the test ends them.
+class RespondingScheduler {
  public:
-  explicit Answering(std::vector<AccountGuarantee> accounts,
-                     SchedulerOptions options = SchedulerOptions())
+  explicit RespondingScheduler(std::vector<AccountGuarantee> accounts,
+                               SchedulerOptions options = SchedulerOptions())
       : scheduler(options) {
     scheduler.SetWorkers(Workers(1, 4, 8), At(0));
     scheduler.SetGuarantees(accounts, At(0));
-    Take(scheduler.Tick(At(0)), At(0));
+    CarryOut(scheduler.Tick(At(0)), At(0));
   }
 
-  void Take(SchedulerActions actions, Time now) {
+  void CarryOut(SchedulerActions actions, Time now) {
     for (size_t i = 0; i < actions.size(); ++i) {
       const SchedulerAction action = actions[i];
       SchedulerActions more;
@@ -34,7 +35,7 @@
         more =
             ConfirmAll(scheduler, grants[stop->job], now, MemberOutcome::kGone);
       } else if (const auto* save = std::get_if<CheckpointGang>(&action)) {
-        if (!hang) {
+        if (!checkpoints_hang) {
           more = scheduler.CheckpointDone(save->job, save->gang_id, now);
         }
       } else if (const auto* report = std::get_if<ReportShortfall>(&action)) {
@@ -44,11 +45,12 @@
     }
   }
   void Submit(const JobSpec& job, int second) {
-    Take(scheduler.Submit(job, At(second)), At(second));
+    CarryOut(scheduler.Submit(job, At(second)), At(second));
   }
-  void Tick(int second) { Take(scheduler.Tick(At(second)), At(second)); }
+  void Tick(int second) { CarryOut(scheduler.Tick(At(second)), At(second)); }
   void End(const std::string& job, int second, MemberOutcome outcome) {
-    Take(ConfirmAll(scheduler, grants[job], At(second), outcome), At(second));
+    CarryOut(ConfirmAll(scheduler, grants[job], At(second), outcome),
+             At(second));
   }
   bool Runs(const std::string& job) const {
     const std::optional<JobStatus> status = scheduler.job(job);
@@ -59,17 +61,19 @@
   std::map<std::string, GrantGang> grants;
   std::map<std::string, int> attempts;
   std::map<std::string, std::string> shortfalls;
-  bool hang = false;
+  bool checkpoints_hang = false;
 };
 
-// Small jobs keep coming, each ending as declared or running on past that.
-TEST_CASE("a large job starts within a bound among small ones") {
+// Guards against starvation of a large job. Small jobs keep arriving, and
+// either end as declared or overrun.
+TEST_CASE("a large job starts within a bound while small jobs keep arriving") {
   bool honest = true;
   SUBCASE("run times are as declared") { honest = true; }
   SUBCASE("small jobs never end by themselves") { honest = false; }
-  Answering t({Account("c"), Account("d")});
+  RespondingScheduler t({Account("c"), Account("d")});
   for (int i = 0; i < 4; ++i) {
-    t.Submit(Job("first" + std::to_string(i), "c", kWhole, 10 + 10 * i), 0);
+    t.Submit(Job("first" + std::to_string(i), "c", kWholeWorker, 10 + 10 * i),
+             0);
   }
   t.Submit(Job("large", "d", kRackFour, 50), 1);
   std::map<std::string, int> ends;
@@ -78,7 +82,7 @@
   for (int second = 2; second <= 600 && started == 0; ++second) {
     if (second % 5 == 0) {
       const std::string id = "s" + std::to_string(second);
-      t.Submit(Job(id, "c", kWhole, 20), second);
+      t.Submit(Job(id, "c", kWholeWorker, 20), second);
     }
     for (auto& [job, grant] : std::map<std::string, GrantGang>(t.grants)) {
       if (job == "large" || !t.Runs(job)) continue;
@@ -88,66 +92,68 @@
     t.Tick(second);
     if (t.Runs("large")) started = second;
   }
-  // The wait bound, and as often as a delay is allowed one small run time.
+  // The wait bound of 60 s, and 40 s for the first start of the reservation and
+  // each of its 3 allowed delays.
   CHECK(started > 0);
   CHECK(started <= 60 + 4 * 40);
 }
 
-TEST_CASE("an event's accelerators are free at its start, not much before") {
-  Answering t({Account("a"), Account("c")});
+TEST_CASE("an event's accelerators become free shortly before its start") {
+  RespondingScheduler t({Account("a"), Account("c")});
   const std::vector<EventReservation> events = {
       {"opening", "a", At(1000), {{kRackFour, 1}}}};
-  t.Take(t.scheduler.SetEvents(events, At(0)), At(0));
+  t.CarryOut(t.scheduler.SetEvents(events, At(0)), At(0));
   CHECK(t.shortfalls["opening"].empty());
   for (int i = 0; i < 4; ++i) {
-    t.Submit(Job("c" + std::to_string(i), "c", kWhole, 5000), 0);
+    t.Submit(Job("c" + std::to_string(i), "c", kWholeWorker, 5000), 0);
   }
   JobSpec job = Job("alert", "a", kRackFour);
   job.event = "opening";
   t.Submit(job, 1);
-  // 10 s assumed for a checkpoint, half of it as margin, 2 s to stop.
-  t.hang = true;
+  // The lead time is 17 s: 10 s assumed for a checkpoint, half of that as
+  // margin, and 2 s to stop.
+  t.checkpoints_hang = true;
   t.Tick(980);
   CHECK(t.Runs("c0"));
   t.Tick(984);
   CHECK_FALSE(t.Runs("c0"));
   for (int i = 0; i < 4; ++i) {
     const std::string id = "c" + std::to_string(i);
-    t.Take(t.scheduler.CheckpointDone(id, t.grants[id].gang_id, At(990)),
-           At(990));
+    t.CarryOut(t.scheduler.CheckpointDone(id, t.grants[id].gang_id, At(990)),
+               At(990));
   }
   CHECK(t.scheduler.free_accelerators() == 32);
   CHECK_FALSE(t.Runs("alert"));
-  t.Submit(Job("late", "c", kWhole, 500), 991);
+  t.Submit(Job("late", "c", kWholeWorker, 500), 991);
   CHECK_FALSE(t.Runs("late"));
-  t.Submit(Job("short", "c", kWhole, 5), 991);
+  t.Submit(Job("short", "c", kWholeWorker, 5), 991);
   CHECK(t.Runs("short"));
   t.End("short", 996, MemberOutcome::kFinished);
   t.Tick(1000);
   CHECK(t.Runs("alert"));
 }
 
-TEST_CASE("an event that cannot be served whole is reported at once") {
-  Answering t({Account("a"), Account("b", {{kWhole, 1}})});
-  t.Take(t.scheduler.SetEvents({{"opening", "a", At(1000), {{kRackFour, 1}}}},
-                               At(0)),
-         At(0));
+TEST_CASE("an event that cannot be served completely is reported at once") {
+  RespondingScheduler t({Account("a"), Account("b", {{kWholeWorker, 1}})});
+  t.CarryOut(t.scheduler.SetEvents(
+                 {{"opening", "a", At(1000), {{kRackFour, 1}}}}, At(0)),
+             At(0));
   CHECK_FALSE(t.shortfalls["opening"].empty());
-  t.Take(
-      t.scheduler.SetEvents({{"opening", "a", At(1000), {{kWhole, 3}}}}, At(1)),
-      At(1));
+  t.CarryOut(t.scheduler.SetEvents(
+                 {{"opening", "a", At(1000), {{kWholeWorker, 3}}}}, At(1)),
+             At(1));
   CHECK(t.shortfalls["opening"].empty());
-  t.Take(t.scheduler.WorkerLost("w3", At(20), At(5)), At(5));
+  t.CarryOut(t.scheduler.WorkerLost("w3", At(20), At(5)), At(5));
   const bool told =
       !t.shortfalls["opening"].empty() || !t.shortfalls["b"].empty();
   CHECK(told);
 }
 
-TEST_CASE("an event uses its account's own guarantee before anything else") {
-  Answering t({Account("a", {{kRackFour, 1}})});
-  t.Take(t.scheduler.SetEvents({{"opening", "a", At(1000), {{kRackFour, 1}}}},
-                               At(0)),
-         At(0));
+TEST_CASE("an event uses the guarantee of its account first") {
+  RespondingScheduler t({Account("a", {{kRackFour, 1}})});
+  t.CarryOut(t.scheduler.SetEvents(
+                 {{"opening", "a", At(1000), {{kRackFour, 1}}}}, At(0)),
+             At(0));
   CHECK(t.shortfalls["opening"].empty());
   t.Submit(Job("usual", "a", kRackFour, 5000), 1);
   CHECK(t.scheduler.job("usual")->guaranteed);
@@ -159,10 +165,10 @@
   CHECK(t.Runs("alert"));
 }
 
-TEST_CASE("blame falls on the worker or on the job, by crossing evidence") {
+TEST_CASE("failures are attributed to the worker or to the job") {
   FailureTracker tracker{FailureLimits()};
   constexpr int kWorkers = 50;
-  SUBCASE("many jobs fail on one worker") {
+  SUBCASE("several jobs fail on one worker") {
     CHECK_FALSE(tracker.RecordFailure("j1", 0, kWorkers, At(0)));
     CHECK_FALSE(tracker.RecordFailure("j2", 0, kWorkers, At(0)));
     CHECK(tracker.RecordFailure("j3", 0, kWorkers, At(0)));
@@ -175,23 +181,23 @@
       CHECK_FALSE(tracker.IsProbeDue(0, At(180)));
       CHECK(tracker.IsProbeDue(0, At(181)));
     }
-    SUBCASE("the probe goes well") {
+    SUBCASE("the probe succeeds") {
       CHECK(tracker.RecordSuccess("j4", 0));
       CHECK(tracker.quarantined().empty());
     }
   }
-  SUBCASE("one job fails on many workers") {
+  SUBCASE("one job fails on several workers") {
     for (int worker = 0; worker < 3; ++worker) {
       CHECK_FALSE(tracker.RecordFailure("bad", worker, kWorkers, At(0)));
     }
     CHECK(tracker.IsBadJob("bad"));
     tracker.ForgetJob("bad");
-    // Its failures count against no worker any more.
+    // The failures of a bad job no longer count against the workers.
     CHECK_FALSE(tracker.RecordFailure("j1", 0, kWorkers, At(0)));
     CHECK_FALSE(tracker.RecordFailure("j2", 0, kWorkers, At(0)));
     CHECK(tracker.quarantined().empty());
   }
-  SUBCASE("never more than the set share") {
+  SUBCASE("no more than the allowed share of workers is quarantined") {
     for (int worker = 0; worker < 10; ++worker) {
       for (const char* job : {"j1", "j2", "j3", "j4"}) {
         tracker.RecordFailure(job + std::to_string(worker), worker, kWorkers,
@@ -202,21 +208,22 @@
   }
 }
 
-TEST_CASE("a job that fails everywhere ends, a good one moves on") {
+TEST_CASE(
+    "a job that fails on every worker fails, others avoid a faulty worker") {
   SchedulerOptions options;
   options.max_quarantined_share = 0.25;
-  Answering t({Account("c")}, options);
-  t.Submit(Job("bad", "c", kWhole), 0);
+  RespondingScheduler t({Account("c")}, options);
+  t.Submit(Job("bad", "c", kWholeWorker), 0);
   for (int second = 1; second < 20 && t.Runs("bad"); ++second) {
     t.End("bad", second, MemberOutcome::kFailed);
   }
   CHECK(t.scheduler.job("bad")->phase == JobPhase::kFailed);
   CHECK(t.attempts["bad"] == 3);
   CHECK(t.scheduler.quarantined_workers().empty());
-  // Whatever lies on w0 fails there.
+  // Every job that runs on w0 fails.
   for (int i = 0; i < 12; ++i) {
     const std::string id = "g" + std::to_string(i);
-    t.Submit(Job(id, "c", kWhole), 100 + i);
+    t.Submit(Job(id, "c", kWholeWorker), 100 + i);
     for (int tries = 0; tries < 3 && t.Runs(id); ++tries) {
       const bool faulty = t.grants[id].members[0].worker == "w0";
       const auto outcome =
@@ -236,7 +243,7 @@
   CHECK(estimator.correction_factor("a") == doctest::Approx(4));
   CHECK(estimator.correction_factor("b") == doctest::Approx(1));
   CHECK(estimator.ExpectedRunTime("a", seconds(20)) > seconds(79));
-  // An overrunning job is never expected to end at once.
+  // A job that overruns is not expected to end immediately.
   CHECK(estimator.RemainingRunTime("b", seconds(10), seconds(100)) >=
         seconds(10));
 }
--- a/tests/auto/scheduling/tst_scheduler_properties.cc
+++ b/tests/auto/scheduling/tst_scheduler_properties.cc
@@ -1,5 +1,6 @@
-// What must hold after every step of any sequence of submissions,
-// cancellations, failures, lost replies and takeovers.
+// Property tests: invariants that must hold after every step of any sequence of
+// submissions, cancellations, failures, lost replies and changes of
+// coordinator.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -22,14 +23,17 @@
   AccountGuarantee strict = Account("strict", {{kRackTrio, 1}});
   strict.borrowing = false;
   return {Account("a", {{kRackPair, 1}, {{2, 2, Adjacency::kAnywhere}, 2}}),
-          Account("b", {{kWhole, 2}}), Account("c"), strict};
+          Account("b", {{kWholeWorker, 2}}), Account("c"), strict};
 }
 
 JobSpec RandomJob(int number, int argument) {
-  static const std::vector<Shape> kShapes = {
-      kOne,      {2, 2, Adjacency::kAnywhere}, kWhole,
-      kRackPair, {4, 8, Adjacency::kRack},     {9, 1, Adjacency::kAnywhere},
-      kRackTrio};
+  static const std::vector<Shape> kShapes = {kOneAccelerator,
+                                             {2, 2, Adjacency::kAnywhere},
+                                             kWholeWorker,
+                                             kRackPair,
+                                             {4, 8, Adjacency::kRack},
+                                             {9, 1, Adjacency::kAnywhere},
+                                             kRackTrio};
   static const std::vector<std::string> kAccounts = {"a", "b", "c", "strict"};
   const size_t shape = static_cast<size_t>(argument) % kShapes.size();
   const size_t account = static_cast<size_t>(argument / 8) % kAccounts.size();
@@ -59,9 +63,9 @@
       cluster->Cancel("j" + std::to_string(argument % *jobs));
     }
   } else if (kind < 94) {
-    cluster->LoseOrReturn(index);
+    cluster->ToggleLost(index);
   } else if (kind < 96) {
-    cluster->LeaveOrStay(index);
+    cluster->ToggleLeaving(index);
   } else if (kind < 98) {
     cluster->Report(index);
   } else if (kind < 99) {
@@ -72,7 +76,7 @@
 }
 
 template <typename Property>
-bool Holds(Property property) {
+bool CheckProperty(Property property) {
   rc::detail::TestParams params;
   params.seed = kSeed;
   params.maxSuccess = kSequences;
@@ -86,8 +90,9 @@
   return result.template is<rc::detail::SuccessResult>();
 }
 
-TEST_CASE("no sequence breaks a gang, a worker or a guarantee") {
-  CHECK(Holds([](const std::vector<Step>& steps) {
+TEST_CASE(
+    "no sequence violates the invariants of gangs, workers or guarantees") {
+  CHECK(CheckProperty([](const std::vector<Step>& steps) {
     VirtualCluster cluster(Workers(3, 3, 8), Accounts());
     int jobs = 0;
     for (const Step& step : steps) {
@@ -98,14 +103,16 @@
   }));
 }
 
-// After any sequence, once all workers are back, a guaranteed gang starts
-// within the checkpoint deadline although no checkpoint is ever answered.
+// Guards against borrowers that keep a guarantee waiting. After any sequence,
+// with all workers usable, a guaranteed gang starts within the checkpoint
+// deadline even if no checkpoint request is answered.
 TEST_CASE("a guaranteed job starts within the bound after any sequence") {
-  CHECK(Holds([](const std::vector<Step>& steps) {
+  CHECK(CheckProperty([](const std::vector<Step>& steps) {
     VirtualCluster cluster(Workers(3, 3, 8), Accounts());
     int jobs = 0;
     for (const Step& step : steps) {
-      if (step.first >= 85) continue;  // workers stay, for this one
+      // Leaves out cancellations and everything that makes workers unusable.
+      if (step.first >= 85) continue;
       Apply(step, &jobs, &cluster);
     }
     for (int i = 0; i < jobs; ++i) {
@@ -117,7 +124,7 @@
     cluster.Advance(seconds(100));
     cluster.DeliverAll();
     cluster.SetCheckpointsHang(true);
-    cluster.Submit(Job("last", "b", kWhole));
+    cluster.Submit(Job("last", "b", kWholeWorker));
     for (int second = 0; second <= 31; ++second) {
       cluster.DeliverAll();
       cluster.Advance(seconds(1));
--- a/tests/auto/scheduling/virtual_cluster.cc
+++ b/tests/auto/scheduling/virtual_cluster.cc
@@ -47,7 +47,7 @@
   const size_t position = index % messages_.size();
   const Message message = messages_[position];
   Worker& worker = workers_[message.member.worker];
-  if (worker.lost) return;  // the carrier repeats it
+  if (worker.lost) return;  // stays queued until the worker is reachable
   messages_.erase(messages_.begin() + static_cast<int64_t>(position));
   MemberOutcome outcome = MemberOutcome::kGone;
   if (message.kind == Kind::kCheckpoint) {
@@ -62,7 +62,7 @@
   } else if (worker.fenced.count(lease) > 0) {
     return;
   } else if (worker.leases.count(lease) > 0) {
-    outcome = MemberOutcome::kConfirmed;  // a repeat changes nothing
+    outcome = MemberOutcome::kConfirmed;  // a repeated grant changes nothing
   } else if (Held(worker) + message.member.accelerators >
              worker.info.accelerators) {
     outcome = MemberOutcome::kRefused;
@@ -73,7 +73,7 @@
                             message.member.accelerators, std::nullopt};
   }
   if (lost_reply) {
-    messages_.push_back(message);  // repeated until answered
+    messages_.push_back(message);  // repeated until a reply arrives
     return;
   }
   Apply(scheduler_->MemberResult(message.job, message.gang_id, lease, outcome,
@@ -114,7 +114,7 @@
                                  MemberOutcome::kFailed, "it crashed", now_));
 }
 
-void VirtualCluster::LoseOrReturn(size_t worker_index) {
+void VirtualCluster::ToggleLost(size_t worker_index) {
   Worker& worker = workers_[names_[worker_index % names_.size()]];
   worker.lost = !worker.lost;
   if (worker.lost) {
@@ -129,7 +129,7 @@
   Report(worker_index);
 }
 
-void VirtualCluster::LeaveOrStay(size_t worker_index) {
+void VirtualCluster::ToggleLeaving(size_t worker_index) {
   Worker& chosen = workers_[names_[worker_index % names_.size()]];
   chosen.info.leaving = !chosen.info.leaving;
   std::vector<WorkerInfo> infos;
@@ -155,7 +155,7 @@
 
 void VirtualCluster::TakeOver() {
   scheduler_ = std::make_unique<JobScheduler>(Options(++epoch_));
-  // The new epoch fences whatever the old one had on its way.
+  // Workers refuse undelivered messages of the previous epoch.
   for (const Message& message : messages_) {
     workers_[message.member.worker].fenced.insert(message.member.lease_id);
   }
@@ -174,7 +174,8 @@
   std::map<std::string, AdoptedGang> found;
   for (auto& [name, worker] : workers_) {
     for (auto& [id, lease] : worker.leases) {
-      if (!worker.lost) lease.lapses_at.reset();  // renewed from now on
+      // The new coordinator renews the leases that it can reach.
+      if (!worker.lost) lease.lapses_at.reset();
       AdoptedGang& gang = found[lease.gang_id];
       gang.job = lease.job;
       gang.gang_id = lease.gang_id;
@@ -206,33 +207,36 @@
 
 void VirtualCluster::ApplyOne(const GrantGang& action) {
   if (cancelled_.count(action.job) > 0) {
-    Fault(action.job + " cancelled, granted");
+    RecordViolation(action.job + " granted after its cancellation");
   }
   if (!grants_.emplace(action.gang_id, action).second) {
-    Fault("gang id used twice: " + action.gang_id);
+    RecordViolation("gang id used twice: " + action.gang_id);
   }
   const Shape& shape = jobs_[action.job].shape;
   if (static_cast<int>(action.members.size()) != shape.members) {
-    Fault("granted in part: " + action.gang_id);
+    RecordViolation("granted with a wrong number of members: " +
+                    action.gang_id);
   }
   std::set<std::string> racks;
   for (const GangMember& member : action.members) {
     racks.insert(workers_[member.worker].info.rack);
-    if (!IsUsable(member.worker)) Fault("granted on " + member.worker);
+    if (!IsUsable(member.worker))
+      RecordViolation("granted on unusable worker " + member.worker);
     messages_.push_back({Kind::kGrant, action.job, action.gang_id, member});
   }
   if (shape.adjacency == Adjacency::kRack && racks.size() > 1) {
-    Fault("granted across racks: " + action.gang_id);
+    RecordViolation("granted across racks: " + action.gang_id);
   }
 }
 
 void VirtualCluster::ApplyOne(const LiftThrottle& action) {
   if (cancelled_.count(action.job) > 0) {
-    Fault(action.job + " cancelled, started");
+    RecordViolation(action.job + " started after its cancellation");
   }
   for (const GangMember& member : grants_[action.gang_id].members) {
     if (workers_[member.worker].leases.count(member.lease_id) == 0) {
-      Fault("started in part: " + action.gang_id);
+      RecordViolation("started while a member holds no lease: " +
+                      action.gang_id);
     }
   }
   running_.insert(action.gang_id);
@@ -258,7 +262,7 @@
 void VirtualCluster::ApplyOne(const PhaseChanged& action) {
   const auto known = phases_.find(action.job);
   if (known != phases_.end() && IsFinal(known->second)) {
-    Fault("phase after the final one: " + action.job);
+    RecordViolation("phase changed after a final phase: " + action.job);
   }
   phases_[action.job] = action.phase;
 }
@@ -277,8 +281,8 @@
   }
 }
 
-void VirtualCluster::Fault(const std::string& text) {
-  if (fault_.empty()) fault_ = text;
+void VirtualCluster::RecordViolation(const std::string& text) {
+  if (first_violation_.empty()) first_violation_ = text;
 }
 
 int VirtualCluster::Held(const Worker& worker) const {
@@ -297,7 +301,7 @@
 }
 
 std::string VirtualCluster::Check() const {
-  if (!fault_.empty()) return fault_;
+  if (!first_violation_.empty()) return first_violation_;
   const std::string leases = CheckLeases();
   return leases.empty() ? CheckGuaranteePlacement() : leases;
 }
@@ -306,29 +310,30 @@
   std::map<std::string, std::set<std::string>> gangs_of_job;
   for (const auto& [name, worker] : workers_) {
     if (Held(worker) > worker.info.accelerators) {
-      return name + " over-allocated";
+      return name + " is over-allocated";
     }
     for (const auto& [id, lease] : worker.leases) {
       gangs_of_job[lease.job].insert(lease.gang_id);
     }
   }
   for (const auto& [job, gangs] : gangs_of_job) {
-    if (gangs.size() > 1) return job + " has two attempts";
+    if (gangs.size() > 1) return job + " has two attempts at the same time";
   }
   for (const auto& [id, spec] : jobs_) {
     const std::optional<JobStatus> status = scheduler_->job(id);
     if (!status || status->phase != JobPhase::kRunning) continue;
-    if (running_.count(status->gang_id) == 0) return id + " runs unasked";
+    if (running_.count(status->gang_id) == 0)
+      return id + " runs although its throttle was not lifted";
     for (const GangMember& member : status->members) {
       if (workers_.at(member.worker).leases.count(member.lease_id) == 0) {
-        return id + " runs in part";
+        return id + " runs while a member holds no lease";
       }
     }
   }
   return "";
 }
 
-// Checks the placement of the cells itself, not how it was found.
+// Checks the placement of the cells independently of the code that made it.
 std::string VirtualCluster::CheckGuaranteePlacement() const {
   const std::vector<std::string> quarantined =
       scheduler_->quarantined_workers();
@@ -346,7 +351,7 @@
     std::set<std::string> racks;
     bool usable = true;
     for (const CellSlot& slot : cell.slots) {
-      // Workers are declared in the order of their indexes.
+      // The order of declaration gives the WorkerIndex.
       const std::string& name = names_[slot.worker];
       racks.insert(workers_.at(name).info.rack);
       const bool good =
@@ -361,7 +366,7 @@
   }
   for (const auto& [name, accelerators] : used) {
     if (accelerators > workers_.at(name).info.accelerators) {
-      return "the cells need more than " + name + " has";
+      return "the cells need more accelerators than " + name + " has";
     }
   }
   for (const auto& [account, counts] : declared_and_placed) {
@@ -369,7 +374,8 @@
     const bool told =
         reported != shortfalls_.end() && !reported->second.empty();
     if (counts.first != counts.second && !told) {
-      return account + " lacks a guaranteed shape and nobody was told";
+      return account +
+             " lacks a guaranteed shape and no shortfall was reported";
     }
   }
   return "";
--- a/tests/auto/scheduling/virtual_cluster.h
+++ b/tests/auto/scheduling/virtual_cluster.h
@@ -1,5 +1,6 @@
-// Workers that carry out the scheduler's actions, message by message, in any
-// order that a test chooses, and the checks that must hold after each step.
+// Simulated workers that carry out the actions of a JobScheduler. The messages
+// to them are delivered in any order that a test chooses. Check() verifies the
+// invariants that must hold after each step.
 #ifndef THORNPLANK_TESTS_SCHEDULING_VIRTUAL_CLUSTER_H_
 #define THORNPLANK_TESTS_SCHEDULING_VIRTUAL_CLUSTER_H_
 
@@ -24,23 +25,26 @@
 
   void Submit(const JobSpec& job);
   void Cancel(const std::string& job);
-  // Delivers the message at `index` modulo their number; `lost_reply` carries
-  // it out at the worker without an answer.
+  // Delivers the message at `index` modulo the number of messages. With
+  // `lost_reply` the worker carries it out but its reply is lost.
   void Deliver(size_t index, bool lost_reply);
   void DeliverAll();
   void Advance(Duration by);
-  // Every member of a running gang finishes, or one member fails.
+  // Every member of a running gang on a reachable worker finishes. The gang is
+  // chosen by `gang_index` modulo their number, as workers are below.
   void Finish(size_t gang_index);
+  // One member of a running gang fails.
   void Fail(size_t gang_index);
-  void LoseOrReturn(size_t worker_index);
-  void LeaveOrStay(size_t worker_index);
+  void ToggleLost(size_t worker_index);
+  void ToggleLeaving(size_t worker_index);
   void Report(size_t worker_index);
-  // Another coordinator takes over what the workers hold.
+  // Replaces the scheduler by that of a new coordinator, which adopts the gangs
+  // that the workers hold.
   void TakeOver();
-  // Checkpoints are never answered.
+  // While set, checkpoint requests are never answered.
   void SetCheckpointsHang(bool hang) { checkpoints_hang_ = hang; }
 
-  // What does not hold, or an empty text.
+  // Describes a violated invariant; empty if there is none.
   std::string Check() const;
 
  private:
@@ -55,7 +59,7 @@
     std::string job;
     std::string gang_id;
     int accelerators = 0;
-    // Set when its worker was lost: nobody renews it after that.
+    // Set when the worker was lost: the lease is not renewed after that.
     std::optional<Time> lapses_at;
   };
   struct Worker {
@@ -63,7 +67,7 @@
     bool lost = false;
     Time lapses_at;
     std::map<std::string, Lease> leases;
-    // Leases that were stopped: an older grant is refused.
+    // Ids of stopped leases: a grant that arrives after the stop is ignored.
     std::set<std::string> fenced;
   };
 
@@ -77,7 +81,7 @@
   void ApplyOne(const ReportShortfall& action);
   void ApplyOne(const WorkerQuarantineChanged&) {}
   void Lapse();
-  void Fault(const std::string& text);
+  void RecordViolation(const std::string& text);
   int Held(const Worker& worker) const;
   bool IsUsable(const std::string& worker) const;
   std::vector<std::string> RunningGangs() const;
@@ -85,17 +89,22 @@
   std::string CheckGuaranteePlacement() const;
 
   std::vector<AccountGuarantee> accounts_;
+  // Worker names by index.
   std::vector<std::string> names_;
   std::map<std::string, Worker> workers_;
+  // Messages to workers that are not delivered yet.
   std::vector<Message> messages_;
-  // Every gang that was ever granted.
+  // All gangs granted so far, by gang id.
   std::map<std::string, GrantGang> grants_;
   std::map<std::string, JobSpec> jobs_;
   std::map<std::string, JobPhase> phases_;
+  // Ids of cancelled jobs.
   std::set<std::string> cancelled_;
+  // Ids of gangs whose throttle was lifted and that were not stopped.
   std::set<std::string> running_;
   std::map<std::string, std::string> shortfalls_;
-  std::string fault_;
+  // The first violation seen; empty if there was none.
+  std::string first_violation_;
   bool checkpoints_hang_ = false;
   int epoch_ = 0;
   Time now_;
--- a/tests/auto/state/fold_harness.h
+++ b/tests/auto/state/fold_harness.h
@@ -1,4 +1,4 @@
-// Short ways to write streams of job records in tests.
+// Builds records and streams of jobs for tests of their fold.
 #ifndef THORNPLANK_TESTS_STATE_FOLD_HARNESS_H_
 #define THORNPLANK_TESTS_STATE_FOLD_HARNESS_H_
 
@@ -9,7 +9,7 @@
 
 namespace thornplank {
 
-inline JobStreamRecord SubmitOf(const std::string& id) {
+inline JobStreamRecord MakeSubmitted(const std::string& id) {
   JobRequest job;
   job.spec.id = id;
   job.spec.account = "north";
@@ -18,27 +18,29 @@
   return SubmittedRecord{job};
 }
 
-inline JobStreamRecord CancelOf(const std::string& id) {
+inline JobStreamRecord MakeCancelled(const std::string& id) {
   return CancelledRecord{id, "operator"};
 }
 
-inline JobStreamRecord EpochOf(int64_t number, const std::string& holder) {
+inline JobStreamRecord MakeEpoch(int64_t number, const std::string& holder) {
   return EpochRecord{number, holder, holder + "-1"};
 }
 
-inline JobStreamRecord PlaceOf(int64_t epoch, int64_t revision,
-                               const std::string& id, const std::string& gang) {
+inline JobStreamRecord MakePlaced(int64_t epoch, int64_t revision,
+                                  const std::string& id,
+                                  const std::string& gang) {
   return PlacedRecord{epoch, revision, id, gang, {{"w1", gang + "/0", 4}}};
 }
 
-inline JobStreamRecord PhaseOf(int64_t epoch, int64_t revision,
-                               const std::string& id, JobPhase phase,
-                               int64_t progress_ms = 0) {
+inline JobStreamRecord MakePhase(int64_t epoch, int64_t revision,
+                                 const std::string& id, JobPhase phase,
+                                 int64_t progress_ms = 0) {
   return PhaseRecord{epoch, revision,  id,
                      phase, "because", Milliseconds(progress_ms)};
 }
 
-// `records` as the log holds them from `offset` on, through their JSON form.
+// `records` as the log returns them, from `offset` on, after a round trip
+// through JSON.
 inline std::vector<LogRecord> ToLog(const std::vector<JobStreamRecord>& records,
                                     int64_t offset = 0) {
   std::vector<LogRecord> log;
@@ -53,15 +55,15 @@
   return log;
 }
 
-inline JobStreamFold FoldOf(const std::vector<LogRecord>& log) {
+inline JobStreamFold FoldAll(const std::vector<LogRecord>& log) {
   JobStreamFold fold{JobRetention{}};
   for (const LogRecord& record : log) fold.Fold(record);
   return fold;
 }
 
-// Everything that a fold knows, as one value. Orders of arrival are left out:
-// repeats move offsets.
-inline Json ContentOf(const JobStreamFold& fold) {
+// The complete state of a fold as one value, for comparison. The order of
+// arrival is omitted, since repeated records shift offsets.
+inline Json StateOf(const JobStreamFold& fold) {
   Json content = Json::array();
   for (const SnapshotPartRecord& part : fold.MakeSnapshot("s", 1000)) {
     content.push_back(part.content);
--- a/tests/auto/state/tst_coordinator_election.cc
+++ b/tests/auto/state/tst_coordinator_election.cc
@@ -1,4 +1,4 @@
-// When an entry claims the next epoch.
+// Tests of when an entry claims the next coordinator epoch.
 #include <doctest/doctest.h>
 
 #include "state/coordinator_election.h"
@@ -18,14 +18,14 @@
   const char* name;
   CoordinatorEpoch epoch;
   std::set<std::string> live;
-  // When entry "a" must claim at the latest; -1 for never.
+  // Latest time at which entry "a" must claim, in milliseconds; -1 for never.
   int claims_by_ms;
 };
 
-TEST_CASE("claims follow the state of the holder") {
+TEST_CASE("an entry claims if the holder is dead or has resigned") {
   const std::vector<HolderCase> cases = {
       {"no epoch yet", {}, {"a", "b"}, 700},
-      {"the holder lives", {1, "b", "b-1"}, {"a", "b"}, -1},
+      {"the holder is alive", {1, "b", "b-1"}, {"a", "b"}, -1},
       {"the holder is dead", {1, "b", "b-1"}, {"a", "c"}, 3000},
       {"the holder resigned", {1, "b", "b-1", true}, {"a", "b"}, 700},
       {"this process holds it", {1, "a", "a-1"}, {"a", "b"}, -1},
@@ -51,7 +51,7 @@
   }
 }
 
-TEST_CASE("live entries claim one after the other") {
+TEST_CASE("live entries claim at different times") {
   const std::set<std::string> live = {"a", "b", "c", "d"};
   std::set<Time> due;
   for (const std::string& name : live) {
@@ -64,13 +64,13 @@
   CHECK(due.size() == live.size());
 }
 
-TEST_CASE("a new epoch is left alone for its tenure") {
+TEST_CASE("a new epoch is not challenged during its minimum tenure") {
   CoordinatorElection election = MakeElection("a");
   election.SetLiveEntries({"a"}, kStart);
   election.SetEpoch({1, "b", "b-1"}, kStart);
   CHECK_FALSE(election.ClaimIfDue(kStart + milliseconds(2999)));
   CHECK(election.ClaimIfDue(kStart + milliseconds(3000)));
-  // The claim is not repeated at once, though its fate is unknown.
+  // A claim with unknown outcome is repeated only after the claim interval.
   CHECK_FALSE(election.ClaimIfDue(kStart + milliseconds(3100)));
   CHECK(election.ClaimIfDue(kStart + milliseconds(5500)));
 }
--- a/tests/auto/state/tst_job_snapshot.cc
+++ b/tests/auto/state/tst_job_snapshot.cc
@@ -1,4 +1,5 @@
-// Snapshots of the job stream: when they count, and what they must equal.
+// Tests of snapshots of the job stream: when they are used, and that a fold
+// from a snapshot equals the fold of the whole stream.
 #include <doctest/doctest.h>
 
 #include <rapidcheck.h>
@@ -9,28 +10,28 @@
 namespace {
 
 std::vector<LogRecord> SampleLog() {
-  return ToLog({EpochOf(1, "e1"), SubmitOf("a"), SubmitOf("b"), SubmitOf("c"),
-                PlaceOf(1, 1, "a", "g1"),
-                PhaseOf(1, 2, "a", JobPhase::kRunning), CancelOf("c"),
-                PhaseOf(1, 3, "a", JobPhase::kFinished),
-                PlaceOf(1, 1, "b", "g2"), SubmitOf("d")});
+  return ToLog({MakeEpoch(1, "e1"), MakeSubmitted("a"), MakeSubmitted("b"),
+                MakeSubmitted("c"), MakePlaced(1, 1, "a", "g1"),
+                MakePhase(1, 2, "a", JobPhase::kRunning), MakeCancelled("c"),
+                MakePhase(1, 3, "a", JobPhase::kFinished),
+                MakePlaced(1, 1, "b", "g2"), MakeSubmitted("d")});
 }
 
-// A log that retention has cut before `first`, with a snapshot of `covers`
-// appended at its end in parts of one job.
-struct CutLog {
+// A log from which retention has removed the records before `first`, followed
+// by a snapshot of the records before a given offset, in parts of one job.
+struct TruncatedLog {
   std::vector<LogRecord> log;
   int64_t first = 0;
 };
 
-CutLog CutWithSnapshot(int64_t covers, int64_t first) {
+TruncatedLog TruncateWithSnapshot(int64_t covers, int64_t first) {
   const std::vector<LogRecord> whole = SampleLog();
-  const JobStreamFold until = FoldOf(
+  const JobStreamFold until = FoldAll(
       {whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(covers)});
   std::vector<JobStreamRecord> parts;
   for (const auto& part : until.MakeSnapshot("snap", 1)) parts.push_back(part);
-  CutLog cut{{whole.begin() + static_cast<std::ptrdiff_t>(first), whole.end()},
-             first};
+  TruncatedLog cut{
+      {whole.begin() + static_cast<std::ptrdiff_t>(first), whole.end()}, first};
   for (const LogRecord& record :
        ToLog(parts, static_cast<int64_t>(whole.size()))) {
     cut.log.push_back(record);
@@ -38,57 +39,58 @@
   return cut;
 }
 
-struct CutCase {
+struct TruncationCase {
   const char* name;
   int64_t covers;
   int64_t first;
   bool complete;
 };
 
-TEST_CASE("a snapshot and the records since equal the whole fold") {
-  const std::vector<CutCase> cases = {
+TEST_CASE("a snapshot and the records after it equal the fold of all records") {
+  const std::vector<TruncationCase> cases = {
       {"everything is covered", 10, 10, true},
-      {"a tail is left", 5, 5, true},
-      {"more is kept than needed", 7, 3, true},
-      {"records between the snapshot and the first kept are lost", 3, 5, false},
+      {"records after the snapshot follow", 5, 5, true},
+      {"the log contains records that the snapshot covers", 7, 3, true},
+      {"records after the snapshot are missing", 3, 5, false},
   };
-  const Json whole = ContentOf(FoldOf(SampleLog()));
-  for (const CutCase& one : cases) {
+  const Json whole = StateOf(FoldAll(SampleLog()));
+  for (const TruncationCase& one : cases) {
     CAPTURE(one.name);
-    const CutLog cut = CutWithSnapshot(one.covers, one.first);
+    const TruncatedLog cut = TruncateWithSnapshot(one.covers, one.first);
     JobStreamFold fold{JobRetention{}};
     fold.SkipLostRecords(cut.first);
     CHECK_FALSE(fold.complete());
     for (const LogRecord& record : cut.log) fold.Fold(record);
     CHECK(fold.complete() == one.complete);
-    if (one.complete) CHECK(ContentOf(fold) == whole);
+    if (one.complete) CHECK(StateOf(fold) == whole);
   }
 }
 
 TEST_CASE("a snapshot that covers less than what is folded changes nothing") {
   const std::vector<LogRecord> log = SampleLog();
-  const JobStreamFold early = FoldOf({log.begin(), log.begin() + 4});
-  const JobStreamFold late = FoldOf(log);
-  JobStreamFold fold = FoldOf({log.begin(), log.begin() + 6});
-  const Json before = ContentOf(fold);
+  const JobStreamFold early = FoldAll({log.begin(), log.begin() + 4});
+  const JobStreamFold late = FoldAll(log);
+  JobStreamFold fold = FoldAll({log.begin(), log.begin() + 6});
+  const Json before = StateOf(fold);
   CHECK_FALSE(fold.Restore(early.MakeSnapshot("peer", 2)));
-  CHECK(ContentOf(fold) == before);
+  CHECK(StateOf(fold) == before);
   CHECK(fold.Restore(late.MakeSnapshot("peer", 2)));
-  CHECK(ContentOf(fold) == ContentOf(late));
+  CHECK(StateOf(fold) == StateOf(late));
   CHECK(fold.next_offset() == 10);
-  // What the stream brings after that up to the offset are repeats.
+  // Records of the stream that the snapshot covers are ignored.
   CHECK(fold.Fold(log[7]).kind == FoldChange::Kind::kNone);
 }
 
-TEST_CASE("a snapshot in the stream of a whole fold is only noted") {
-  CutLog cut = CutWithSnapshot(5, 0);
-  const JobStreamFold fold = FoldOf(cut.log);
+TEST_CASE(
+    "a complete fold only records the offset of a snapshot in the stream") {
+  TruncatedLog cut = TruncateWithSnapshot(5, 0);
+  const JobStreamFold fold = FoldAll(cut.log);
   CHECK(fold.newest_snapshot_end() == 5);
-  CHECK(ContentOf(fold) == ContentOf(FoldOf(SampleLog())));
+  CHECK(StateOf(fold) == StateOf(FoldAll(SampleLog())));
 }
 
-TEST_CASE("an unfinished snapshot does not count") {
-  CutLog cut = CutWithSnapshot(5, 5);
+TEST_CASE("an incomplete snapshot is not used") {
+  TruncatedLog cut = TruncateWithSnapshot(5, 5);
   cut.log.pop_back();
   JobStreamFold fold{JobRetention{}};
   fold.SkipLostRecords(cut.first);
@@ -106,21 +108,22 @@
     const std::string id = *ids;
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
-        records.push_back(SubmitOf(id));
+        records.push_back(MakeSubmitted(id));
         break;
       case 1:
-        records.push_back(CancelOf(id));
+        records.push_back(MakeCancelled(id));
         break;
       case 2:
-        records.push_back(EpochOf(*small, "e" + std::to_string(*small)));
+        records.push_back(MakeEpoch(*small, "e" + std::to_string(*small)));
         break;
       case 3:
-        records.push_back(PlaceOf(*small, *small, id, "g" + std::to_string(i)));
+        records.push_back(
+            MakePlaced(*small, *small, id, "g" + std::to_string(i)));
         break;
       case 4:
         records.push_back(
-            PhaseOf(*small, *small, id,
-                    static_cast<JobPhase>(*rc::gen::inRange(0, 8)), *small));
+            MakePhase(*small, *small, id,
+                      static_cast<JobPhase>(*rc::gen::inRange(0, 8)), *small));
         break;
       default:
         records.push_back(ResignRecord{*small, "e1", "e1-1"});
@@ -130,7 +133,7 @@
   return records;
 }
 
-// Each record again at random later places, as a resent append may do.
+// Repeats records at random later positions, as a repeated append may do.
 std::vector<LogRecord> WithRepeats(const std::vector<LogRecord>& log) {
   std::vector<LogRecord> repeated;
   const auto append = [&repeated](LogRecord record) {
@@ -147,28 +150,29 @@
   return repeated;
 }
 
-TEST_CASE("repeats of records give the same fold") {
+TEST_CASE("repeated records do not change the fold") {
   CHECK(rc::check([] {
     const auto log = ToLog(RandomRecords());
     const bool same =
-        ContentOf(FoldOf(WithRepeats(log))) == ContentOf(FoldOf(log));
+        StateOf(FoldAll(WithRepeats(log))) == StateOf(FoldAll(log));
     RC_ASSERT(same);
   }));
 }
 
-TEST_CASE("any snapshot with its tail gives the same fold") {
+TEST_CASE("any snapshot and the records after it give the same fold") {
   CHECK(rc::check([] {
     const auto log = ToLog(RandomRecords());
     const auto cut = static_cast<std::ptrdiff_t>(
         *rc::gen::inRange<size_t>(0, log.size() + 1));
     JobStreamFold fold{JobRetention{}};
     fold.SkipLostRecords(cut);
-    fold.Restore(FoldOf({log.begin(), log.begin() + cut}).MakeSnapshot("s", 1));
+    fold.Restore(
+        FoldAll({log.begin(), log.begin() + cut}).MakeSnapshot("s", 1));
     for (auto record = log.begin() + cut; record != log.end(); ++record) {
       fold.Fold(*record);
     }
     RC_ASSERT(fold.complete());
-    const bool same = ContentOf(fold) == ContentOf(FoldOf(log));
+    const bool same = StateOf(fold) == StateOf(FoldAll(log));
     RC_ASSERT(same);
   }));
 }
--- a/tests/auto/state/tst_job_stream_fold.cc
+++ b/tests/auto/state/tst_job_stream_fold.cc
@@ -1,4 +1,5 @@
-// The fold of the job stream: which records count, and which do not.
+// Tests of the fold of the job stream: which records are accepted and which are
+// ignored.
 #include <doctest/doctest.h>
 
 #include "fold_harness.h"
@@ -9,74 +10,74 @@
 struct FoldCase {
   const char* name;
   std::vector<JobStreamRecord> records;
-  // What job "a" must look like at the end.
+  // Expected state of job "a" after all records.
   JobPhase phase;
   const char* gang;
   int attempts;
 };
 
-TEST_CASE("one job through the stream") {
+TEST_CASE("the state of a job follows from the records in the stream") {
   using Phase = JobPhase;
   const std::vector<FoldCase> cases = {
-      {"submitted", {SubmitOf("a")}, Phase::kWaiting, "", 0},
+      {"submitted", {MakeSubmitted("a")}, Phase::kWaiting, "", 0},
       {"submitted twice after it was placed",
-       {EpochOf(1, "e1"), SubmitOf("a"), PlaceOf(1, 1, "a", "g1"),
-        SubmitOf("a")},
+       {MakeEpoch(1, "e1"), MakeSubmitted("a"), MakePlaced(1, 1, "a", "g1"),
+        MakeSubmitted("a")},
        Phase::kStarting,
        "g1",
        1},
       {"placed twice",
-       {EpochOf(1, "e1"), SubmitOf("a"), PlaceOf(1, 1, "a", "g1"),
-        PlaceOf(1, 1, "a", "g1")},
+       {MakeEpoch(1, "e1"), MakeSubmitted("a"), MakePlaced(1, 1, "a", "g1"),
+        MakePlaced(1, 1, "a", "g1")},
        Phase::kStarting,
        "g1",
        1},
       {"an older placement repeated after a newer one",
-       {EpochOf(1, "e1"), SubmitOf("a"), PlaceOf(1, 1, "a", "g1"),
-        PhaseOf(1, 2, "a", Phase::kWaiting), PlaceOf(1, 3, "a", "g2"),
-        PlaceOf(1, 1, "a", "g1")},
+       {MakeEpoch(1, "e1"), MakeSubmitted("a"), MakePlaced(1, 1, "a", "g1"),
+        MakePhase(1, 2, "a", Phase::kWaiting), MakePlaced(1, 3, "a", "g2"),
+        MakePlaced(1, 1, "a", "g1")},
        Phase::kStarting,
        "g2",
        2},
       {"cancelled, then placed",
-       {EpochOf(1, "e1"), SubmitOf("a"), CancelOf("a"),
-        PlaceOf(1, 1, "a", "g1"), PhaseOf(1, 2, "a", Phase::kRunning)},
+       {MakeEpoch(1, "e1"), MakeSubmitted("a"), MakeCancelled("a"),
+        MakePlaced(1, 1, "a", "g1"), MakePhase(1, 2, "a", Phase::kRunning)},
        Phase::kCancelled,
        "",
        0},
       {"cancelled after it finished",
-       {EpochOf(1, "e1"), SubmitOf("a"), PlaceOf(1, 1, "a", "g1"),
-        PhaseOf(1, 2, "a", Phase::kFinished), CancelOf("a")},
+       {MakeEpoch(1, "e1"), MakeSubmitted("a"), MakePlaced(1, 1, "a", "g1"),
+        MakePhase(1, 2, "a", Phase::kFinished), MakeCancelled("a")},
        Phase::kFinished,
        "",
        1},
       {"placed under an older epoch",
-       {EpochOf(1, "e1"), EpochOf(2, "e2"), SubmitOf("a"),
-        PlaceOf(1, 1, "a", "g1")},
+       {MakeEpoch(1, "e1"), MakeEpoch(2, "e2"), MakeSubmitted("a"),
+        MakePlaced(1, 1, "a", "g1")},
        Phase::kWaiting,
        "",
        0},
       {"placed before any epoch",
-       {SubmitOf("a"), PlaceOf(0, 1, "a", "g1")},
+       {MakeSubmitted("a"), MakePlaced(0, 1, "a", "g1")},
        Phase::kWaiting,
        "",
        0},
       {"placed under an epoch that was resigned",
-       {EpochOf(1, "e1"), ResignRecord{1, "e1", "e1-1"}, SubmitOf("a"),
-        PlaceOf(1, 1, "a", "g1")},
+       {MakeEpoch(1, "e1"), ResignRecord{1, "e1", "e1-1"}, MakeSubmitted("a"),
+        MakePlaced(1, 1, "a", "g1")},
        Phase::kWaiting,
        "",
        0},
       {"placed by the loser of a race for the epoch",
-       {EpochOf(1, "e1"), EpochOf(1, "e2"), SubmitOf("a"),
-        PlaceOf(1, 1, "a", "g1"), PhaseOf(1, 2, "a", Phase::kRunning)},
+       {MakeEpoch(1, "e1"), MakeEpoch(1, "e2"), MakeSubmitted("a"),
+        MakePlaced(1, 1, "a", "g1"), MakePhase(1, 2, "a", Phase::kRunning)},
        Phase::kRunning,
        "g1",
        1},
   };
   for (const FoldCase& one : cases) {
     CAPTURE(one.name);
-    const JobStreamFold fold = FoldOf(ToLog(one.records));
+    const JobStreamFold fold = FoldAll(ToLog(one.records));
     const JobEntry* entry = fold.jobs().Find("a");
     REQUIRE(entry != nullptr);
     CHECK(entry->phase == one.phase);
@@ -91,31 +92,37 @@
   int64_t progress_ms;
 };
 
-TEST_CASE("the progress of a job never becomes less") {
+TEST_CASE("the progress of a job never decreases") {
   using Phase = JobPhase;
   const std::vector<JobStreamRecord> stopped = {
-      EpochOf(1, "e1"), SubmitOf("a"), PlaceOf(1, 1, "a", "g1"),
-      PhaseOf(1, 2, "a", Phase::kStopping, 700)};
+      MakeEpoch(1, "e1"), MakeSubmitted("a"), MakePlaced(1, 1, "a", "g1"),
+      MakePhase(1, 2, "a", Phase::kStopping, 700)};
   const std::vector<ProgressCase> cases = {
       {"saved once", {}, 700},
-      {"saved further", {PhaseOf(1, 3, "a", Phase::kStopping, 900)}, 900},
-      {"a smaller one", {PhaseOf(1, 3, "a", Phase::kStopping, 300)}, 700},
-      {"a record without it", {PhaseOf(1, 3, "a", Phase::kWaiting)}, 700},
-      {"placed again", {PlaceOf(1, 3, "a", "g2")}, 700},
-      {"final", {PhaseOf(1, 3, "a", Phase::kFinished, 900)}, 900},
-      {"a repeat with a higher one",
-       {PhaseOf(1, 2, "a", Phase::kStopping, 900)},
+      {"saved further", {MakePhase(1, 3, "a", Phase::kStopping, 900)}, 900},
+      {"a smaller progress",
+       {MakePhase(1, 3, "a", Phase::kStopping, 300)},
+       700},
+      {"a record without progress",
+       {MakePhase(1, 3, "a", Phase::kWaiting)},
+       700},
+      {"placed again", {MakePlaced(1, 3, "a", "g2")}, 700},
+      {"a final phase", {MakePhase(1, 3, "a", Phase::kFinished, 900)}, 900},
+      {"a repeated revision with a larger progress",
+       {MakePhase(1, 2, "a", Phase::kStopping, 900)},
        700},
       {"an older epoch",
-       {EpochOf(2, "e2"), PhaseOf(1, 3, "a", Phase::kStopping, 900)},
+       {MakeEpoch(2, "e2"), MakePhase(1, 3, "a", Phase::kStopping, 900)},
+       700},
+      {"a negative progress",
+       {MakePhase(1, 3, "a", Phase::kStopping, -5)},
        700},
-      {"a negative one", {PhaseOf(1, 3, "a", Phase::kStopping, -5)}, 700},
   };
   for (const ProgressCase& one : cases) {
     CAPTURE(one.name);
     std::vector<JobStreamRecord> records = stopped;
     records.insert(records.end(), one.records.begin(), one.records.end());
-    const JobStreamFold fold = FoldOf(ToLog(records));
+    const JobStreamFold fold = FoldAll(ToLog(records));
     CHECK(fold.jobs().Find("a")->progress == Milliseconds(one.progress_ms));
     JobStreamFold restored{JobRetention{}};
     REQUIRE(restored.Restore(fold.MakeSnapshot("s", 1)));
@@ -123,14 +130,14 @@
   }
 }
 
-TEST_CASE("records and snapshots written without progress are read") {
-  const Json record = EncodeJobRecord(PhaseOf(1, 2, "a", JobPhase::kRunning));
+TEST_CASE("records and snapshots without progress can be read") {
+  const Json record = EncodeJobRecord(MakePhase(1, 2, "a", JobPhase::kRunning));
   CHECK(record.count("progress_ms") == 0);
   const auto decoded = DecodeJobRecord(record);
   REQUIRE(decoded);
   CHECK(std::get<PhaseRecord>(*decoded).progress == Milliseconds(0));
   std::vector<SnapshotPartRecord> parts =
-      FoldOf(ToLog({SubmitOf("a")})).MakeSnapshot("s", 1);
+      FoldAll(ToLog({MakeSubmitted("a")})).MakeSnapshot("s", 1);
   for (SnapshotPartRecord& part : parts) {
     for (Json& job : part.content["jobs"]) job.erase("progress_ms");
   }
@@ -147,56 +154,60 @@
 
 TEST_CASE("the first claim in log order wins") {
   const std::vector<EpochCase> cases = {
-      {"rivals", {EpochOf(1, "e1"), EpochOf(1, "e2")}, {1, "e1", "e1-1"}},
-      {"a claim that skips a number", {EpochOf(2, "e2")}, {}},
+      {"competing claims",
+       {MakeEpoch(1, "e1"), MakeEpoch(1, "e2")},
+       {1, "e1", "e1-1"}},
+      {"a claim that skips a number", {MakeEpoch(2, "e2")}, {}},
       {"a repeat after the next epoch",
-       {EpochOf(1, "e1"), EpochOf(2, "e2"), EpochOf(1, "e1")},
+       {MakeEpoch(1, "e1"), MakeEpoch(2, "e2"), MakeEpoch(1, "e1")},
        {2, "e2", "e2-1"}},
       {"resigned",
-       {EpochOf(1, "e1"), ResignRecord{1, "e1", "e1-1"}},
+       {MakeEpoch(1, "e1"), ResignRecord{1, "e1", "e1-1"}},
        {1, "e1", "e1-1", true}},
       {"resignation by another process of that name",
-       {EpochOf(1, "e1"), ResignRecord{1, "e1", "e1-0"}},
+       {MakeEpoch(1, "e1"), ResignRecord{1, "e1", "e1-0"}},
        {1, "e1", "e1-1", false}},
       {"resignation of an older epoch",
-       {EpochOf(1, "e1"), EpochOf(2, "e1"), ResignRecord{1, "e1", "e1-1"}},
+       {MakeEpoch(1, "e1"), MakeEpoch(2, "e1"), ResignRecord{1, "e1", "e1-1"}},
        {2, "e1", "e1-1", false}},
   };
   for (const EpochCase& one : cases) {
     CAPTURE(one.name);
-    const JobStreamFold fold = FoldOf(ToLog(one.records));
+    const JobStreamFold fold = FoldAll(ToLog(one.records));
     CHECK(fold.epochs().current() == one.expected);
   }
 }
 
-TEST_CASE("a job id is not taken again") {
+TEST_CASE("a job id is accepted only once") {
   JobRetention retention;
   retention.max_final_jobs = 1;
   JobStreamFold fold(retention);
   for (const LogRecord& record :
-       ToLog({SubmitOf("a"), SubmitOf("b"), CancelOf("a"), CancelOf("b")})) {
+       ToLog({MakeSubmitted("a"), MakeSubmitted("b"), MakeCancelled("a"),
+              MakeCancelled("b")})) {
     fold.Fold(record);
   }
   CHECK(fold.jobs().Find("a") == nullptr);
   CHECK(fold.jobs().Find("b") != nullptr);
   SUBCASE("after its entry was dropped") {
-    fold.Fold(ToLog({SubmitOf("a")}, 4)[0]);
+    fold.Fold(ToLog({MakeSubmitted("a")}, 4)[0]);
     CHECK(fold.jobs().Find("a") == nullptr);
   }
   SUBCASE("when its cancellation came first") {
-    for (const LogRecord& record : ToLog({CancelOf("c"), SubmitOf("c")}, 4)) {
+    for (const LogRecord& record :
+         ToLog({MakeCancelled("c"), MakeSubmitted("c")}, 4)) {
       fold.Fold(record);
     }
     CHECK(fold.jobs().Find("c") == nullptr);
   }
 }
 
-TEST_CASE("final jobs are dropped by age in the log's time") {
+TEST_CASE("final jobs are dropped by their age in the time of the log") {
   JobRetention retention;
   retention.max_final_age = Milliseconds(1000);
   JobStreamFold fold(retention);
-  std::vector<LogRecord> log =
-      ToLog({SubmitOf("a"), CancelOf("a"), SubmitOf("b"), SubmitOf("c")});
+  std::vector<LogRecord> log = ToLog({MakeSubmitted("a"), MakeCancelled("a"),
+                                      MakeSubmitted("b"), MakeSubmitted("c")});
   log[2].time = FromUnixMilliseconds(2000);
   log[3].time = FromUnixMilliseconds(2001);
   for (size_t i = 0; i < 3; ++i) fold.Fold(log[i]);
