--- a/src/libs/routing/request_router.h
+++ b/src/libs/routing/request_router.h
@@ -26,7 +26,7 @@
 
 class RequestTable;
 class ServiceRouter;
-class SlotShare;
+class SlotSharingPolicy;
 struct RoutedRequest;
 
 struct RouterOptions {
@@ -41,24 +41,25 @@
  public:
   explicit RequestRouter(RouterOptions options);
   // With a way of sharing slots between entries other than the default.
-  RequestRouter(RouterOptions options, std::unique_ptr<SlotShare> share);
+  RequestRouter(RouterOptions options,
+                std::unique_ptr<SlotSharingPolicy> share);
   ~RequestRouter();
   RequestRouter(const RequestRouter&) = delete;
   RequestRouter& operator=(const RequestRouter&) = delete;
 
   // Replaces the limits of all accounts. Requests of an account that has none
   // are refused.
-  RoutingActions SetAccounts(const std::vector<AccountLimits>& accounts,
-                             Time now);
+  RoutingActions SetAccountLimits(const std::vector<AccountLimits>& accounts,
+                                  Time now);
   // Replaces the executors by the present instance list. An executor that said
   // itself that it is leaving stays so whatever the list says, until it has
   // another address or answers a probe without that sign.
   RoutingActions SetExecutors(const std::vector<ExecutorInfo>& executors,
                               Time now);
   // The live entries, with or without `own_name`.
-  RoutingActions SetPeers(const std::string& own_name,
-                          const std::vector<std::string>& live_entries,
-                          Time now);
+  RoutingActions SetLiveEntries(const std::string& own_name,
+                                const std::vector<std::string>& live_entries,
+                                Time now);
   // The newest demand of another entry, from its heartbeat.
   RoutingActions SetPeerDemand(const PeerDemand& demand, Time now);
 
@@ -73,17 +74,17 @@
   RoutingActions Submit(const RequestInfo& request, Time now);
   // The outcome of an attempt, also of one whose request is already finished.
   // Ignored when no such attempt is in flight.
-  RoutingActions Complete(const std::string& request_id,
-                          const std::string& executor,
-                          const AttemptResult& result, Time now);
+  RoutingActions CompleteAttempt(const std::string& request_id,
+                                 const std::string& executor,
+                                 const AttemptResult& result, Time now);
   // The outcome of a ProbeExecutor: kAnswered for a healthy executor.
-  RoutingActions ProbeResult(const std::string& executor,
-                             const AttemptResult& result, Time now);
+  RoutingActions HandleProbeResult(const std::string& executor,
+                                   const AttemptResult& result, Time now);
   // The caller is gone. A queued request finishes as not run; one in flight
   // goes on, and is not retried.
   RoutingActions Cancel(const std::string& request_id, Time now);
-  // To be called at NextWake() or later: ends requests at their deadline and
-  // starts probes.
+  // To be called at NextTickTime() or later: ends requests at their deadline
+  // and starts probes.
   RoutingActions Tick(Time now);
 
   // This entry's own demand at the latest event, for its heartbeat: per service
@@ -91,7 +92,7 @@
   // away in the last seconds.
   PeerDemand demand() const;
   // When Tick has something to do; nullopt when only events will bring it.
-  std::optional<Time> NextWake() const;
+  std::optional<Time> NextTickTime() const;
 
  private:
   // Null when there is no such service.
@@ -108,7 +109,7 @@
   void Expire(RoutedRequest* request, Time now, RoutingActions* actions);
 
   const RouterOptions options_;
-  const std::unique_ptr<SlotShare> share_;
+  const std::unique_ptr<SlotSharingPolicy> share_;
   std::vector<AccountLimits> limits_;
   // The time of the latest call.
   Time latest_;
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -42,9 +42,9 @@
 
   Run(int executors, std::vector<AccountLimits> accounts, Behaviour behaviour)
       : router_(RouterOptions{}), behaviour_(std::move(behaviour)) {
-    router_.SetAccounts(accounts, now_);
+    router_.SetAccountLimits(accounts, now_);
     router_.SetExecutors(MakeExecutors(executors), now_);
-    router_.SetPeers("entry-1", {}, now_);
+    router_.SetLiveEntries("entry-1", {}, now_);
   }
 
   // Each millisecond `per_ms` requests of the account arrive.
@@ -58,7 +58,7 @@
       while (!ends_.empty() && ends_.begin()->first <= now_) {
         const auto [attempt, reaction] = ends_.begin()->second;
         ends_.erase(ends_.begin());
-        Carry(router_.Complete(
+        Carry(router_.CompleteAttempt(
             attempt.request_id, attempt.executor,
             MakeResult(reaction.outcome, reaction.latency_ms, reaction.leaving),
             now_));
@@ -90,9 +90,9 @@
         const Time end = now_ + milliseconds(reaction.latency_ms);
         ends_.emplace(std::min(end, send->attempt_deadline),
                       std::make_pair(*send, reaction));
-      } else if (const auto* taken = std::get_if<ExecutorTakenOut>(&action)) {
+      } else if (const auto* taken = std::get_if<ExecutorEjected>(&action)) {
         ++taken_out_[taken->executor];
-      } else if (std::holds_alternative<ExecutorBack>(action)) {
+      } else if (std::holds_alternative<ExecutorReinstated>(action)) {
         ++back_;
       } else if (std::holds_alternative<FinishAnswered>(action)) {
         ++answered_;
@@ -103,8 +103,8 @@
     while (!probes_.empty()) {
       const std::string executor = probes_.front();
       probes_.pop_front();
-      Carry(router_.ProbeResult(executor, MakeResult(AttemptOutcome::kAnswered),
-                                now_));
+      Carry(router_.HandleProbeResult(
+          executor, MakeResult(AttemptOutcome::kAnswered), now_));
     }
   }
 
