--- a/src/libs/scheduling/run_time_estimator.h
+++ b/src/libs/scheduling/run_time_estimator.h
@@ -1,5 +1,6 @@
-// Learns, per account, how far declared run times are from the truth, and how
-// long checkpoints take.
+// Estimates run times and checkpoint times from the history of each account.
+// Declared run times are corrected by the ratio of actual to declared run
+// times.
 #ifndef THORNPLANK_SCHEDULING_RUN_TIME_ESTIMATOR_H_
 #define THORNPLANK_SCHEDULING_RUN_TIME_ESTIMATOR_H_
 
@@ -13,25 +14,31 @@
 
 class RunTimeEstimator {
  public:
-  // `assumed_checkpoint_time` holds for an account until one was measured.
+  // `assumed_checkpoint_time` is used for an account until a checkpoint has
+  // been measured.
   explicit RunTimeEstimator(Duration assumed_checkpoint_time);
 
-  // A job that was declared to run for `declared` ran for `actual` in all.
-  void Finished(const std::string& account, Duration declared, Duration actual);
-  // Expected run time in all of a job declared as `declared` (zero: unknown).
-  Duration Expect(const std::string& account, Duration declared) const;
-  // Expected time left after `ran_for`; grows with a job that overruns.
-  Duration Remaining(const std::string& account, Duration declared,
-                     Duration ran_for) const;
-  // Expected over declared run time; 1 before anything is known.
-  double factor(const std::string& account) const;
-
-  void Checkpointed(const std::string& account, Duration took);
-  void CheckpointHung(const std::string& account);
-  // Longest of the latest checkpoints of the account.
+  // A job with the declared run time `declared` (zero: unknown) ran for
+  // `actual` in total.
+  void RecordRunTime(const std::string& account, Duration declared,
+                     Duration actual);
+  // Expected total run time of a job with the declared run time `declared`
+  // (zero: unknown).
+  Duration ExpectedRunTime(const std::string& account, Duration declared) const;
+  // Expected remaining run time after `ran_for`. Grows with `ran_for` once the
+  // job overruns its expected run time.
+  Duration RemainingRunTime(const std::string& account, Duration declared,
+                            Duration ran_for) const;
+  // Ratio of expected to declared run time; 1 without history.
+  double correction_factor(const std::string& account) const;
+
+  void RecordCheckpoint(const std::string& account, Duration took);
+  void RecordHungCheckpoint(const std::string& account);
+  // The longest of the account's recent checkpoints that completed in time.
   Duration CheckpointTime(const std::string& account) const;
-  // Share of the latest checkpoints that were not done in time, 0 to 1.
-  double HungShare(const std::string& account) const;
+  // Share of the account's recent checkpoints that did not complete in time,
+  // from 0 to 1.
+  double HungCheckpointShare(const std::string& account) const;
 
  private:
   struct Checkpoint {
@@ -39,17 +46,18 @@
     bool hung;
   };
   struct Account {
-    // Mean of ln(actual / declared), the latest counting most.
+    // Moving average of ln(actual / declared).
     double log_factor = 0;
+    // Number of recorded run times.
     int finished = 0;
-    // Mean run time in seconds, for jobs that declare none.
+    // Moving average of the run time in seconds, for jobs that declare none.
     double mean_seconds = 0;
-    // The latest last, at most kCheckpointsKept.
+    // The most recent checkpoints, at most kMaxCheckpoints, newest last.
     std::deque<Checkpoint> checkpoints;
   };
 
   const Account* Find(const std::string& account) const;
-  void Keep(const std::string& account, Checkpoint checkpoint);
+  void AddCheckpoint(const std::string& account, Checkpoint checkpoint);
 
   const Duration assumed_checkpoint_time_;
   std::unordered_map<std::string, Account> accounts_;
