--- a/src/libs/claims/answer_cache.h
+++ b/src/libs/claims/answer_cache.h
@@ -35,19 +35,19 @@
   size_t size() const { return answers_.size(); }
 
  private:
-  struct Slot {
+  struct CachedAnswer {
     UpstreamAnswer answer;
-    Time since;
+    Time stored_at;
   };
 
-  void DropOldest();
+  void EvictOldest();
 
   const AnswerCacheLimits limits_;
-  // Sum of CostOf over answers_; at most limits_.max_bytes.
+  // Sum of BytesOf over answers_; at most limits_.max_bytes.
   size_t bytes_ = 0;
-  std::unordered_map<Digest128, Slot, Digest128Hash> answers_;
+  std::unordered_map<Digest128, CachedAnswer, Digest128Hash> answers_;
   // The keys of answers_, oldest first.
-  std::deque<Digest128> order_;
+  std::deque<Digest128> insertion_order_;
 };
 
 }  // namespace thornplank
--- a/src/libs/claims/claim_key.cc
+++ b/src/libs/claims/claim_key.cc
@@ -13,7 +13,7 @@
 constexpr size_t kHalfDigits = kHexDigits / 2;
 
 // A length before each part keeps ("ab", "c") apart from ("a", "bc").
-void AppendPart(std::string_view part, std::string* input) {
+void AppendLengthPrefixed(std::string_view part, std::string* input) {
   input->append(std::to_string(part.size()));
   input->push_back(':');
   input->append(part);
@@ -37,9 +37,9 @@
 Digest128 ClaimKeyDigest(std::string_view account, std::string_view service,
                          std::string_view key) {
   std::string input;
-  AppendPart(account, &input);
-  AppendPart(service, &input);
-  AppendPart(key, &input);
+  AppendLengthPrefixed(account, &input);
+  AppendLengthPrefixed(service, &input);
+  AppendLengthPrefixed(key, &input);
   return DigestOf(input);
 }
 
--- a/src/libs/claims/claim_table.cc
+++ b/src/libs/claims/claim_table.cc
@@ -49,75 +49,75 @@
 std::optional<ClaimEvent> ClaimTable::Apply(const ClaimRecord& record,
                                             WallTime time) {
   log_time_ = std::max(log_time_, time);
-  if (after_gap_) {
-    after_gap_ = false;
-    remembered_since_ = std::min(*remembered_since_, time);
+  if (first_after_gap_) {
+    first_after_gap_ = false;
+    history_complete_since_ = std::min(*history_complete_since_, time);
   }
-  Expire();
+  RemoveExpired();
   switch (record.kind) {
     case ClaimRecordKind::kClaim:
-      return FoldClaim(record);
+      return ApplyClaim(record);
     case ClaimRecordKind::kReleased:
-      FoldReleased(record);
+      ApplyReleased(record);
       break;
     case ClaimRecordKind::kDone:
-      FoldDone(record);
+      ApplyDone(record);
       break;
   }
   return std::nullopt;
 }
 
-std::optional<ClaimEvent> ClaimTable::FoldClaim(const ClaimRecord& record) {
+std::optional<ClaimEvent> ClaimTable::ApplyClaim(const ClaimRecord& record) {
   const Digest128 claim = ClaimDigest(record);
-  if (dead_claims_.count(claim) > 0) return std::nullopt;
-  const ClaimRefusal refusal = CheckTimes(record);
-  if (refusal != ClaimRefusal::kNone) return Lose(record, claim, refusal);
+  if (void_claims_.count(claim) > 0) return std::nullopt;
+  const ClaimRefusal refusal = CheckKeyTime(record);
+  if (refusal != ClaimRefusal::kNone) return HandleLoss(record, claim, refusal);
   const Digest128 key = KeyDigest(record);
   const auto held = keys_.find(key);
   if (held != keys_.end()) {
     if (held->second.claim == claim) return std::nullopt;
-    return Lose(record, claim, ClaimRefusal::kNone);
+    return HandleLoss(record, claim, ClaimRefusal::kNone);
   }
   KeyState state;
   state.body_digest = record.body_digest;
   state.claim = claim;
-  state.holder = Intern(record.holder);
+  state.holder = InternHolder(record.holder);
   KeyState* inserted = &keys_.emplace(key, state).first->second;
   key_expiry_.push_back({log_time_ + retention(), key, claim});
-  return Win(record, inserted);
+  return HandleWin(record, inserted);
 }
 
-std::optional<ClaimEvent> ClaimTable::Win(const ClaimRecord& record,
-                                          KeyState* held) {
+std::optional<ClaimEvent> ClaimTable::HandleWin(const ClaimRecord& record,
+                                                KeyState* held) {
   const auto own = own_claims_.find(record.claim_id);
   if (own == own_claims_.end()) return std::nullopt;
-  if (own->second.phase == AttemptPhase::kAbandoned) {
-    held->phase = Phase::kReleasing;
+  if (own->second.phase == OwnClaimPhase::kAbandoned) {
+    held->phase = KeyPhase::kReleasing;
     return std::nullopt;
   }
   ClaimEvent event;
   event.claim_id = record.claim_id;
-  if (!Remembers(record.key_time)) {
+  if (!HistoryCovers(record.key_time)) {
     event.kind = ClaimEventKind::kLost;
     event.refusal = ClaimRefusal::kKeyNotRemembered;
     event.release = Release(record.claim_id);
     return event;
   }
-  own->second.phase = AttemptPhase::kWon;
+  own->second.phase = OwnClaimPhase::kWon;
   event.kind = ClaimEventKind::kWon;
   return event;
 }
 
-std::optional<ClaimEvent> ClaimTable::Lose(const ClaimRecord& record,
-                                           const Digest128& claim,
-                                           ClaimRefusal refusal) {
-  Bury(claim);
+std::optional<ClaimEvent> ClaimTable::HandleLoss(const ClaimRecord& record,
+                                                 const Digest128& claim,
+                                                 ClaimRefusal refusal) {
+  VoidClaim(claim);
   const auto found = own_claims_.find(record.claim_id);
   if (found == own_claims_.end()) return std::nullopt;
   const OwnClaim own = std::move(found->second);
   own_claims_.erase(found);
-  RemoveByKey(own);
-  if (own.phase != AttemptPhase::kPending) return std::nullopt;
+  RemoveFromKeyIndex(own);
+  if (own.phase != OwnClaimPhase::kPending) return std::nullopt;
   ClaimEvent event;
   event.kind = ClaimEventKind::kLost;
   event.claim_id = record.claim_id;
@@ -125,27 +125,27 @@
   return event;
 }
 
-void ClaimTable::FoldReleased(const ClaimRecord& record) {
+void ClaimTable::ApplyReleased(const ClaimRecord& record) {
   const Digest128 claim = ClaimDigest(record);
-  Bury(claim);
+  VoidClaim(claim);
   const auto held = keys_.find(KeyDigest(record));
   if (held != keys_.end() && held->second.claim == claim &&
-      held->second.phase != Phase::kDone) {
+      held->second.phase != KeyPhase::kDone) {
     keys_.erase(held);
   }
   const auto own = own_claims_.find(record.claim_id);
   if (own == own_claims_.end()) return;
-  RemoveByKey(own->second);
+  RemoveFromKeyIndex(own->second);
   own_claims_.erase(own);
 }
 
-void ClaimTable::FoldDone(const ClaimRecord& record) {
+void ClaimTable::ApplyDone(const ClaimRecord& record) {
   const auto held = keys_.find(KeyDigest(record));
   if (held == keys_.end() || held->second.claim != ClaimDigest(record)) return;
-  held->second.phase = Phase::kDone;
+  held->second.phase = KeyPhase::kDone;
 }
 
-ClaimRefusal ClaimTable::CheckTimes(const ClaimRecord& record) const {
+ClaimRefusal ClaimTable::CheckKeyTime(const ClaimRecord& record) const {
   const Duration margin = settings_.max_clock_skew;
   if (record.key_time > log_time_ + settings_.max_key_time_ahead + margin) {
     return ClaimRefusal::kKeyTimeAhead;
@@ -157,19 +157,19 @@
 }
 
 // No claim of the key can be older than the key time less (ahead + margin).
-bool ClaimTable::Remembers(WallTime key_time) const {
-  if (!remembered_since_) return true;
+bool ClaimTable::HistoryCovers(WallTime key_time) const {
+  if (!history_complete_since_) return true;
   return key_time - settings_.max_key_time_ahead - settings_.max_clock_skew >=
-         *remembered_since_;
+         *history_complete_since_;
 }
 
-void ClaimTable::Bury(const Digest128& claim) {
-  if (!dead_claims_.insert(claim).second) return;
-  dead_expiry_.push_back({log_time_ + retention(), claim});
+void ClaimTable::VoidClaim(const Digest128& claim) {
+  if (!void_claims_.insert(claim).second) return;
+  void_expiry_.push_back({log_time_ + retention(), claim});
 }
 
-void ClaimTable::Expire() {
-  while (!key_expiry_.empty() && key_expiry_.front().at < log_time_) {
+void ClaimTable::RemoveExpired() {
+  while (!key_expiry_.empty() && key_expiry_.front().expires_at < log_time_) {
     const KeyExpiry& expiry = key_expiry_.front();
     const auto held = keys_.find(expiry.key);
     if (held != keys_.end() && held->second.claim == expiry.claim) {
@@ -177,24 +177,24 @@
     }
     key_expiry_.pop_front();
   }
-  while (!dead_expiry_.empty() && dead_expiry_.front().at < log_time_) {
-    dead_claims_.erase(dead_expiry_.front().claim);
-    dead_expiry_.pop_front();
+  while (!void_expiry_.empty() && void_expiry_.front().expires_at < log_time_) {
+    void_claims_.erase(void_expiry_.front().claim);
+    void_expiry_.pop_front();
   }
   while (!abandoned_expiry_.empty() &&
-         abandoned_expiry_.front().at < log_time_) {
+         abandoned_expiry_.front().expires_at < log_time_) {
     own_claims_.erase(abandoned_expiry_.front().claim_id);
     abandoned_expiry_.pop_front();
   }
 }
 
 void ClaimTable::HandleGap(WallTime now) {
-  after_gap_ = true;
-  remembered_since_ = now + settings_.max_clock_skew;
+  first_after_gap_ = true;
+  history_complete_since_ = now + settings_.max_clock_skew;
 }
 
 void ClaimTable::SetReachableEntries(std::vector<ClaimHolder> entries) {
-  reachable_ = std::move(entries);
+  reachable_entries_ = std::move(entries);
 }
 
 ClaimDecision ClaimTable::Evaluate(const ClaimRequest& request, WallTime now,
@@ -205,7 +205,7 @@
   const Digest128 key =
       ClaimKeyDigest(request.account, request.service, request.key);
   const auto held = keys_.find(key);
-  if (held != keys_.end()) return LookHeld(held->second, request);
+  if (held != keys_.end()) return EvaluateHeldKey(held->second, request);
   const auto pending = own_by_key_.find(key);
   if (pending != own_by_key_.end()) {
     const OwnClaim& own = own_claims_.at(pending->second);
@@ -214,7 +214,7 @@
     }
     return Join(pending->second);
   }
-  const ClaimRefusal refusal = CheckAbsent(request, now, log_available);
+  const ClaimRefusal refusal = CheckUnclaimedKey(request, now, log_available);
   if (refusal != ClaimRefusal::kNone) return Refuse(refusal);
   ClaimDecision decision;
   decision.kind = ClaimDecisionKind::kAppend;
@@ -222,14 +222,14 @@
   return decision;
 }
 
-ClaimDecision ClaimTable::LookHeld(const KeyState& held,
-                                   const ClaimRequest& request) const {
+ClaimDecision ClaimTable::EvaluateHeldKey(const KeyState& held,
+                                          const ClaimRequest& request) const {
   if (held.body_digest != request.body_digest) {
     return Refuse(ClaimRefusal::kBodyDiffers);
   }
   const ClaimHolder& holder = holders_[held.holder];
   if (holder == settings_.self) {
-    return LookOwn(
+    return EvaluateOwnKey(
         held, ClaimKeyDigest(request.account, request.service, request.key));
   }
   if (IsReachable(holder)) {
@@ -238,23 +238,23 @@
     decision.holder = holder;
     return decision;
   }
-  return Refuse(held.phase == Phase::kDone ? ClaimRefusal::kAnswerNotHeld
-                                           : ClaimRefusal::kHolderGone);
+  return Refuse(held.phase == KeyPhase::kDone ? ClaimRefusal::kAnswerNotHeld
+                                              : ClaimRefusal::kHolderGone);
 }
 
-ClaimDecision ClaimTable::LookOwn(const KeyState& held,
-                                  const Digest128& key) const {
+ClaimDecision ClaimTable::EvaluateOwnKey(const KeyState& held,
+                                         const Digest128& key) const {
   switch (held.phase) {
-    case Phase::kDone: {
+    case KeyPhase::kDone: {
       ClaimDecision decision;
       decision.kind = ClaimDecisionKind::kAnsweredHere;
       return decision;
     }
-    case Phase::kUnknown:
+    case KeyPhase::kUnknown:
       return Refuse(ClaimRefusal::kOutcomeUnknown);
-    case Phase::kReleasing:
+    case KeyPhase::kReleasing:
       return Refuse(ClaimRefusal::kBeingReleased);
-    case Phase::kHeld:
+    case KeyPhase::kHeld:
       break;
   }
   const auto running = own_by_key_.find(key);
@@ -264,13 +264,14 @@
   return Join(running->second);
 }
 
-ClaimRefusal ClaimTable::CheckAbsent(const ClaimRequest& request, WallTime now,
-                                     bool log_available) const {
+ClaimRefusal ClaimTable::CheckUnclaimedKey(const ClaimRequest& request,
+                                           WallTime now,
+                                           bool log_available) const {
   if (request.key_time + settings_.window < now) {
     return ClaimRefusal::kKeyExpired;
   }
   if (!caught_up_) return ClaimRefusal::kNotCaughtUp;
-  if (!Remembers(request.key_time)) return ClaimRefusal::kKeyNotRemembered;
+  if (!HistoryCovers(request.key_time)) return ClaimRefusal::kKeyNotRemembered;
   if (!log_available) return ClaimRefusal::kLogDown;
   if (keys_.size() + own_claims_.size() >= settings_.max_keys) {
     return ClaimRefusal::kTableFull;
@@ -301,7 +302,7 @@
 bool ClaimTable::MaySend(const std::string& claim_id) const {
   const auto own = own_claims_.find(claim_id);
   if (own == own_claims_.end()) return false;
-  if (own->second.phase != AttemptPhase::kWon) return false;
+  if (own->second.phase != OwnClaimPhase::kWon) return false;
   const auto held = keys_.find(own->second.key);
   return held != keys_.end() &&
          held->second.claim == ClaimDigest(own->second.record);
@@ -311,24 +312,24 @@
   const auto found = own_claims_.find(claim_id);
   if (found == own_claims_.end()) return std::nullopt;
   OwnClaim& own = found->second;
-  if (own.phase == AttemptPhase::kAbandoned) return std::nullopt;
-  own.phase = AttemptPhase::kAbandoned;
-  RemoveByKey(own);
+  if (own.phase == OwnClaimPhase::kAbandoned) return std::nullopt;
+  own.phase = OwnClaimPhase::kAbandoned;
+  RemoveFromKeyIndex(own);
   const auto held = keys_.find(own.key);
   if (held != keys_.end() && held->second.claim == ClaimDigest(own.record)) {
-    held->second.phase = Phase::kReleasing;
+    held->second.phase = KeyPhase::kReleasing;
   }
   // After that time the claim can't win any more.
-  const WallTime at =
+  const WallTime expires_at =
       own.record.key_time + settings_.window + settings_.max_clock_skew;
-  abandoned_expiry_.push_back({at, claim_id});
-  return RecordOf(own, ClaimRecordKind::kReleased);
+  abandoned_expiry_.push_back({expires_at, claim_id});
+  return MakeRecord(own, ClaimRecordKind::kReleased);
 }
 
 void ClaimTable::ForgetUnappended(const std::string& claim_id) {
   const auto found = own_claims_.find(claim_id);
   if (found == own_claims_.end()) return;
-  RemoveByKey(found->second);
+  RemoveFromKeyIndex(found->second);
   own_claims_.erase(found);
 }
 
@@ -338,12 +339,12 @@
   if (found == own_claims_.end()) return std::nullopt;
   const OwnClaim own = std::move(found->second);
   own_claims_.erase(found);
-  RemoveByKey(own);
+  RemoveFromKeyIndex(own);
   const auto held = keys_.find(own.key);
   if (held != keys_.end() && held->second.claim == ClaimDigest(own.record)) {
-    held->second.phase = Phase::kDone;
+    held->second.phase = KeyPhase::kDone;
   }
-  ClaimRecord record = RecordOf(own, ClaimRecordKind::kDone);
+  ClaimRecord record = MakeRecord(own, ClaimRecordKind::kDone);
   record.status = status;
   return record;
 }
@@ -353,25 +354,25 @@
   if (found == own_claims_.end()) return;
   const OwnClaim own = std::move(found->second);
   own_claims_.erase(found);
-  RemoveByKey(own);
+  RemoveFromKeyIndex(own);
   const auto held = keys_.find(own.key);
   if (held == keys_.end()) return;
   if (held->second.claim != ClaimDigest(own.record)) return;
-  held->second.phase = Phase::kUnknown;
+  held->second.phase = KeyPhase::kUnknown;
 }
 
-void ClaimTable::RemoveByKey(const OwnClaim& own) {
+void ClaimTable::RemoveFromKeyIndex(const OwnClaim& own) {
   const auto found = own_by_key_.find(own.key);
   if (found == own_by_key_.end()) return;
   if (found->second == own.record.claim_id) own_by_key_.erase(found);
 }
 
 bool ClaimTable::IsReachable(const ClaimHolder& holder) const {
-  return std::find(reachable_.begin(), reachable_.end(), holder) !=
-         reachable_.end();
+  return std::find(reachable_entries_.begin(), reachable_entries_.end(),
+                   holder) != reachable_entries_.end();
 }
 
-ClaimTable::HolderIndex ClaimTable::Intern(const ClaimHolder& holder) {
+ClaimTable::HolderIndex ClaimTable::InternHolder(const ClaimHolder& holder) {
   const auto found = std::find(holders_.begin(), holders_.end(), holder);
   if (found != holders_.end()) {
     return static_cast<HolderIndex>(found - holders_.begin());
@@ -380,8 +381,8 @@
   return static_cast<HolderIndex>(holders_.size() - 1);
 }
 
-ClaimRecord ClaimTable::RecordOf(const OwnClaim& own,
-                                 ClaimRecordKind kind) const {
+ClaimRecord ClaimTable::MakeRecord(const OwnClaim& own,
+                                   ClaimRecordKind kind) const {
   ClaimRecord record = own.record;
   record.kind = kind;
   return record;
--- a/src/libs/claims/claim_table.h
+++ b/src/libs/claims/claim_table.h
@@ -66,7 +66,9 @@
 
   bool caught_up() const { return caught_up_; }
   // Every claim appended since then is known; nullopt: since ever.
-  std::optional<WallTime> remembered_since() const { return remembered_since_; }
+  std::optional<WallTime> history_complete_since() const {
+    return history_complete_since_;
+  }
   size_t key_count() const { return keys_.size(); }
   // How long the log's records are remembered after their time.
   Duration retention() const;
@@ -75,7 +77,7 @@
   // Interned holder; grows by one for each start of an entry.
   using HolderIndex = uint32_t;
 
-  enum class Phase : uint8_t {
+  enum class KeyPhase : uint8_t {
     kHeld,
     // This entry's own knowledge, ahead of the log: never sent.
     kReleasing,
@@ -88,66 +90,69 @@
     Digest128 body_digest;
     Digest128 claim;
     HolderIndex holder = 0;
-    Phase phase = Phase::kHeld;
+    KeyPhase phase = KeyPhase::kHeld;
   };
 
-  enum class AttemptPhase { kPending, kWon, kAbandoned };
+  enum class OwnClaimPhase { kPending, kWon, kAbandoned };
 
   // A claim of this entry that has not come to its end.
   struct OwnClaim {
     ClaimRecord record;
     Digest128 key;
-    AttemptPhase phase = AttemptPhase::kPending;
+    OwnClaimPhase phase = OwnClaimPhase::kPending;
   };
 
   // A key to be forgotten once the log's clock has passed `at`, unless another
   // claim holds it by then.
   struct KeyExpiry {
-    WallTime at;
+    WallTime expires_at;
     Digest128 key;
     Digest128 claim;
   };
 
-  struct DeadExpiry {
-    WallTime at;
+  struct VoidExpiry {
+    WallTime expires_at;
     Digest128 claim;
   };
 
   struct AbandonedExpiry {
-    WallTime at;
+    WallTime expires_at;
     std::string claim_id;
   };
 
-  std::optional<ClaimEvent> FoldClaim(const ClaimRecord& record);
-  void FoldReleased(const ClaimRecord& record);
-  void FoldDone(const ClaimRecord& record);
-  std::optional<ClaimEvent> Win(const ClaimRecord& record, KeyState* held);
-  std::optional<ClaimEvent> Lose(const ClaimRecord& record,
-                                 const Digest128& claim, ClaimRefusal refusal);
-  ClaimRefusal CheckTimes(const ClaimRecord& record) const;
-  bool Remembers(WallTime key_time) const;
-  void RemoveByKey(const OwnClaim& own);
-  void Bury(const Digest128& claim);
-  void Expire();
-  ClaimDecision LookHeld(const KeyState& held,
-                         const ClaimRequest& request) const;
-  ClaimDecision LookOwn(const KeyState& held, const Digest128& key) const;
-  ClaimRefusal CheckAbsent(const ClaimRequest& request, WallTime now,
-                           bool log_available) const;
+  std::optional<ClaimEvent> ApplyClaim(const ClaimRecord& record);
+  void ApplyReleased(const ClaimRecord& record);
+  void ApplyDone(const ClaimRecord& record);
+  std::optional<ClaimEvent> HandleWin(const ClaimRecord& record,
+                                      KeyState* held);
+  std::optional<ClaimEvent> HandleLoss(const ClaimRecord& record,
+                                       const Digest128& claim,
+                                       ClaimRefusal refusal);
+  ClaimRefusal CheckKeyTime(const ClaimRecord& record) const;
+  bool HistoryCovers(WallTime key_time) const;
+  void RemoveFromKeyIndex(const OwnClaim& own);
+  void VoidClaim(const Digest128& claim);
+  void RemoveExpired();
+  ClaimDecision EvaluateHeldKey(const KeyState& held,
+                                const ClaimRequest& request) const;
+  ClaimDecision EvaluateOwnKey(const KeyState& held,
+                               const Digest128& key) const;
+  ClaimRefusal CheckUnclaimedKey(const ClaimRequest& request, WallTime now,
+                                 bool log_available) const;
   bool IsReachable(const ClaimHolder& holder) const;
-  HolderIndex Intern(const ClaimHolder& holder);
-  ClaimRecord RecordOf(const OwnClaim& own, ClaimRecordKind kind) const;
+  HolderIndex InternHolder(const ClaimHolder& holder);
+  ClaimRecord MakeRecord(const OwnClaim& own, ClaimRecordKind kind) const;
 
   const ClaimTableSettings settings_;
   bool caught_up_ = false;
-  std::optional<WallTime> remembered_since_;
+  std::optional<WallTime> history_complete_since_;
   // The next record folded is the oldest one known.
-  bool after_gap_ = false;
+  bool first_after_gap_ = false;
   // The newest record time folded; never goes back.
   WallTime log_time_ = WallTime::min();
 
   std::vector<ClaimHolder> holders_;
-  std::vector<ClaimHolder> reachable_;
+  std::vector<ClaimHolder> reachable_entries_;
 
   // Keys that a claim holds. Equal on all entries up to `phase`, which only
   // matters to the holder itself.
@@ -155,8 +160,8 @@
   std::deque<KeyExpiry> key_expiry_;
   // Claims that lost or were released, by claim id and holder. A record of
   // theirs that turns up (again) must not hold a key.
-  std::unordered_set<Digest128, Digest128Hash> dead_claims_;
-  std::deque<DeadExpiry> dead_expiry_;
+  std::unordered_set<Digest128, Digest128Hash> void_claims_;
+  std::deque<VoidExpiry> void_expiry_;
 
   // By claim id; contains every claim that this entry may still send, and the
   // abandoned ones whose release has not been folded.
--- a/src/libs/routing/admission_margin.cc
+++ b/src/libs/routing/admission_margin.cc
@@ -9,17 +9,17 @@
 constexpr double kStep = 0.02;
 // Late refusals, as a share of the requests that waited, at which the factor
 // stays where it is.
-constexpr double kAcceptedShare = 0.003;
-constexpr double kLargest = 4.0;
+constexpr double kTargetLateShare = 0.003;
+constexpr double kMaxFactor = 4.0;
 
 }  // namespace
 
 void AdmissionMargin::RecordLateRefusal() {
-  factor_ = std::min(kLargest, factor_ + kStep);
+  factor_ = std::min(kMaxFactor, factor_ + kStep);
 }
 
 void AdmissionMargin::RecordSent() {
-  factor_ = std::max(1.0, factor_ - kStep * kAcceptedShare);
+  factor_ = std::max(1.0, factor_ - kStep * kTargetLateShare);
 }
 
 }  // namespace thornplank
--- a/src/libs/routing/all_slots.cc
+++ b/src/libs/routing/all_slots.cc
@@ -15,7 +15,7 @@
 }
 
 double AllSlots::AttainableSlots(const SlotSharingInput& input) const {
-  return UnclaimedByOthers(input);
+  return SlotsLeftByOthers(input);
 }
 
 }  // namespace thornplank
--- a/src/libs/routing/demand_share.cc
+++ b/src/libs/routing/demand_share.cc
@@ -11,32 +11,32 @@
 
 // An entry without demand keeps these, which overlap with its neighbour's, so
 // that its first request does not wait for a heartbeat.
-constexpr int kMinimumRange = 2;
+constexpr int kMinRangeSlots = 2;
 
 }  // namespace
 
 std::vector<int> DemandShare::Allocate(const SlotSharingInput& input) const {
   const int total = TotalSlots(input.executors);
-  const std::vector<double> claimed = SplitOverEntries(total, input);
+  const std::vector<double> demanded = SplitOverEntries(total, input);
   double spare = total;
-  for (double value : claimed) {
+  for (double value : demanded) {
     spare -= value;
   }
   const double spare_each =
-      std::max(0.0, spare) / static_cast<double>(claimed.size());
+      std::max(0.0, spare) / static_cast<double>(demanded.size());
   double begin = 0;
-  for (size_t entry = 0; entry < input.own_entry; ++entry) {
-    begin += claimed[entry] + spare_each;
+  for (size_t entry = 0; entry < input.own_entry_index; ++entry) {
+    begin += demanded[entry] + spare_each;
   }
-  const double end = begin + claimed[input.own_entry] + spare_each;
+  const double end = begin + demanded[input.own_entry_index] + spare_each;
   const int first = static_cast<int>(std::lround(begin));
   const int last = static_cast<int>(std::lround(end));
   return SlotsInRange(input.executors, first,
-                      std::max(last, first + kMinimumRange));
+                      std::max(last, first + kMinRangeSlots));
 }
 
 double DemandShare::AttainableSlots(const SlotSharingInput& input) const {
-  return UnclaimedByOthers(input);
+  return SlotsLeftByOthers(input);
 }
 
 }  // namespace thornplank
--- a/src/libs/routing/demand_split.cc
+++ b/src/libs/routing/demand_split.cc
@@ -81,13 +81,13 @@
   return result;
 }
 
-double UnclaimedByOthers(const SlotSharingInput& input) {
+double SlotsLeftByOthers(const SlotSharingInput& input) {
   const double total = TotalSlots(input.executors);
-  const std::vector<double> claimed = SplitOverEntries(total, input);
+  const std::vector<double> demanded = SplitOverEntries(total, input);
   double left = total;
-  for (size_t entry = 0; entry < claimed.size(); ++entry) {
-    if (entry != input.own_entry) {
-      left -= claimed[entry];
+  for (size_t entry = 0; entry < demanded.size(); ++entry) {
+    if (entry != input.own_entry_index) {
+      left -= demanded[entry];
     }
   }
   return left;
--- a/src/libs/routing/demand_split.h
+++ b/src/libs/routing/demand_split.h
@@ -22,7 +22,7 @@
                                      const SlotSharingInput& input);
 
 // Slots that no other entry's demand claims.
-double UnclaimedByOthers(const SlotSharingInput& input);
+double SlotsLeftByOthers(const SlotSharingInput& input);
 
 }  // namespace thornplank
 
--- a/src/libs/routing/executor.h
+++ b/src/libs/routing/executor.h
@@ -21,24 +21,24 @@
  public:
   explicit Executor(ExecutorInfo executor_info);
 
-  int in_flight() const { return static_cast<int>(starts.size()); }
-  bool leaving() const { return info.leaving || said_leaving || !listed; }
-  int allocated() const { return allocated_; }
+  int in_flight() const { return static_cast<int>(attempt_starts.size()); }
+  bool leaving() const { return info.leaving || announced_leaving || !listed; }
+  int allocated_slots() const { return allocated_slots_; }
   // Requests that may be in flight at a time, and the part of the share that
-  // health and leaving leave, both at the latest Update().
-  int usable() const { return usable_; }
-  int available() const { return available_; }
+  // health and leaving leave, both at the latest UpdateLimits().
+  int usable_slots() const { return usable_slots_; }
+  int available_slots() const { return available_slots_; }
   // To be called after each change of what they depend on.
-  void Update();
+  void UpdateLimits();
 
   // Sets this entry's share of the slots.
   void SetAllocated(int slots);
   // The executor was full. Nothing is sent until after a pause, which doubles
   // up to `longest_pause`; `random` spreads it.
-  void RecordFull(Duration longest_pause, uint64_t random, Time now);
+  void RecordFull(Duration max_backoff, uint64_t random, Time now);
   void RecordAnswer();
-  bool Paused(Time now) const { return now < paused_until_; }
-  Time paused_until() const { return paused_until_; }
+  bool InBackoff(Time now) const { return now < backoff_until_; }
+  Time backoff_until() const { return backoff_until_; }
 
   ExecutorInfo info;
   // Grows when the executor is replaced by another of the same name, so that
@@ -47,22 +47,22 @@
   // False when the instance list no longer has it.
   bool listed = true;
   // Set by the executor's own sign; the instance list does not clear it.
-  bool said_leaving = false;
+  bool announced_leaving = false;
   // When to ask an executor that said that it leaves whether it still does.
   Time leaving_probe_time;
   // Starts of the attempts in flight, ascending.
-  std::vector<Time> starts;
+  std::vector<Time> attempt_starts;
   ExecutorHealth health;
   RetryBudget retry_budget;
 
  private:
-  int allocated_ = 0;
-  // At most `allocated_`; below it after refusals, but at least 1.
-  double limit_ = 0;
-  int usable_ = 0;
-  int available_ = 0;
-  Time paused_until_;
-  Duration pause_{};
+  int allocated_slots_ = 0;
+  // At most `allocated_slots_`; below it after refusals, but at least 1.
+  double adaptive_limit_ = 0;
+  int usable_slots_ = 0;
+  int available_slots_ = 0;
+  Time backoff_until_;
+  Duration backoff_{};
 };
 
 }  // namespace thornplank
--- a/src/libs/routing/executor_pool.cc
+++ b/src/libs/routing/executor_pool.cc
@@ -11,21 +11,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kLongestRefusalPause = milliseconds(500);
+constexpr Duration kMaxRefusalBackoff = milliseconds(500);
 // A full executor frees a slot within a fraction of its service time.
-constexpr int kPauseFraction = 4;
-constexpr Duration kInspectionPeriod = milliseconds(100);
+constexpr int kBackoffFraction = 4;
+constexpr Duration kResponsivenessCheckPeriod = milliseconds(100);
 constexpr Duration kProbeTimeout = seconds(1);
 constexpr Duration kLeavingProbePeriod = seconds(10);
 // Share of a service's executors that may be out at the same time: for
 // failing, and for latency alone.
-constexpr double kMaxOutShare = 0.5;
-constexpr double kMaxOutForLatencyShare = 0.2;
+constexpr double kMaxEjectedShare = 0.5;
+constexpr double kMaxEjectedForLatencyShare = 0.2;
 
 }  // namespace
 
-ExecutorPool::ExecutorPool(uint64_t seed, std::string own_domain)
-    : own_domain_(std::move(own_domain)), random_(seed) {}
+ExecutorPool::ExecutorPool(uint64_t seed, std::string own_failure_domain)
+    : own_failure_domain_(std::move(own_failure_domain)), random_(seed) {}
 
 RoutingActions ExecutorPool::SetExecutors(
     const std::vector<ExecutorInfo>& listed, Time now) {
@@ -52,37 +52,37 @@
     }
   }
   OrderByDomain(&slots_);
-  order_.clear();
+  pick_order_.clear();
   for (auto it = executors_.begin(); it != executors_.end();) {
-    Refresh(&it->second);
-    if (!it->second.listed && it->second.starts.empty()) {
+    UpdateExecutor(&it->second);
+    if (!it->second.listed && it->second.attempt_starts.empty()) {
       it = executors_.erase(it);
       continue;
     }
-    order_.push_back(&it->second);
+    pick_order_.push_back(&it->second);
     ++it;
   }
-  std::sort(order_.begin(), order_.end(),
+  std::sort(pick_order_.begin(), pick_order_.end(),
             [](const Executor* a, const Executor* b) {
               return a->info.name < b->info.name;
             });
-  next_inspection_ = now;
+  next_responsiveness_check_ = now;
   UpdateNextProbe();
   return actions;
 }
 
 void ExecutorPool::Replace(Executor* executor, const ExecutorInfo& info) {
-  usable_slots_ -= executor->usable();
-  available_slots_ -= executor->available();
+  usable_slots_ -= executor->usable_slots();
+  available_slots_ -= executor->available_slots();
   Executor replacement(info);
   replacement.generation = executor->generation + 1;
-  replacement.starts = std::move(executor->starts);
+  replacement.attempt_starts = std::move(executor->attempt_starts);
   *executor = std::move(replacement);
 }
 
 void ExecutorPool::SetAllocation(const std::vector<int>& allocation,
                                  int connection_limit) {
-  for (Executor* executor : order_) {
+  for (Executor* executor : pick_order_) {
     if (executor->leaving()) {
       executor->SetAllocated(0);
     }
@@ -97,8 +97,8 @@
     executor->SetAllocated(allocated);
     allocated_slots_ += allocated;
   }
-  for (Executor* executor : order_) {
-    Refresh(executor);
+  for (Executor* executor : pick_order_) {
+    UpdateExecutor(executor);
   }
 }
 
@@ -108,48 +108,50 @@
 }
 
 Executor* ExecutorPool::Pick(const std::string& excluded, Time now) {
-  if (exhausted_ && now < exhausted_until_) {
+  if (all_busy_ && now < all_busy_until_) {
     return nullptr;
   }
   Executor* best = nullptr;
-  bool best_near = false;
-  bool passed_over = false;
+  bool best_is_local = false;
+  bool excluded_has_room = false;
   Time next_free = Time::max();
-  const size_t count = order_.size();
+  const size_t count = pick_order_.size();
   const size_t offset = count == 0 ? 0 : random_() % count;
   for (size_t step = 0; step < count; ++step) {
     const size_t index = offset + step;
-    Executor* executor = order_[index < count ? index : index - count];
-    if (executor->in_flight() >= executor->usable()) {
+    Executor* executor = pick_order_[index < count ? index : index - count];
+    if (executor->in_flight() >= executor->usable_slots()) {
       continue;
     }
-    if (executor->Paused(now)) {
-      next_free = std::min(next_free, executor->paused_until());
+    if (executor->InBackoff(now)) {
+      next_free = std::min(next_free, executor->backoff_until());
       continue;
     }
     if (!excluded.empty() && executor->info.name == excluded) {
-      passed_over = true;
+      excluded_has_room = true;
       continue;
     }
-    const bool near = executor->info.failure_domain == own_domain_;
+    const bool local = executor->info.failure_domain == own_failure_domain_;
     const bool better =
         best == nullptr || executor->in_flight() < best->in_flight() ||
-        (executor->in_flight() == best->in_flight() && near && !best_near);
+        (executor->in_flight() == best->in_flight() && local && !best_is_local);
     if (!better) {
       continue;
     }
     best = executor;
-    best_near = near;
+    best_is_local = local;
   }
-  exhausted_ = best == nullptr && !passed_over;
-  exhausted_until_ = next_free;
+  all_busy_ = best == nullptr && !excluded_has_room;
+  all_busy_until_ = next_free;
   return best;
 }
 
 bool ExecutorPool::HasAlternative(const std::string& excluded) const {
-  return std::any_of(order_.begin(), order_.end(), [&](const Executor* e) {
-    return e->health.in_rotation() && !e->leaving() && e->info.name != excluded;
-  });
+  return std::any_of(pick_order_.begin(), pick_order_.end(),
+                     [&](const Executor* e) {
+                       return e->health.in_rotation() && !e->leaving() &&
+                              e->info.name != excluded;
+                     });
 }
 
 double ExecutorPool::available_share() const {
@@ -159,22 +161,22 @@
   return static_cast<double>(available_slots_) / allocated_slots_;
 }
 
-void ExecutorPool::Begin(Executor* executor, Time now) {
-  executor->starts.push_back(now);
+void ExecutorPool::BeginAttempt(Executor* executor, Time now) {
+  executor->attempt_starts.push_back(now);
   ++in_flight_;
 }
 
-RoutingActions ExecutorPool::End(Executor* executor, const AttemptEnd& end,
-                                 Time now) {
+RoutingActions ExecutorPool::EndAttempt(Executor* executor,
+                                        const AttemptEnd& end, Time now) {
   const AttemptResult& result = end.result;
   RoutingActions actions;
-  const auto position =
-      std::find(executor->starts.begin(), executor->starts.end(), end.start);
-  if (position != executor->starts.end()) {
-    executor->starts.erase(position);
+  const auto position = std::find(executor->attempt_starts.begin(),
+                                  executor->attempt_starts.end(), end.start);
+  if (position != executor->attempt_starts.end()) {
+    executor->attempt_starts.erase(position);
     --in_flight_;
   }
-  exhausted_ = false;
+  all_busy_ = false;
   if (end.generation != executor->generation) {
     return actions;
   }
@@ -186,7 +188,7 @@
     }
   } else if (result.outcome == AttemptOutcome::kRefusedNotRun) {
     const Duration longest =
-        std::min(typical_latency_ / kPauseFraction, kLongestRefusalPause);
+        std::min(typical_latency_ / kBackoffFraction, kMaxRefusalBackoff);
     executor->RecordFull(longest, random_(), now);
   }
   if (result.outcome == AttemptOutcome::kAnswered) {
@@ -196,15 +198,15 @@
   PeerHealth peers;
   if (result.outcome != AttemptOutcome::kAnswered &&
       result.outcome != AttemptOutcome::kRefusedNotRun) {
-    peers = PeersOf(*executor, SumHealth());
-    peers.account_failure_share = end.account_failure_share;
+    peers = PeerHealthOf(*executor, ComputeHealthTotals());
+    peers.account_failure_rate = end.account_failure_rate;
   }
   const std::optional<std::string> reason =
       executor->health.Record(result, end.timed_out, peers, now);
   if (reason.has_value()) {
-    TakeOut(executor, *reason, false, now, &actions);
+    Eject(executor, *reason, false, now, &actions);
   }
-  Refresh(executor);
+  UpdateExecutor(executor);
   return actions;
 }
 
@@ -213,10 +215,10 @@
                                          Time now) {
   RoutingActions actions;
   const bool healthy = result.outcome == AttemptOutcome::kAnswered;
-  if (executor->said_leaving) {
+  if (executor->announced_leaving) {
     executor->leaving_probe_time = now + kLeavingProbePeriod;
     if (healthy && !result.leaving) {
-      executor->said_leaving = false;
+      executor->announced_leaving = false;
       actions.push_back(ExecutorReinstated{executor->info.name,
                                            "no longer says that it leaves"});
     }
@@ -232,7 +234,7 @@
     actions.push_back(
         ExecutorReinstated{executor->info.name, "its probe succeeded"});
   }
-  Refresh(executor);
+  UpdateExecutor(executor);
   UpdateNextProbe();
   return actions;
 }
@@ -240,17 +242,17 @@
 RoutingActions ExecutorPool::Tick(Time now) {
   RoutingActions actions;
   if (next_probe_.has_value() && now >= *next_probe_) {
-    for (Executor* executor : order_) {
+    for (Executor* executor : pick_order_) {
       if (executor->listed) {
         SendProbes(executor, now, &actions);
       }
     }
     UpdateNextProbe();
   }
-  if (now >= next_inspection_) {
-    next_inspection_ = now + kInspectionPeriod;
+  if (now >= next_responsiveness_check_) {
+    next_responsiveness_check_ = now + kResponsivenessCheckPeriod;
     UpdateTypicalLatency();
-    Inspect(now, &actions);
+    CheckResponsiveness(now, &actions);
   }
   return actions;
 }
@@ -261,10 +263,10 @@
     wake = wake.has_value() ? std::min(*wake, time) : time;
   };
   if (in_flight_ > 0) {
-    consider(next_inspection_);
+    consider(next_responsiveness_check_);
   }
-  if (waiting && exhausted_ && exhausted_until_ != Time::max()) {
-    consider(exhausted_until_);
+  if (waiting && all_busy_ && all_busy_until_ != Time::max()) {
+    consider(all_busy_until_);
   }
   if (next_probe_.has_value()) {
     consider(*next_probe_);
@@ -274,73 +276,74 @@
 
 void ExecutorPool::UpdateNextProbe() {
   next_probe_.reset();
-  for (const Executor* executor : order_) {
+  for (const Executor* executor : pick_order_) {
     if (!executor->listed || executor->info.leaving) {
       continue;
     }
     const bool in_rotation = executor->health.in_rotation();
-    if (in_rotation && !executor->said_leaving) {
+    if (in_rotation && !executor->announced_leaving) {
       continue;
     }
-    const Time time = executor->said_leaving ? executor->leaving_probe_time
-                                             : executor->health.probe_time();
+    const Time time = executor->announced_leaving
+                          ? executor->leaving_probe_time
+                          : executor->health.probe_time();
     next_probe_ = next_probe_.has_value() ? std::min(*next_probe_, time) : time;
   }
 }
 
-ExecutorPool::HealthSums ExecutorPool::SumHealth() const {
-  HealthSums sums;
-  for (const Executor* executor : order_) {
+ExecutorPool::HealthTotals ExecutorPool::ComputeHealthTotals() const {
+  HealthTotals totals;
+  for (const Executor* executor : pick_order_) {
     if (executor->leaving()) {
       continue;
     }
     const ExecutorHealth& health = executor->health;
     if (!health.in_rotation()) {
-      ++sums.out;
-      sums.out_for_latency += health.out_for_latency() ? 1 : 0;
+      ++totals.ejected;
+      totals.ejected_for_latency += health.ejected_for_latency() ? 1 : 0;
       continue;
     }
-    ++sums.in_rotation;
-    sums.failure_share += health.failure_share();
+    ++totals.in_rotation;
+    totals.failure_rate += health.failure_rate();
   }
-  return sums;
+  return totals;
 }
 
-PeerHealth ExecutorPool::PeersOf(const Executor& executor,
-                                 const HealthSums& sums) const {
+PeerHealth ExecutorPool::PeerHealthOf(const Executor& executor,
+                                      const HealthTotals& totals) const {
   PeerHealth peers;
   peers.typical_latency = typical_latency_;
   peers.last_answer = last_answer_;
   const bool counted = !executor.leaving() && executor.health.in_rotation();
-  const int others = sums.in_rotation - (counted ? 1 : 0);
+  const int others = totals.in_rotation - (counted ? 1 : 0);
   const double failures =
-      sums.failure_share - (counted ? executor.health.failure_share() : 0.0);
+      totals.failure_rate - (counted ? executor.health.failure_rate() : 0.0);
   // Without peers nothing speaks for a fault of this one alone.
-  peers.failure_share = others <= 0 ? 1.0 : failures / others;
-  const int total = sums.in_rotation + sums.out;
-  peers.may_take_out = sums.out + 1 <= kMaxOutShare * total;
-  peers.may_take_out_for_latency =
-      peers.may_take_out &&
-      sums.out_for_latency + 1 <= kMaxOutForLatencyShare * total;
+  peers.failure_rate = others <= 0 ? 1.0 : failures / others;
+  const int total = totals.in_rotation + totals.ejected;
+  peers.may_eject = totals.ejected + 1 <= kMaxEjectedShare * total;
+  peers.may_eject_for_latency =
+      peers.may_eject &&
+      totals.ejected_for_latency + 1 <= kMaxEjectedForLatencyShare * total;
   return peers;
 }
 
-void ExecutorPool::Refresh(Executor* executor) {
-  usable_slots_ -= executor->usable();
-  available_slots_ -= executor->available();
-  executor->Update();
-  usable_slots_ += executor->usable();
-  available_slots_ += executor->available();
-  exhausted_ = false;
+void ExecutorPool::UpdateExecutor(Executor* executor) {
+  usable_slots_ -= executor->usable_slots();
+  available_slots_ -= executor->available_slots();
+  executor->UpdateLimits();
+  usable_slots_ += executor->usable_slots();
+  available_slots_ += executor->available_slots();
+  all_busy_ = false;
 }
 
 std::optional<RoutingAction> ExecutorPool::MarkLeaving(
     Executor* executor, const std::string& reason, Time now) {
-  if (executor->said_leaving) {
+  if (executor->announced_leaving) {
     return std::nullopt;
   }
   const bool was_leaving = executor->leaving();
-  executor->said_leaving = true;
+  executor->announced_leaving = true;
   executor->leaving_probe_time = now + kLeavingProbePeriod;
   UpdateNextProbe();
   if (was_leaving) {
@@ -349,11 +352,10 @@
   return ExecutorLeaving{executor->info.name, reason};
 }
 
-void ExecutorPool::TakeOut(Executor* executor, const std::string& reason,
-                           bool for_latency, Time now,
-                           RoutingActions* actions) {
-  executor->health.TakeOut(for_latency, now);
-  Refresh(executor);
+void ExecutorPool::Eject(Executor* executor, const std::string& reason,
+                         bool for_latency, Time now, RoutingActions* actions) {
+  executor->health.Eject(for_latency, now);
+  UpdateExecutor(executor);
   UpdateNextProbe();
   actions->push_back(ExecutorEjected{executor->info.name, reason});
 }
@@ -368,7 +370,7 @@
   if (executor->info.leaving) {
     return;
   }
-  if (executor->said_leaving) {
+  if (executor->announced_leaving) {
     if (now < executor->leaving_probe_time) {
       return;
     }
@@ -388,29 +390,30 @@
   probe();
 }
 
-void ExecutorPool::Inspect(Time now, RoutingActions* actions) {
-  HealthSums sums = SumHealth();
-  for (Executor* executor : order_) {
+void ExecutorPool::CheckResponsiveness(Time now, RoutingActions* actions) {
+  HealthTotals totals = ComputeHealthTotals();
+  for (Executor* executor : pick_order_) {
     if (executor->leaving() || !executor->health.in_rotation()) {
       continue;
     }
     std::optional<Time> oldest;
-    if (!executor->starts.empty()) {
-      oldest = executor->starts.front();
+    if (!executor->attempt_starts.empty()) {
+      oldest = executor->attempt_starts.front();
     }
     const std::optional<std::string> reason =
-        executor->health.Inspect(oldest, PeersOf(*executor, sums), now);
+        executor->health.CheckResponsiveness(
+            oldest, PeerHealthOf(*executor, totals), now);
     if (!reason.has_value()) {
       continue;
     }
-    TakeOut(executor, *reason, true, now, actions);
-    sums = SumHealth();
+    Eject(executor, *reason, true, now, actions);
+    totals = ComputeHealthTotals();
   }
 }
 
 void ExecutorPool::UpdateTypicalLatency() {
   std::vector<Duration> latencies;
-  for (const Executor* executor : order_) {
+  for (const Executor* executor : pick_order_) {
     if (executor->health.latency_known() && executor->health.in_rotation()) {
       latencies.push_back(executor->health.mean_latency());
     }
--- a/src/libs/routing/executor_pool.h
+++ b/src/libs/routing/executor_pool.h
@@ -27,13 +27,13 @@
   Time start;
   bool timed_out = false;
   // See PeerHealth.
-  double account_failure_share = 0;
+  double account_failure_rate = 0;
   AttemptResult result;
 };
 
 class ExecutorPool {
  public:
-  ExecutorPool(uint64_t seed, std::string own_domain);
+  ExecutorPool(uint64_t seed, std::string own_failure_domain);
 
   // Replaces the executors by `listed`, all of this pool's service.
   RoutingActions SetExecutors(const std::vector<ExecutorInfo>& listed,
@@ -55,9 +55,10 @@
   double available_share() const;
   int in_flight() const { return in_flight_; }
 
-  void Begin(Executor* executor, Time now);
+  void BeginAttempt(Executor* executor, Time now);
   // An attempt has ended. Returns state changes.
-  RoutingActions End(Executor* executor, const AttemptEnd& end, Time now);
+  RoutingActions EndAttempt(Executor* executor, const AttemptEnd& end,
+                            Time now);
   RoutingActions ProbeResult(Executor* executor, const AttemptResult& result,
                              Time now);
   // Starts probes and looks for silent and slow executors.
@@ -68,34 +69,35 @@
 
  private:
   // Sums over the executors that are not leaving.
-  struct HealthSums {
-    double failure_share = 0;  // of those in rotation
+  struct HealthTotals {
+    double failure_rate = 0;  // of those in rotation
     int in_rotation = 0;
-    int out = 0;
-    int out_for_latency = 0;
+    int ejected = 0;
+    int ejected_for_latency = 0;
   };
 
-  HealthSums SumHealth() const;
-  PeerHealth PeersOf(const Executor& executor, const HealthSums& sums) const;
+  HealthTotals ComputeHealthTotals() const;
+  PeerHealth PeerHealthOf(const Executor& executor,
+                          const HealthTotals& totals) const;
   // Another executor has taken the name; nothing is known about it.
   void Replace(Executor* executor, const ExecutorInfo& info);
-  // Brings the sums up to date after a change of the executor.
-  void Refresh(Executor* executor);
+  // Brings the totals up to date after a change of the executor.
+  void UpdateExecutor(Executor* executor);
   std::optional<RoutingAction> MarkLeaving(Executor* executor,
                                            const std::string& reason, Time now);
-  void TakeOut(Executor* executor, const std::string& reason, bool for_latency,
-               Time now, RoutingActions* actions);
+  void Eject(Executor* executor, const std::string& reason, bool for_latency,
+             Time now, RoutingActions* actions);
   void SendProbes(Executor* executor, Time now, RoutingActions* actions);
-  void Inspect(Time now, RoutingActions* actions);
+  void CheckResponsiveness(Time now, RoutingActions* actions);
   void UpdateTypicalLatency();
   void UpdateNextProbe();
 
-  const std::string own_domain_;
+  const std::string own_failure_domain_;
   std::mt19937_64 random_;
   std::unordered_map<std::string, Executor> executors_;
   std::vector<ExecutorSlots> slots_;
   // Executors in the order in which Pick looks at them.
-  std::vector<Executor*> order_;
+  std::vector<Executor*> pick_order_;
   // Sum of the executors' usable().
   int usable_slots_ = 0;
   // Sum of the executors' attempts in flight.
@@ -106,9 +108,9 @@
   int available_slots_ = 0;
   // Pick found nothing, and nothing has changed since; valid until
   // `exhausted_until_`.
-  bool exhausted_ = false;
-  Time exhausted_until_;
-  Time next_inspection_;
+  bool all_busy_ = false;
+  Time all_busy_until_;
+  Time next_responsiveness_check_;
   // The earliest time at which an executor is to be probed.
   std::optional<Time> next_probe_;
   Duration typical_latency_{};
--- a/src/libs/routing/failure_share.cc
+++ b/src/libs/routing/failure_rate.cc
@@ -1,11 +1,11 @@
 // Running mean that begins as if one success had been seen.
-#include "routing/failure_share.h"
+#include "routing/failure_rate.h"
 
 #include <algorithm>
 
 namespace thornplank {
 
-void FailureShare::Add(double failed) {
+void FailureRate::Add(double failed) {
   ++samples_;
   const double weight = std::max(weight_, 1.0 / (samples_ + 1));
   value_ += weight * (failed - value_);
--- a/src/libs/routing/failure_share.h
+++ b/src/libs/routing/failure_rate.h
@@ -1,14 +1,14 @@
 // Share of attempts that failed, weighted towards the latest.
-#ifndef THORNPLANK_ROUTING_FAILURE_SHARE_H_
-#define THORNPLANK_ROUTING_FAILURE_SHARE_H_
+#ifndef THORNPLANK_ROUTING_FAILURE_RATE_H_
+#define THORNPLANK_ROUTING_FAILURE_RATE_H_
 
 namespace thornplank {
 
-class FailureShare {
+class FailureRate {
  public:
   // `weight` is that of a new attempt once there are many; the first attempts
   // weigh more.
-  explicit FailureShare(double weight) : weight_(weight) {}
+  explicit FailureRate(double weight) : weight_(weight) {}
   // `failed` is 0 for a success, 1 for a failure, and between them for a
   // failure that may have another cause.
   void Add(double failed);
--- a/src/libs/routing/fair_queue.cc
+++ b/src/libs/routing/fair_queue.cc
@@ -8,9 +8,9 @@
 namespace {
 
 // Charged while the service time is unknown, in seconds.
-constexpr double kUnknownCost = 0.001;
+constexpr double kDefaultCostSeconds = 0.001;
 // Requests of one account that are looked at for an eligible one.
-constexpr size_t kLookAhead = 64;
+constexpr size_t kMaxScannedRequests = 64;
 // An account without room for a share still drains.
 constexpr double kMinimumSlots = 0.1;
 constexpr double kMinimumWeight = 0.001;
@@ -29,33 +29,33 @@
   for (auto& [name, account] : accounts_) {
     account.limits = AccountLimits{};
     account.limits.account = name;
-    account.known = false;
+    account.has_limits = false;
   }
   for (const AccountLimits& limit : limits) {
     Account& account = accounts_[limit.account];
     account.limits = limit;
     account.limits.weight = std::max(kMinimumWeight, limit.weight);
-    account.known = true;
+    account.has_limits = true;
   }
   for (auto& [name, account] : accounts_) {
-    UpdateGuarantee(&account);
+    UpdateLocalGuarantee(&account);
   }
 }
 
-void FairQueue::SetDemandElsewhere(const std::string& account, double demand,
-                                   Time now) {
+void FairQueue::SetRemoteDemand(const std::string& account, double demand,
+                                Time now) {
   const auto found = accounts_.find(account);
   if (found == accounts_.end()) {
     return;
   }
-  found->second.demand_elsewhere = demand;
-  found->second.refused_here = found->second.refusals.At(now);
-  UpdateGuarantee(&found->second);
+  found->second.remote_demand = demand;
+  found->second.refusal_demand = found->second.refusals.At(now);
+  UpdateLocalGuarantee(&found->second);
 }
 
 const FairQueue::Account* FairQueue::Find(const std::string& account) const {
   const auto found = accounts_.find(account);
-  if (found == accounts_.end() || !found->second.known) {
+  if (found == accounts_.end() || !found->second.has_limits) {
     return nullptr;
   }
   return &found->second;
@@ -67,7 +67,7 @@
          static_cast<int>(found->waiting.size()) < found->limits.max_queued;
 }
 
-int FairQueue::Rank(const std::string& account, Time deadline) const {
+int FairQueue::RequestsAhead(const std::string& account, Time deadline) const {
   const Account* found = Find(account);
   if (found == nullptr) {
     return 0;
@@ -87,7 +87,7 @@
       target.waiting.begin(), target.waiting.end(), request, EarlierDeadline);
   target.waiting.insert(position, request);
   ++size_;
-  UpdateGuarantee(&target);
+  UpdateLocalGuarantee(&target);
 }
 
 bool FairQueue::Remove(const std::string& account,
@@ -100,7 +100,7 @@
     if (position->handle == request.handle) {
       target.waiting.erase(position);
       --size_;
-      UpdateGuarantee(&target);
+      UpdateLocalGuarantee(&target);
       return true;
     }
     ++position;
@@ -108,7 +108,7 @@
   return false;
 }
 
-std::optional<std::string> FairQueue::Next(
+std::optional<std::string> FairQueue::NextAccount(
     const std::vector<std::string>& blocked) const {
   const Account* best = nullptr;
   const std::string* best_name = nullptr;
@@ -121,9 +121,9 @@
     if (std::find(blocked.begin(), blocked.end(), name) != blocked.end()) {
       continue;
     }
-    const bool guaranteed = account.in_flight < account.guaranteed_here;
+    const bool guaranteed = account.in_flight < account.local_guarantee;
     const double key = guaranteed ? static_cast<double>(account.in_flight) /
-                                        account.guaranteed_here
+                                        account.local_guarantee
                                   : account.virtual_start;
     const bool better = best == nullptr || (guaranteed && !best_guaranteed) ||
                         (guaranteed == best_guaranteed && key < best_key);
@@ -144,20 +144,20 @@
 bool FairQueue::BorrowsFromActive(const std::string& account) const {
   const auto found = accounts_.find(account);
   if (found == accounts_.end() ||
-      found->second.in_flight < found->second.guaranteed_here) {
+      found->second.in_flight < found->second.local_guarantee) {
     return false;
   }
   return std::any_of(accounts_.begin(), accounts_.end(), [&](const auto& item) {
     const Account& other = item.second;
     return item.first != account && other.in_flight > 0 &&
-           other.in_flight < other.guaranteed_here;
+           other.in_flight < other.local_guarantee;
   });
 }
 
 std::optional<QueuedRequest> FairQueue::Take(
     const std::string& account, const std::function<bool(uint64_t)>& eligible) {
   Account& target = accounts_[account];
-  const size_t limit = std::min(target.waiting.size(), kLookAhead);
+  const size_t limit = std::min(target.waiting.size(), kMaxScannedRequests);
   for (size_t i = 0; i < limit; ++i) {
     const QueuedRequest request = target.waiting[i];
     if (!eligible(request.handle)) {
@@ -171,7 +171,8 @@
   return std::nullopt;
 }
 
-std::optional<QueuedRequest> FairQueue::Last(const std::string& account) const {
+std::optional<QueuedRequest> FairQueue::LastRequest(
+    const std::string& account) const {
   const auto found = accounts_.find(account);
   if (found == accounts_.end() || found->second.waiting.empty()) {
     return std::nullopt;
@@ -179,33 +180,34 @@
   return found->second.waiting.back();
 }
 
-double FairQueue::Begin(const std::string& account) {
+double FairQueue::BeginAttempt(const std::string& account) {
   Account& target = accounts_[account];
-  const bool guaranteed = target.in_flight < target.guaranteed_here;
+  const bool guaranteed = target.in_flight < target.local_guarantee;
   ++target.in_flight;
-  UpdateGuarantee(&target);
+  UpdateLocalGuarantee(&target);
   if (guaranteed) {
     return 0;
   }
-  const double cost = std::max(kUnknownCost, Seconds(TimeOf(account).mean()));
+  const double cost =
+      std::max(kDefaultCostSeconds, Seconds(ServiceTimeOf(account).mean()));
   virtual_time_ = std::max(virtual_time_, target.virtual_start);
   target.virtual_start += cost / target.limits.weight;
   return cost;
 }
 
-void FairQueue::End(const std::string& account, double charged,
-                    std::optional<Duration> latency) {
+void FairQueue::EndAttempt(const std::string& account, double charged_seconds,
+                           std::optional<Duration> latency) {
   Account& target = accounts_[account];
   --target.in_flight;
-  UpdateGuarantee(&target);
-  if (charged <= 0) {
+  UpdateLocalGuarantee(&target);
+  if (charged_seconds <= 0) {
     return;
   }
   const double used = latency.has_value() ? Seconds(*latency) : 0.0;
-  target.virtual_start += (used - charged) / target.limits.weight;
+  target.virtual_start += (used - charged_seconds) / target.limits.weight;
 }
 
-const ServiceTime& FairQueue::TimeOf(const std::string& account) const {
+const ServiceTime& FairQueue::ServiceTimeOf(const std::string& account) const {
   const auto found = accounts_.find(account);
   if (found != accounts_.end() && found->second.service_time.known()) {
     return found->second.service_time;
@@ -219,7 +221,7 @@
 }
 
 double FairQueue::RecordAttempt(const std::string& account, bool failed) {
-  FailureShare& share = accounts_[account].failure_share;
+  FailureRate& share = accounts_[account].failure_rate;
   const double before = share.value();
   share.Add(failed ? 1.0 : 0.0);
   return before;
@@ -240,7 +242,7 @@
   }
   const Account& own = found->second;
   const double own_guarantee = std::min(
-      slots, std::max(static_cast<double>(own.guaranteed_here),
+      slots, std::max(static_cast<double>(own.local_guarantee),
                       std::min(1.0, 1.0 * own.limits.guaranteed_slots)));
   if (!own.limits.borrowing) {
     return std::max(kMinimumSlots, own_guarantee);
@@ -252,11 +254,11 @@
       continue;
     }
     if (other.waiting.empty() || !other.limits.borrowing) {
-      rest -= std::max(std::min(other.guaranteed_here, other.demand()),
+      rest -= std::max(std::min(other.local_guarantee, other.demand()),
                        other.in_flight);
       continue;
     }
-    rest -= std::min(other.guaranteed_here, other.demand());
+    rest -= std::min(other.local_guarantee, other.demand());
     weights += other.limits.weight;
   }
   const double borrowed = std::max(0.0, rest) * own.limits.weight / weights;
@@ -265,18 +267,18 @@
 
 bool FairQueue::MaySend(const Account& account) const {
   return account.limits.borrowing ||
-         account.in_flight < account.guaranteed_here;
+         account.in_flight < account.local_guarantee;
 }
 
-void FairQueue::UpdateGuarantee(Account* account) {
+void FairQueue::UpdateLocalGuarantee(Account* account) {
   const int guarantee = account->limits.guaranteed_slots;
-  const double own = account->demand() + account->refused_here;
+  const double own = account->demand() + account->refusal_demand;
   if (guarantee <= 0 || own <= 0) {
-    account->guaranteed_here = 0;
+    account->local_guarantee = 0;
     return;
   }
-  const double part = own / (own + account->demand_elsewhere);
-  account->guaranteed_here = static_cast<int>(std::ceil(guarantee * part));
+  const double part = own / (own + account->remote_demand);
+  account->local_guarantee = static_cast<int>(std::ceil(guarantee * part));
 }
 
 }  // namespace thornplank
--- a/src/libs/routing/fair_queue.h
+++ b/src/libs/routing/fair_queue.h
@@ -18,7 +18,7 @@
 
 #include "base/time.h"
 #include "routing/decaying_count.h"
-#include "routing/failure_share.h"
+#include "routing/failure_rate.h"
 #include "routing/routing_types.h"
 #include "routing/service_time.h"
 
@@ -39,22 +39,22 @@
   struct Account {
     AccountLimits limits;
     // False when the account's limits are gone and it only drains.
-    bool known = false;
+    bool has_limits = false;
     // Ascending by deadline, then by arrival.
     std::deque<QueuedRequest> waiting;
     int in_flight = 0;
     // Slots of the guarantee that fall to this entry.
-    int guaranteed_here = 0;
+    int local_guarantee = 0;
     // Demand of the same account at the other entries.
-    double demand_elsewhere = 0;
+    double remote_demand = 0;
     // Requests turned away here lately, as of the last SetDemandElsewhere; the
     // other entries' demand holds theirs, too.
-    double refused_here = 0;
+    double refusal_demand = 0;
     // Virtual time at which the account's next request starts.
     double virtual_start = 0;
     ServiceTime service_time;
     // Of all attempts that were sent, at all executors.
-    FailureShare failure_share{kFailureWeight};
+    FailureRate failure_rate{kFailureWeight};
     // Requests turned away lately for want of slots.
     DecayingCount refusals;
 
@@ -65,7 +65,7 @@
   // what they queued, with a weight of 1 and no guarantee.
   void SetLimits(const std::vector<AccountLimits>& limits);
   // Demand of the account at all other entries together.
-  void SetDemandElsewhere(const std::string& account, double demand, Time now);
+  void SetRemoteDemand(const std::string& account, double demand, Time now);
 
   // Null when the account has no limits.
   const Account* Find(const std::string& account) const;
@@ -75,7 +75,7 @@
   // Whether the account's queue takes one more.
   bool HasRoom(const std::string& account) const;
   // Requests of the account that go before one with this deadline.
-  int Rank(const std::string& account, Time deadline) const;
+  int RequestsAhead(const std::string& account, Time deadline) const;
   // Precondition: the account is known. Requests that return from an attempt
   // may exceed the bound.
   void Push(const std::string& account, const QueuedRequest& request);
@@ -84,7 +84,7 @@
 
   // The account whose turn it is; nullopt when none may send. Those in
   // `blocked` are passed over.
-  std::optional<std::string> Next(
+  std::optional<std::string> NextAccount(
       const std::vector<std::string>& blocked) const;
   // Whether a further request of the account would borrow while another account
   // with requests in flight has not used its guarantee up.
@@ -95,15 +95,15 @@
       const std::string& account,
       const std::function<bool(uint64_t)>& eligible);
   // The last of the account's requests, which would be sent last.
-  std::optional<QueuedRequest> Last(const std::string& account) const;
+  std::optional<QueuedRequest> LastRequest(const std::string& account) const;
 
   // An attempt of the account has begun. Returns the virtual time charged.
-  double Begin(const std::string& account);
+  double BeginAttempt(const std::string& account);
   // It has ended; `latency` when it used a slot for that long.
-  void End(const std::string& account, double charged,
-           std::optional<Duration> latency);
+  void EndAttempt(const std::string& account, double charged_seconds,
+                  std::optional<Duration> latency);
   // Service time of the account, or of the service while that is unknown.
-  const ServiceTime& TimeOf(const std::string& account) const;
+  const ServiceTime& ServiceTimeOf(const std::string& account) const;
   void RecordAnswer(const std::string& account, Duration latency);
   // An attempt that was sent has succeeded or failed. Returns the account's
   // share of failures before it.
@@ -117,7 +117,7 @@
 
  private:
   bool MaySend(const Account& account) const;
-  static void UpdateGuarantee(Account* account);
+  static void UpdateLocalGuarantee(Account* account);
 
   std::map<std::string, Account> accounts_;
   ServiceTime service_time_;
--- a/src/libs/routing/spread.cc
+++ b/src/libs/routing/jitter.cc
@@ -1,5 +1,5 @@
 // Fractions from a hash of the key.
-#include "routing/spread.h"
+#include "routing/jitter.h"
 
 #include <xxhash.h>
 
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-double SpreadFraction(uint64_t seed, std::string_view key) {
+double JitterFraction(uint64_t seed, std::string_view key) {
   const uint64_t hash = XXH64(key.data(), key.size(), seed);
   return static_cast<double>(hash >> (64 - kFractionBits)) /
          static_cast<double>(uint64_t{1} << kFractionBits);
--- a/src/libs/routing/spread.h
+++ b/src/libs/routing/jitter.h
@@ -1,6 +1,6 @@
 // Deterministic spreading of times, from a seed and a key.
-#ifndef THORNPLANK_ROUTING_SPREAD_H_
-#define THORNPLANK_ROUTING_SPREAD_H_
+#ifndef THORNPLANK_ROUTING_JITTER_H_
+#define THORNPLANK_ROUTING_JITTER_H_
 
 #include <cstdint>
 #include <string_view>
@@ -9,7 +9,7 @@
 
 // A number in [0, 1) that depends on nothing but the seed and the key, and
 // differs between keys as if drawn at random.
-double SpreadFraction(uint64_t seed, std::string_view key);
+double JitterFraction(uint64_t seed, std::string_view key);
 
 }  // namespace thornplank
 
--- a/src/libs/routing/request_router.cc
+++ b/src/libs/routing/request_router.cc
@@ -8,11 +8,11 @@
 #include <utility>
 
 #include "routing/demand_share.h"
+#include "routing/jitter.h"
 #include "routing/request_table.h"
 #include "routing/retry_budget.h"
 #include "routing/retry_policy.h"
 #include "routing/service_router.h"
-#include "routing/spread.h"
 
 namespace thornplank {
 namespace {
@@ -32,7 +32,7 @@
 RequestRouter::RequestRouter(RouterOptions options,
                              std::unique_ptr<SlotSharingPolicy> share)
     : options_(std::move(options)),
-      share_(std::move(share)),
+      slot_sharing_(std::move(share)),
       table_(std::make_unique<RequestTable>()) {}
 
 RequestRouter::~RequestRouter() = default;
@@ -53,15 +53,15 @@
     return slot.get();
   }
   slot = std::make_unique<ServiceRouter>(options_.seed, options_.failure_domain,
-                                         share_.get(), table_.get());
-  slot->SetLimits(LimitsOf(service), now);
+                                         slot_sharing_.get(), table_.get());
+  slot->SetLimits(LimitsFor(service), now);
   if (!entries_.empty()) {
-    slot->SetEntries(entries_, own_entry(), now);
+    slot->SetLiveEntries(entries_, own_entry_index(), now);
   }
   return slot.get();
 }
 
-std::vector<AccountLimits> RequestRouter::LimitsOf(
+std::vector<AccountLimits> RequestRouter::LimitsFor(
     const std::string& service) const {
   std::map<std::string, AccountLimits> result;
   for (const AccountLimits& limits : limits_) {
@@ -79,13 +79,13 @@
   return list;
 }
 
-RetryBudget& RequestRouter::BudgetOf(const RequestInfo& request) {
+RetryBudget& RequestRouter::RetryBudgetFor(const RequestInfo& request) {
   const FairQueue::Account* account =
       Find(request.service)->queue().Find(request.account);
   const double percent =
       account == nullptr ? 0.0 : account->limits.retry_budget_percent;
   RetryBudget& budget =
-      budgets_.try_emplace({request.service, request.account}, percent)
+      retry_budgets_.try_emplace({request.service, request.account}, percent)
           .first->second;
   budget.set_percent(percent);
   return budget;
@@ -93,11 +93,11 @@
 
 RoutingActions RequestRouter::SetAccountLimits(
     const std::vector<AccountLimits>& accounts, Time now) {
-  latest_ = now;
+  latest_event_time_ = now;
   limits_ = accounts;
   RoutingActions actions;
   for (auto& [name, service] : services_) {
-    service->SetLimits(LimitsOf(name), now);
+    service->SetLimits(LimitsFor(name), now);
   }
   DispatchAll(now, &actions);
   return actions;
@@ -105,7 +105,7 @@
 
 RoutingActions RequestRouter::SetExecutors(
     const std::vector<ExecutorInfo>& executors, Time now) {
-  latest_ = now;
+  latest_event_time_ = now;
   std::map<std::string, std::vector<ExecutorInfo>> by_service;
   for (const auto& [name, service] : services_) {
     by_service[name];
@@ -124,21 +124,21 @@
 RoutingActions RequestRouter::SetLiveEntries(
     const std::string& own_name, const std::vector<std::string>& live_entries,
     Time now) {
-  latest_ = now;
+  latest_event_time_ = now;
   own_name_ = own_name;
   entries_ = live_entries;
   entries_.push_back(own_name);
   std::sort(entries_.begin(), entries_.end());
   entries_.erase(std::unique(entries_.begin(), entries_.end()), entries_.end());
   for (auto& [name, service] : services_) {
-    service->SetEntries(entries_, own_entry(), now);
+    service->SetLiveEntries(entries_, own_entry_index(), now);
   }
   RoutingActions actions;
   DispatchAll(now, &actions);
   return actions;
 }
 
-size_t RequestRouter::own_entry() const {
+size_t RequestRouter::own_entry_index() const {
   const auto own =
       std::lower_bound(entries_.begin(), entries_.end(), own_name_);
   return static_cast<size_t>(own - entries_.begin());
@@ -146,7 +146,7 @@
 
 RoutingActions RequestRouter::SetPeerDemand(const PeerDemand& demand,
                                             Time now) {
-  latest_ = now;
+  latest_event_time_ = now;
   RoutingActions actions;
   const bool live =
       std::binary_search(entries_.begin(), entries_.end(), demand.entry);
@@ -171,7 +171,7 @@
   }
   const ServiceRouter* service = Find(request.service);
   if (service == nullptr) {
-    const double jitter = SpreadFraction(options_.seed, request.id);
+    const double jitter = JitterFraction(options_.seed, request.id);
     return Refusal{
         "no executor of this service is known",
         kNoServiceRetryAfter + std::chrono::duration_cast<Duration>(
@@ -181,7 +181,7 @@
 }
 
 RoutingActions RequestRouter::Submit(const RequestInfo& info, Time now) {
-  latest_ = now;
+  latest_event_time_ = now;
   RoutingActions actions;
   if (table_->Find(info.id) != nullptr) {
     return actions;
@@ -196,7 +196,7 @@
         FinishNotRun{info.id, refusal->reason, refusal->retry_after});
     return actions;
   }
-  BudgetOf(info).AddFresh();
+  RetryBudgetFor(info).RecordFreshRequest();
   service->Enqueue(table_->Add(info), now);
   service->Dispatch(now, &actions);
   return actions;
@@ -206,7 +206,7 @@
                                               const std::string& executor,
                                               const AttemptResult& result,
                                               Time now) {
-  latest_ = now;
+  latest_event_time_ = now;
   RoutingActions actions;
   RoutedRequest* request = table_->Find(request_id);
   if (request == nullptr || request->phase == RoutedRequest::Phase::kQueued ||
@@ -222,33 +222,35 @@
     }
     table_->Erase(request);
   } else {
-    Settle(request, service, result, now, &actions);
+    FinishOrRetry(request, service, result, now, &actions);
   }
   service->Dispatch(now, &actions);
   return actions;
 }
 
-void RequestRouter::Settle(RoutedRequest* request, ServiceRouter* service,
-                           const AttemptResult& result, Time now,
-                           RoutingActions* actions) {
+void RequestRouter::FinishOrRetry(RoutedRequest* request,
+                                  ServiceRouter* service,
+                                  const AttemptResult& result, Time now,
+                                  RoutingActions* actions) {
   const AttemptOutcome outcome = result.outcome;
   if (outcome == AttemptOutcome::kRefusedNotRun) {
     ++request->refusals;
   } else {
     ++request->tries;
   }
-  RetryBudget& account_budget = BudgetOf(request->info);
+  RetryBudget& account_budget = RetryBudgetFor(request->info);
   Executor* upstream = service->pool().Find(request->executor);
   AttemptHistory history;
   history.idempotent = request->info.idempotent;
   history.tries = request->tries;
   history.refusals = request->refusals;
   history.may_have_run = request->may_have_run;
-  history.wanted = !request->caller_gone && now < request->info.deadline;
-  history.alternative = service->pool().HasAlternative(request->executor);
-  history.budget = account_budget.available() &&
-                   (upstream == nullptr || upstream->retry_budget.available());
-  const NextStep step = Decide(outcome, history);
+  history.still_wanted = !request->caller_gone && now < request->info.deadline;
+  history.has_alternative = service->pool().HasAlternative(request->executor);
+  history.has_budget =
+      account_budget.available() &&
+      (upstream == nullptr || upstream->retry_budget.available());
+  const NextStep step = DecideNextStep(outcome, history);
   request->may_have_run = request->may_have_run || MayHaveRun(outcome);
   switch (step) {
     case NextStep::kDeliver:
@@ -256,10 +258,10 @@
       table_->Erase(request);
       return;
     case NextStep::kRetry:
-      if (CostsBudget(outcome)) {
-        account_budget.Take();
+      if (ConsumesRetryBudget(outcome)) {
+        account_budget.ConsumeToken();
         if (upstream != nullptr) {
-          upstream->retry_budget.Take();
+          upstream->retry_budget.ConsumeToken();
         }
       }
       service->Enqueue(request, now);
@@ -277,7 +279,7 @@
 RoutingActions RequestRouter::HandleProbeResult(const std::string& executor,
                                                 const AttemptResult& result,
                                                 Time now) {
-  latest_ = now;
+  latest_event_time_ = now;
   RoutingActions actions;
   for (auto& [name, service] : services_) {
     Executor* found = service->pool().Find(executor);
@@ -291,7 +293,7 @@
 }
 
 RoutingActions RequestRouter::Cancel(const std::string& request_id, Time now) {
-  latest_ = now;
+  latest_event_time_ = now;
   RoutingActions actions;
   RoutedRequest* request = table_->Find(request_id);
   if (request == nullptr) {
@@ -308,11 +310,11 @@
 }
 
 RoutingActions RequestRouter::Tick(Time now) {
-  latest_ = now;
+  latest_event_time_ = now;
   RoutingActions actions;
-  for (RoutedRequest* due = table_->Due(now); due != nullptr;
-       due = table_->Due(now)) {
-    Expire(due, now, &actions);
+  for (RoutedRequest* due = table_->FirstDue(now); due != nullptr;
+       due = table_->FirstDue(now)) {
+    ExpireRequest(due, now, &actions);
   }
   for (auto& [name, service] : services_) {
     service->Tick(now, &actions);
@@ -320,8 +322,8 @@
   return actions;
 }
 
-void RequestRouter::Expire(RoutedRequest* request, Time now,
-                           RoutingActions* actions) {
+void RequestRouter::ExpireRequest(RoutedRequest* request, Time now,
+                                  RoutingActions* actions) {
   table_->SetTimer(request, std::nullopt);
   ServiceRouter* service = Find(request->info.service);
   if (request->phase == RoutedRequest::Phase::kQueued) {
@@ -343,7 +345,7 @@
   PeerDemand result;
   result.entry = own_name_;
   for (const auto& [name, service] : services_) {
-    std::vector<AccountDemand> part = service->Demand(name, latest_);
+    std::vector<AccountDemand> part = service->Demand(name, latest_event_time_);
     std::move(part.begin(), part.end(), std::back_inserter(result.accounts));
   }
   return result;
--- a/src/libs/routing/request_router.h
+++ b/src/libs/routing/request_router.h
@@ -99,27 +99,28 @@
   const ServiceRouter* Find(const std::string& service) const;
   ServiceRouter* Find(const std::string& service);
   ServiceRouter* FindOrAdd(const std::string& service, Time now);
-  std::vector<AccountLimits> LimitsOf(const std::string& service) const;
+  std::vector<AccountLimits> LimitsFor(const std::string& service) const;
   // Position of this entry among the live ones.
-  size_t own_entry() const;
-  RetryBudget& BudgetOf(const RequestInfo& request);
+  size_t own_entry_index() const;
+  RetryBudget& RetryBudgetFor(const RequestInfo& request);
   void DispatchAll(Time now, RoutingActions* actions);
-  void Settle(RoutedRequest* request, ServiceRouter* service,
-              const AttemptResult& result, Time now, RoutingActions* actions);
-  void Expire(RoutedRequest* request, Time now, RoutingActions* actions);
+  void FinishOrRetry(RoutedRequest* request, ServiceRouter* service,
+                     const AttemptResult& result, Time now,
+                     RoutingActions* actions);
+  void ExpireRequest(RoutedRequest* request, Time now, RoutingActions* actions);
 
   const RouterOptions options_;
-  const std::unique_ptr<SlotSharingPolicy> share_;
+  const std::unique_ptr<SlotSharingPolicy> slot_sharing_;
   std::vector<AccountLimits> limits_;
   // The time of the latest call.
-  Time latest_;
+  Time latest_event_time_;
   std::string own_name_;
   // The live entries with this one, sorted.
   std::vector<std::string> entries_;
   std::unique_ptr<RequestTable> table_;
   std::map<std::string, std::unique_ptr<ServiceRouter>> services_;
   // By service and account.
-  std::map<std::pair<std::string, std::string>, RetryBudget> budgets_;
+  std::map<std::pair<std::string, std::string>, RetryBudget> retry_budgets_;
 };
 
 }  // namespace thornplank
--- a/src/libs/routing/request_table.cc
+++ b/src/libs/routing/request_table.cc
@@ -42,11 +42,11 @@
   }
 }
 
-RoutedRequest* RequestTable::Due(Time now) {
+RoutedRequest* RequestTable::FirstDue(Time now) {
   if (timers_.empty() || timers_.begin()->first > now) {
     return nullptr;
   }
-  return At(timers_.begin()->second);
+  return ByHandle(timers_.begin()->second);
 }
 
 std::optional<Time> RequestTable::NextTimer() const {
--- a/src/libs/routing/request_table.h
+++ b/src/libs/routing/request_table.h
@@ -35,9 +35,9 @@
   // Of the current or the last attempt.
   std::string executor;
   uint64_t executor_generation = 0;
-  Time start;
+  Time attempt_start;
   Time attempt_deadline;
-  double charged = 0;  // see FairQueue::Begin
+  double charged_seconds = 0;  // see FairQueue::BeginAttempt
   std::optional<Time> timer;
 
   int attempts() const { return tries + refusals; }
@@ -50,12 +50,12 @@
   // Null when unknown.
   RoutedRequest* Find(const std::string& id);
   // Precondition: the handle is of a request in the table.
-  RoutedRequest* At(uint64_t handle) { return by_handle_.at(handle); }
+  RoutedRequest* ByHandle(uint64_t handle) { return by_handle_.at(handle); }
   void Erase(RoutedRequest* request);
 
   void SetTimer(RoutedRequest* request, std::optional<Time> time);
   // A request whose timer is at or before `now`; null when there is none.
-  RoutedRequest* Due(Time now);
+  RoutedRequest* FirstDue(Time now);
   std::optional<Time> NextTimer() const;
 
  private:
--- a/src/libs/routing/retry_budget.cc
+++ b/src/libs/routing/retry_budget.cc
@@ -15,10 +15,10 @@
 RetryBudget::RetryBudget(double percent)
     : percent_(percent), tokens_(percent > 0 ? kInitialTokens : 0.0) {}
 
-void RetryBudget::AddFresh() {
+void RetryBudget::RecordFreshRequest() {
   tokens_ = std::min(kCapacity, tokens_ + percent_ / 100.0);
 }
 
-void RetryBudget::Take() { tokens_ = std::max(0.0, tokens_ - 1.0); }
+void RetryBudget::ConsumeToken() { tokens_ = std::max(0.0, tokens_ - 1.0); }
 
 }  // namespace thornplank
--- a/src/libs/routing/retry_budget.h
+++ b/src/libs/routing/retry_budget.h
@@ -13,10 +13,10 @@
   explicit RetryBudget(double percent);
   void set_percent(double percent) { percent_ = percent; }
   // Earns the part of a retry that a fresh request allows.
-  void AddFresh();
+  void RecordFreshRequest();
   bool available() const { return tokens_ >= 1.0; }
   // Takes one token; to be called only when available().
-  void Take();
+  void ConsumeToken();
 
  private:
   double percent_;
--- a/src/libs/routing/retry_policy.cc
+++ b/src/libs/routing/retry_policy.cc
@@ -8,13 +8,13 @@
 constexpr int kMaxRefusals = 8;
 
 bool MayRetry(AttemptOutcome outcome, const AttemptHistory& history) {
-  if (!history.wanted || !history.alternative) {
+  if (!history.still_wanted || !history.has_alternative) {
     return false;
   }
   if (outcome == AttemptOutcome::kRefusedNotRun) {
     return history.refusals < kMaxRefusals;
   }
-  if (history.tries >= kMaxTries || !history.budget) {
+  if (history.tries >= kMaxTries || !history.has_budget) {
     return false;
   }
   return history.idempotent || !MayHaveRun(outcome);
@@ -35,7 +35,7 @@
   return true;
 }
 
-NextStep Decide(AttemptOutcome outcome, const AttemptHistory& history) {
+NextStep DecideNextStep(AttemptOutcome outcome, const AttemptHistory& history) {
   if (outcome == AttemptOutcome::kAnswered) {
     return NextStep::kDeliver;
   }
@@ -51,7 +51,7 @@
   return NextStep::kFinishNotRun;
 }
 
-bool CostsBudget(AttemptOutcome outcome) {
+bool ConsumesRetryBudget(AttemptOutcome outcome) {
   return outcome != AttemptOutcome::kRefusedNotRun;
 }
 
--- a/src/libs/routing/retry_policy.h
+++ b/src/libs/routing/retry_policy.h
@@ -26,20 +26,20 @@
   // Whether an earlier attempt may have run.
   bool may_have_run = false;
   // False when the caller is gone or the time is up.
-  bool wanted = true;
+  bool still_wanted = true;
   // Whether another executor could take it.
-  bool alternative = true;
+  bool has_alternative = true;
   // Whether the budgets of the account and of the upstream allow a retry.
-  bool budget = true;
+  bool has_budget = true;
 };
 
 // Whether an attempt with this outcome may have run at the executor.
 bool MayHaveRun(AttemptOutcome outcome);
 
-NextStep Decide(AttemptOutcome outcome, const AttemptHistory& history);
+NextStep DecideNextStep(AttemptOutcome outcome, const AttemptHistory& history);
 
 // Whether a retry after this outcome is paid from the retry budgets.
-bool CostsBudget(AttemptOutcome outcome);
+bool ConsumesRetryBudget(AttemptOutcome outcome);
 
 // The number of tries after which a request is not sent again.
 int MaxTries();
--- a/src/libs/routing/service_router.cc
+++ b/src/libs/routing/service_router.cc
@@ -5,8 +5,8 @@
 #include <cmath>
 #include <utility>
 
+#include "routing/jitter.h"
 #include "routing/retry_policy.h"
-#include "routing/spread.h"
 
 namespace thornplank {
 namespace {
@@ -19,21 +19,21 @@
 constexpr Duration kSheddingPeriod = milliseconds(100);
 // A queued request is given up on when its expected wait exceeds what is left
 // by this factor; above 1, so that the estimate's noise ends nothing.
-constexpr double kHopelessFactor = 1.5;
+constexpr double kLateWaitFactor = 1.5;
 // A request may take this fraction of the mean; with less time left it is not
 // sent.
-constexpr int kQuickFraction = 2;
+constexpr int kQuickRunFraction = 2;
 // An attempt of an idempotent request is not given up on before this many
 // mean service times, deadline permitting.
-constexpr int kPatience = 20;
+constexpr int kMinAttemptServiceTimes = 20;
 // For this long a refusal may show in the demand.
-constexpr Duration kRefusalsFade = seconds(12);
-constexpr Duration kUnknownBacklog = seconds(1);
-constexpr Duration kShortestRetryAfter = milliseconds(200);
-constexpr Duration kShortestSpread = seconds(1);
-constexpr Duration kLongestRetryAfter = seconds(60);
+constexpr Duration kRefusalDecayTime = seconds(12);
+constexpr Duration kDefaultBacklog = seconds(1);
+constexpr Duration kMinRetryAfter = milliseconds(200);
+constexpr Duration kMinSpread = seconds(1);
+constexpr Duration kMaxRetryAfter = seconds(60);
 // An entry with fewer slots keeps none free for guarantees.
-constexpr int kLeastToKeepOne = 16;
+constexpr int kMinSlotsToReserveOne = 16;
 
 Duration Scale(Duration duration, double factor) {
   return std::chrono::duration_cast<Duration>(
@@ -49,13 +49,13 @@
 
 }  // namespace
 
-ServiceRouter::ServiceRouter(uint64_t seed, std::string own_domain,
+ServiceRouter::ServiceRouter(uint64_t seed, std::string own_failure_domain,
                              const SlotSharingPolicy* share,
                              RequestTable* table)
     : seed_(seed),
-      share_(share),
+      slot_sharing_(share),
       table_(table),
-      pool_(seed, std::move(own_domain)) {}
+      pool_(seed, std::move(own_failure_domain)) {}
 
 void ServiceRouter::SetLimits(const std::vector<AccountLimits>& limits,
                               Time now) {
@@ -70,10 +70,10 @@
   return actions;
 }
 
-void ServiceRouter::SetEntries(const std::vector<std::string>& entries,
-                               size_t own, Time now) {
+void ServiceRouter::SetLiveEntries(const std::vector<std::string>& entries,
+                                   size_t own, Time now) {
   entries_ = entries;
-  own_entry_ = own;
+  own_entry_index_ = own;
   for (auto it = peer_demand_.begin(); it != peer_demand_.end();) {
     const bool live =
         std::binary_search(entries.begin(), entries.end(), it->first);
@@ -106,11 +106,12 @@
   if (!queue_.HasRoom(request.account)) {
     return refuse("the queue of the client account is full");
   }
-  const ServiceTime& time = queue_.TimeOf(request.account);
-  const Duration wait =
-      Scale(ExpectedWait(request.account, request.deadline), margin_.factor());
-  const Duration run =
-      wait > Duration::zero() ? time.high() : time.mean() / kQuickFraction;
+  const ServiceTime& time = queue_.ServiceTimeOf(request.account);
+  const Duration wait = Scale(ExpectedWait(request.account, request.deadline),
+                              admission_margin_.factor());
+  const Duration run = wait > Duration::zero()
+                           ? time.high_estimate()
+                           : time.mean() / kQuickRunFraction;
   if (now + wait + run >= request.deadline) {
     return refuse("cannot finish before its deadline");
   }
@@ -119,28 +120,28 @@
 
 Duration ServiceRouter::RetryAfter(const std::string& account,
                                    const std::string& id, Time now) const {
-  const Duration expected = queue_.TimeOf(account).mean();
+  const Duration expected = queue_.ServiceTimeOf(account).mean();
   const double slots = ExpectedSlots(account);
   const FairQueue::Account* found = queue_.Find(account);
   const double waiting =
       found == nullptr ? 0.0 : static_cast<double>(found->waiting.size());
   const double refusals = found == nullptr ? 0.0 : found->refusals.At(now);
-  Duration backlog = kUnknownBacklog;
-  Duration spread = kShortestSpread;
+  Duration backlog = kDefaultBacklog;
+  Duration spread = kMinSpread;
   if (expected > Duration::zero()) {
-    backlog = std::min(kLongestRetryAfter, Scale(expected, waiting / slots));
+    backlog = std::min(kMaxRetryAfter, Scale(expected, waiting / slots));
     const Duration returning =
-        std::min(kLongestRetryAfter, Scale(expected, refusals / slots));
-    spread = std::max(kShortestSpread, backlog + returning);
+        std::min(kMaxRetryAfter, Scale(expected, refusals / slots));
+    spread = std::max(kMinSpread, backlog + returning);
   }
-  const Duration after = std::max(kShortestRetryAfter, backlog) +
-                         Scale(spread, SpreadFraction(seed_, id));
-  return std::min(after, kLongestRetryAfter);
+  const Duration after = std::max(kMinRetryAfter, backlog) +
+                         Scale(spread, JitterFraction(seed_, id));
+  return std::min(after, kMaxRetryAfter);
 }
 
 void ServiceRouter::CountRefusal(const std::string& account, Time now) {
   queue_.RecordRefusal(account, now);
-  refusals_fade_ = now + kRefusalsFade;
+  refusals_decayed_at_ = now + kRefusalDecayTime;
   next_shedding_ = std::max(next_shedding_, now);
 }
 
@@ -162,13 +163,13 @@
   request->queued_at = now;
   queue_.Push(request->info.account, {request->handle, request->info.deadline});
   const Duration quick =
-      queue_.TimeOf(request->info.account).mean() / kQuickFraction;
+      queue_.ServiceTimeOf(request->info.account).mean() / kQuickRunFraction;
   table_->SetTimer(request, std::max(now, request->info.deadline - quick));
 }
 
 void ServiceRouter::ExpireQueued(RoutedRequest* request, Time now,
                                  RoutingActions* actions) {
-  margin_.RecordLateRefusal();
+  admission_margin_.RecordLateRefusal();
   RemoveQueued(*request);
   FinishUnserved(request, "its turn did not come in time", now, actions);
 }
@@ -195,15 +196,15 @@
   if (executor == nullptr) {
     return false;
   }
-  const std::optional<std::string> account = queue_.Next(*blocked);
+  const std::optional<std::string> account = queue_.NextAccount(*blocked);
   if (!account.has_value()) {
     return false;
   }
-  if (KeepsSlotFrom(*account)) {
+  if (ReservesLastSlotFrom(*account)) {
     return false;
   }
   const auto fits = [&](uint64_t handle) {
-    return table_->At(handle)->executor != executor->info.name;
+    return table_->ByHandle(handle)->executor != executor->info.name;
   };
   std::optional<QueuedRequest> taken = queue_.Take(*account, fits);
   if (!taken.has_value()) {
@@ -217,26 +218,26 @@
     blocked->push_back(*account);
     return true;
   }
-  RoutedRequest* request = table_->At(taken->handle);
-  const ServiceTime& time = queue_.TimeOf(*account);
+  RoutedRequest* request = table_->ByHandle(taken->handle);
+  const ServiceTime& time = queue_.ServiceTimeOf(*account);
   // When others wait, a slot is not spent on what will probably be late.
-  const Duration needed =
-      queue_.size() > 0 ? time.high() : time.mean() / kQuickFraction;
+  const Duration needed = queue_.size() > 0 ? time.high_estimate()
+                                            : time.mean() / kQuickRunFraction;
   if (now + needed >= request->info.deadline) {
-    margin_.RecordLateRefusal();
+    admission_margin_.RecordLateRefusal();
     FinishUnserved(request, "cannot finish before its deadline", now, actions);
     return true;
   }
   if (request->queued_at < now) {
-    margin_.RecordSent();
+    admission_margin_.RecordSent();
   }
   Send(request, executor, now, actions);
   return true;
 }
 
-bool ServiceRouter::KeepsSlotFrom(const std::string& account) const {
+bool ServiceRouter::ReservesLastSlotFrom(const std::string& account) const {
   const int usable = pool_.usable_slots();
-  return usable >= kLeastToKeepOne && usable - pool_.in_flight() <= 1 &&
+  return usable >= kMinSlotsToReserveOne && usable - pool_.in_flight() <= 1 &&
          queue_.BorrowsFromActive(account);
 }
 
@@ -245,25 +246,27 @@
   const std::string& account = request->info.account;
   const Time deadline = request->info.deadline;
   const std::string load = std::to_string(executor->in_flight()) + " of " +
-                           std::to_string(executor->usable());
+                           std::to_string(executor->usable_slots());
   if (request->attempts() == 0) {
-    executor->retry_budget.AddFresh();
+    executor->retry_budget.RecordFreshRequest();
   }
-  request->charged = queue_.Begin(account);
-  pool_.Begin(executor, now);
+  request->charged_seconds = queue_.BeginAttempt(account);
+  pool_.BeginAttempt(executor, now);
   request->phase = RoutedRequest::Phase::kInFlight;
   request->executor = executor->info.name;
   request->executor_generation = executor->generation;
-  request->start = now;
+  request->attempt_start = now;
   request->attempt_deadline = deadline;
   if (request->info.idempotent && request->tries + 1 < MaxTries()) {
     // Leaves time for a retry when the executor turns out to be silent.
-    const Duration patience = std::max(
-        (deadline - now) / 2, kPatience * queue_.TimeOf(account).mean());
-    request->attempt_deadline = std::min(deadline, now + patience);
+    const Duration attempt_timeout = std::max(
+        (deadline - now) / 2,
+        kMinAttemptServiceTimes * queue_.ServiceTimeOf(account).mean());
+    request->attempt_deadline = std::min(deadline, now + attempt_timeout);
   }
   table_->SetTimer(request, deadline);
-  const char* kind = request->charged > 0 ? "fair share" : "guaranteed slot";
+  const char* kind =
+      request->charged_seconds > 0 ? "fair share" : "guaranteed slot";
   actions->push_back(SendAttempt{
       request->info.id, executor->info.name, executor->info.address,
       request->attempts() + 1, request->attempt_deadline,
@@ -275,14 +278,15 @@
                                          Time now) {
   const bool used = result.outcome != AttemptOutcome::kRefusedNotRun &&
                     result.outcome != AttemptOutcome::kNotSent;
-  queue_.End(request.info.account, request.charged,
-             used ? std::optional<Duration>(result.latency) : std::nullopt);
+  queue_.EndAttempt(
+      request.info.account, request.charged_seconds,
+      used ? std::optional<Duration>(result.latency) : std::nullopt);
   if (result.outcome == AttemptOutcome::kAnswered) {
     queue_.RecordAnswer(request.info.account, result.latency);
   }
-  double account_failure_share = 0;
+  double account_failure_rate = 0;
   if (used) {
-    account_failure_share = queue_.RecordAttempt(
+    account_failure_rate = queue_.RecordAttempt(
         request.info.account, result.outcome != AttemptOutcome::kAnswered);
   }
   Executor* executor = pool_.Find(request.executor);
@@ -291,12 +295,12 @@
   }
   AttemptEnd end;
   end.generation = request.executor_generation;
-  end.start = request.start;
+  end.start = request.attempt_start;
   end.timed_out = result.outcome == AttemptOutcome::kUnknown &&
                   now >= request.attempt_deadline;
-  end.account_failure_share = account_failure_share;
+  end.account_failure_rate = account_failure_rate;
   end.result = result;
-  return pool_.End(executor, end, now);
+  return pool_.EndAttempt(executor, end, now);
 }
 
 void ServiceRouter::Tick(Time now, RoutingActions* actions) {
@@ -304,7 +308,7 @@
   std::move(changes.begin(), changes.end(), std::back_inserter(*actions));
   if (now >= next_shedding_) {
     next_shedding_ = now + kSheddingPeriod;
-    ShedHopeless(now, actions);
+    ShedLateRequests(now, actions);
   }
   Dispatch(now, actions);
 }
@@ -312,7 +316,7 @@
 std::optional<Time> ServiceRouter::NextTickTime() const {
   const bool waiting = queue_.size() > 0;
   std::optional<Time> wake = pool_.NextTickTime(waiting);
-  if (waiting || next_shedding_ < refusals_fade_) {
+  if (waiting || next_shedding_ < refusals_decayed_at_) {
     wake = wake.has_value() ? std::min(*wake, next_shedding_) : next_shedding_;
   }
   return wake;
@@ -337,28 +341,28 @@
     entries_.emplace_back();
   }
   const SlotSharingInput input = MakeSlotSharingInput(now);
-  pool_.SetAllocation(share_->Allocate(input),
+  pool_.SetAllocation(slot_sharing_->Allocate(input),
                       ConnectionLimit(entries_.size()));
-  potential_slots_ = share_->AttainableSlots(input);
+  attainable_slots_ = slot_sharing_->AttainableSlots(input);
   for (size_t i = 0; i < input.accounts.size(); ++i) {
-    double elsewhere = 0;
+    double remote_demand = 0;
     for (size_t entry = 0; entry < input.demand.size(); ++entry) {
-      if (entry != own_entry_) {
-        elsewhere += input.demand[entry][i];
+      if (entry != own_entry_index_) {
+        remote_demand += input.demand[entry][i];
       }
     }
-    queue_.SetDemandElsewhere(input.accounts[i].account, elsewhere, now);
+    queue_.SetRemoteDemand(input.accounts[i].account, remote_demand, now);
   }
 }
 
 SlotSharingInput ServiceRouter::MakeSlotSharingInput(Time now) const {
   SlotSharingInput input;
   input.executors = pool_.slots();
-  input.own_entry = own_entry_;
+  input.own_entry_index = own_entry_index_;
   std::map<std::string, size_t> index;
   std::vector<double> own;
   for (const auto& [name, account] : queue_.accounts()) {
-    if (!account.known) {
+    if (!account.has_limits) {
       continue;
     }
     index.emplace(name, input.accounts.size());
@@ -366,7 +370,7 @@
     own.push_back(QueuedDemand(account, now) + account.in_flight);
   }
   for (size_t entry = 0; entry < entries_.size(); ++entry) {
-    if (entry == own_entry_) {
+    if (entry == own_entry_index_) {
       input.demand.push_back(own);
       continue;
     }
@@ -387,33 +391,33 @@
 
 double ServiceRouter::ExpectedSlots(const std::string& account) const {
   const double slots = std::max<double>(
-      pool_.usable_slots(), potential_slots_ * pool_.available_share());
+      pool_.usable_slots(), attainable_slots_ * pool_.available_share());
   return queue_.SlotsFor(account, slots);
 }
 
 Duration ServiceRouter::ExpectedWait(const std::string& account,
                                      Time deadline) const {
-  const int rank = queue_.Rank(account, deadline);
+  const int rank = queue_.RequestsAhead(account, deadline);
   if (rank == 0 && pool_.in_flight() < pool_.usable_slots()) {
     return Duration::zero();
   }
-  return Scale(queue_.TimeOf(account).mean(),
+  return Scale(queue_.ServiceTimeOf(account).mean(),
                (rank + 1) / ExpectedSlots(account));
 }
 
-void ServiceRouter::ShedHopeless(Time now, RoutingActions* actions) {
+void ServiceRouter::ShedLateRequests(Time now, RoutingActions* actions) {
   for (const auto& [name, account] : queue_.accounts()) {
     while (true) {
-      const std::optional<QueuedRequest> last = queue_.Last(name);
+      const std::optional<QueuedRequest> last = queue_.LastRequest(name);
       if (!last.has_value()) {
         break;
       }
       const Duration wait = ExpectedWait(name, last->deadline);
-      if (now + Scale(wait, 1 / kHopelessFactor) < last->deadline) {
+      if (now + Scale(wait, 1 / kLateWaitFactor) < last->deadline) {
         break;
       }
-      margin_.RecordLateRefusal();
-      RoutedRequest* request = table_->At(last->handle);
+      admission_margin_.RecordLateRefusal();
+      RoutedRequest* request = table_->ByHandle(last->handle);
       RemoveQueued(*request);
       FinishUnserved(request, "its turn would come after its deadline", now,
                      actions);
--- a/src/libs/routing/service_router.h
+++ b/src/libs/routing/service_router.h
@@ -22,7 +22,7 @@
 class ServiceRouter {
  public:
   // `share` and `table` outlive this object.
-  ServiceRouter(uint64_t seed, std::string own_domain,
+  ServiceRouter(uint64_t seed, std::string own_failure_domain,
                 const SlotSharingPolicy* share, RequestTable* table);
 
   ExecutorPool& pool() { return pool_; }
@@ -34,8 +34,8 @@
   RoutingActions SetExecutors(const std::vector<ExecutorInfo>& executors,
                               Time now);
   // The live entries sorted by name, and the position of this one.
-  void SetEntries(const std::vector<std::string>& entries, size_t own,
-                  Time now);
+  void SetLiveEntries(const std::vector<std::string>& entries, size_t own,
+                      Time now);
   // The newest demand of another entry for this service.
   void SetPeerDemand(const std::string& entry,
                      std::vector<AccountDemand> demand, Time now);
@@ -82,26 +82,26 @@
                    RoutingActions* actions);
   // Whether the last free slot is kept from an account that would borrow it,
   // for the next request of an account below its guarantee.
-  bool KeepsSlotFrom(const std::string& account) const;
+  bool ReservesLastSlotFrom(const std::string& account) const;
   void Send(RoutedRequest* request, Executor* executor, Time now,
             RoutingActions* actions);
-  void ShedHopeless(Time now, RoutingActions* actions);
+  void ShedLateRequests(Time now, RoutingActions* actions);
 
   const uint64_t seed_;
-  const SlotSharingPolicy* const share_;
+  const SlotSharingPolicy* const slot_sharing_;
   RequestTable* const table_;
   FairQueue queue_;
   ExecutorPool pool_;
-  AdmissionMargin margin_;
+  AdmissionMargin admission_margin_;
   std::vector<std::string> entries_;
-  size_t own_entry_ = 0;
+  size_t own_entry_index_ = 0;
   std::map<std::string, std::vector<AccountDemand>> peer_demand_;
   // Slots that this entry would have soon if its demand grew.
-  double potential_slots_ = 0;
+  double attainable_slots_ = 0;
   Time next_reallocation_;
   Time next_shedding_;
   // Until then the demand changes without events.
-  Time refusals_fade_;
+  Time refusals_decayed_at_;
 };
 
 }  // namespace thornplank
--- a/src/libs/routing/service_time.cc
+++ b/src/libs/routing/service_time.cc
@@ -27,7 +27,7 @@
   return Duration(static_cast<Duration::rep>(mean_));
 }
 
-Duration ServiceTime::high() const {
+Duration ServiceTime::high_estimate() const {
   return Duration(
       static_cast<Duration::rep>(mean_ + kHighDeviations * deviation_));
 }
--- a/src/libs/routing/service_time.h
+++ b/src/libs/routing/service_time.h
@@ -14,7 +14,7 @@
   bool known() const { return samples_ > 0; }
   Duration mean() const;
   // Most requests take less than this.
-  Duration high() const;
+  Duration high_estimate() const;
 
  private:
   // Both in ticks of Duration.
--- a/src/libs/routing/slot_sharing_policy.h
+++ b/src/libs/routing/slot_sharing_policy.h
@@ -32,7 +32,7 @@
   // entries sorted by name.
   std::vector<std::vector<double>> demand;
   // Position of this entry; below demand.size().
-  size_t own_entry = 0;
+  size_t own_entry_index = 0;
 };
 
 class SlotSharingPolicy {
--- a/src/libs/routing/static_share.cc
+++ b/src/libs/routing/static_share.cc
@@ -6,7 +6,7 @@
 std::vector<int> StaticShare::Allocate(const SlotSharingInput& input) const {
   const int total = TotalSlots(input.executors);
   const int entries = static_cast<int>(input.demand.size());
-  const int own = static_cast<int>(input.own_entry);
+  const int own = static_cast<int>(input.own_entry_index);
   return SlotsInRange(input.executors, total * own / entries,
                       total * (own + 1) / entries);
 }
--- a/tests/auto/claims/tst_claim_history.cc
+++ b/tests/auto/claims/tst_claim_history.cc
@@ -28,12 +28,12 @@
 
 enum class Phase { kPending, kWon, kSent, kOver };
 
-struct Run {
+struct Attempt {
   std::string claim_id;
   std::string key;
   Phase phase = Phase::kPending;
   bool sent = false;
-  bool told_not_run = false;
+  bool reported_not_run = false;
 };
 
 // One run of one entry; an old run goes on beside the one that replaced it.
@@ -42,7 +42,7 @@
   ClaimTable table;
   Duration skew;
   size_t next_offset = 0;
-  std::vector<Run> runs;
+  std::vector<Attempt> attempts;
 };
 
 struct StoredRecord {
@@ -62,13 +62,13 @@
   }
 
   const std::map<std::string, int>& sends() const { return sends_; }
-  bool false_not_run() const { return false_not_run_; }
+  bool sent_despite_not_run() const { return sent_despite_not_run_; }
 
  private:
-  int Pick(int count) {
+  int RandomBelow(int count) {
     return std::uniform_int_distribution<int>(0, count - 1)(random_);
   }
-  Entry& PickEntry() { return *entries_[Pick(entries_.size())]; }
+  Entry& PickEntry() { return *entries_[RandomBelow(entries_.size())]; }
 
   void AddEntry(const std::string& name) {
     ClaimTableSettings settings;
@@ -77,43 +77,43 @@
     auto entry = std::make_unique<Entry>(
         Entry{settings.self,
               ClaimTable(settings),
-              seconds(Pick(2 * kMaxSkewSeconds + 1) - kMaxSkewSeconds),
+              seconds(RandomBelow(2 * kMaxSkewSeconds + 1) - kMaxSkewSeconds),
               0,
               {}});
     entries_.push_back(std::move(entry));
   }
 
   void Step() {
-    const int action = Pick(100);
+    const int action = RandomBelow(100);
     if (action < 18) return Begin();
     if (action < 36) return Deliver();
-    if (action < 66) return Fold();
-    if (action < 72) return GiveUp();
+    if (action < 66) return ApplyRecords();
+    if (action < 72) return Abandon();
     if (action < 84) return Send();
     if (action < 92) return End();
     if (action < 96) {
-      log_time_ += seconds(Pick(Pick(3) == 0 ? 300 : 10));
+      log_time_ += seconds(RandomBelow(RandomBelow(3) == 0 ? 300 : 10));
       return;
     }
     if (action < 98) {
-      if (entries_.size() < kMaxEntries) AddEntry(Pick(2) ? "a" : "b");
+      if (entries_.size() < kMaxEntries) AddEntry(RandomBelow(2) ? "a" : "b");
       return;
     }
     // Retention: the log forgets some of its oldest records.
-    first_kept_ += Pick(log_.size() - first_kept_ + 1) / 2;
+    first_retained_ += RandomBelow(log_.size() - first_retained_ + 1) / 2;
   }
 
   // Keys are made now and then, by callers with clocks of their own.
   void MakeKey() {
     const std::string key = "key-" + std::to_string(key_times_.size());
-    key_times_[key] =
-        log_time_ + seconds(Pick(2 * kMaxSkewSeconds + 1) - kMaxSkewSeconds);
+    key_times_[key] = log_time_ + seconds(RandomBelow(2 * kMaxSkewSeconds + 1) -
+                                          kMaxSkewSeconds);
   }
 
   void Begin() {
-    if (key_times_.empty() || Pick(8) == 0) MakeKey();
+    if (key_times_.empty() || RandomBelow(8) == 0) MakeKey();
     auto key = key_times_.begin();
-    std::advance(key, Pick(key_times_.size()));
+    std::advance(key, RandomBelow(key_times_.size()));
     Entry& entry = PickEntry();
     ClaimRequest request;
     request.claim_id = entry.self.entry + entry.self.incarnation + "-" +
@@ -123,24 +123,24 @@
     const ClaimDecision decision =
         entry.table.BeginClaim(request, log_time_ + entry.skew, true);
     if (decision.kind != ClaimDecisionKind::kAppend) return;
-    entry.runs.push_back({request.claim_id, request.key});
-    travelling_.push_back(decision.record);
+    entry.attempts.push_back({request.claim_id, request.key});
+    in_transit_.push_back(decision.record);
   }
 
   void Deliver() {
-    if (travelling_.empty()) return;
-    const int index = Pick(travelling_.size());
-    log_.push_back({travelling_[index], log_time_});
+    if (in_transit_.empty()) return;
+    const int index = RandomBelow(in_transit_.size());
+    log_.push_back({in_transit_[index], log_time_});
     // Otherwise it was sent twice and the other copy is still under way.
-    if (Pick(4) != 0) travelling_.erase(travelling_.begin() + index);
+    if (RandomBelow(4) != 0) in_transit_.erase(in_transit_.begin() + index);
   }
 
-  void Fold() {
+  void ApplyRecords() {
     Entry& entry = PickEntry();
-    for (int count = Pick(6); count >= 0; --count) {
-      if (entry.next_offset < first_kept_) {
+    for (int count = RandomBelow(6); count >= 0; --count) {
+      if (entry.next_offset < first_retained_) {
         entry.table.HandleGap(log_time_ + entry.skew);
-        entry.next_offset = first_kept_;
+        entry.next_offset = first_retained_;
       }
       if (entry.next_offset == log_.size()) {
         entry.table.MarkCaughtUp();
@@ -149,73 +149,74 @@
       const StoredRecord& stored = log_[entry.next_offset++];
       const auto event = entry.table.Apply(stored.record, stored.time);
       if (!event) continue;
-      if (event->release) travelling_.push_back(*event->release);
-      for (auto& run : entry.runs) {
-        if (run.claim_id != event->claim_id) continue;
+      if (event->release) in_transit_.push_back(*event->release);
+      for (auto& attempt : entry.attempts) {
+        if (attempt.claim_id != event->claim_id) continue;
         const bool won = event->kind == ClaimEventKind::kWon;
-        run.phase = won ? Phase::kWon : Phase::kOver;
+        attempt.phase = won ? Phase::kWon : Phase::kOver;
       }
     }
   }
 
   template <typename Predicate>
-  struct Run* PickRun(Entry* entry, Predicate predicate) {
-    std::vector<struct Run*> found;
-    for (auto& run : entry->runs) {
-      if (predicate(run)) found.push_back(&run);
+  struct Attempt* PickAttempt(Entry* entry, Predicate predicate) {
+    std::vector<struct Attempt*> found;
+    for (auto& attempt : entry->attempts) {
+      if (predicate(attempt)) found.push_back(&attempt);
     }
-    return found.empty() ? nullptr : found[Pick(found.size())];
+    return found.empty() ? nullptr : found[RandomBelow(found.size())];
   }
 
   // The deadline passes, or the request is proved not sent.
-  void GiveUp() {
+  void Abandon() {
     Entry& entry = PickEntry();
-    struct Run* run = PickRun(&entry, [](const struct Run& r) {
+    struct Attempt* attempt = PickAttempt(&entry, [](const struct Attempt& r) {
       return r.phase == Phase::kPending || r.phase == Phase::kWon;
     });
-    if (run == nullptr) return;
-    if (const auto release = entry.table.Release(run->claim_id)) {
-      travelling_.push_back(*release);
+    if (attempt == nullptr) return;
+    if (const auto release = entry.table.Release(attempt->claim_id)) {
+      in_transit_.push_back(*release);
     }
-    run->told_not_run = true;
+    attempt->reported_not_run = true;
   }
 
   // Any number of steps may lie between the win and the send: a pause. Runs
   // that were given up try as well, as a paused thread would.
   void Send() {
     Entry& entry = PickEntry();
-    struct Run* run =
-        PickRun(&entry, [](const struct Run& r) { return !r.sent; });
-    if (run == nullptr || !entry.table.MaySend(run->claim_id)) return;
-    run->sent = true;
-    run->phase = Phase::kSent;
-    ++sends_[run->key];
-    if (run->told_not_run) false_not_run_ = true;
+    struct Attempt* attempt =
+        PickAttempt(&entry, [](const struct Attempt& r) { return !r.sent; });
+    if (attempt == nullptr || !entry.table.MaySend(attempt->claim_id)) return;
+    attempt->sent = true;
+    attempt->phase = Phase::kSent;
+    ++sends_[attempt->key];
+    if (attempt->reported_not_run) sent_despite_not_run_ = true;
   }
 
   void End() {
     Entry& entry = PickEntry();
-    struct Run* run = PickRun(
-        &entry, [](const struct Run& r) { return r.phase == Phase::kSent; });
-    if (run == nullptr) return;
-    run->phase = Phase::kOver;
-    if (Pick(3) == 0) {
-      entry.table.FinishUnknown(run->claim_id);
-    } else if (const auto done = entry.table.Finish(run->claim_id, 200)) {
-      travelling_.push_back(*done);
+    struct Attempt* attempt = PickAttempt(&entry, [](const struct Attempt& r) {
+      return r.phase == Phase::kSent;
+    });
+    if (attempt == nullptr) return;
+    attempt->phase = Phase::kOver;
+    if (RandomBelow(3) == 0) {
+      entry.table.FinishUnknown(attempt->claim_id);
+    } else if (const auto done = entry.table.Finish(attempt->claim_id, 200)) {
+      in_transit_.push_back(*done);
     }
   }
 
   std::mt19937 random_;
   std::vector<std::unique_ptr<Entry>> entries_;
   std::vector<StoredRecord> log_;
-  size_t first_kept_ = 0;
+  size_t first_retained_ = 0;
   WallTime log_time_ = kStart;
   // Appends whose fate is open.
-  std::vector<ClaimRecord> travelling_;
+  std::vector<ClaimRecord> in_transit_;
   std::map<std::string, WallTime> key_times_;
   std::map<std::string, int> sends_;
-  bool false_not_run_ = false;
+  bool sent_despite_not_run_ = false;
   int incarnations_ = 0;
   int claims_ = 0;
 };
@@ -232,7 +233,7 @@
       REQUIRE(sent.second == 1);
       ++sent_keys;
     }
-    REQUIRE_FALSE(history.false_not_run());
+    REQUIRE_FALSE(history.sent_despite_not_run());
   }
   MESSAGE("histories " << kHistories << ", keys sent " << sent_keys);
   // The property is not kept by sending nothing.
--- a/tests/auto/claims/tst_claim_table.cc
+++ b/tests/auto/claims/tst_claim_table.cc
@@ -48,13 +48,13 @@
   return record;
 }
 
-ClaimRecord As(ClaimRecordKind kind, ClaimRecord record) {
+ClaimRecord WithKind(ClaimRecordKind kind, ClaimRecord record) {
   record.kind = kind;
   return record;
 }
 
-ClaimDecision BeginAt(ClaimTable* table, const std::string& claim_id,
-                      WallTime now = kStart) {
+ClaimDecision BeginClaimAt(ClaimTable* table, const std::string& claim_id,
+                           WallTime now = kStart) {
   return table->BeginClaim(RequestOf(claim_id), now, true);
 }
 
@@ -72,9 +72,9 @@
   const ClaimRecord before_restart = ClaimOf("e-1", kEastRestarted);
   const auto kReleased = ClaimRecordKind::kReleased;
   const auto kDone = ClaimRecordKind::kDone;
-  ClaimRecord forged = As(kReleased, west);
-  forged.holder = kEast;
-  ClaimRecord other_run = As(kReleased, west);
+  ClaimRecord foreign_release = WithKind(kReleased, west);
+  foreign_release.holder = kEast;
+  ClaimRecord other_run = WithKind(kReleased, west);
   other_run.holder.incarnation = "w2";
   const ClaimRecord second = ClaimOf("w-2", kWest);
 
@@ -85,7 +85,7 @@
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"live holder, done",
-       {west, As(kDone, west)},
+       {west, WithKind(kDone, west)},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"holder gone",
@@ -93,7 +93,7 @@
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kHolderGone},
       {"holder gone, done",
-       {gone, As(kDone, gone)},
+       {gone, WithKind(kDone, gone)},
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kAnswerNotHeld},
       {"holder restarted",
@@ -101,15 +101,15 @@
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kHolderGone},
       {"released",
-       {west, As(kReleased, west)},
+       {west, WithKind(kReleased, west)},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
       {"released twice",
-       {west, As(kReleased, west), As(kReleased, west)},
+       {west, WithKind(kReleased, west), WithKind(kReleased, west)},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
       {"released by another entry",
-       {west, forged},
+       {west, foreign_release},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"released by a later run of the holder",
@@ -117,31 +117,31 @@
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"released before the claim turned up",
-       {As(kReleased, west), west},
+       {WithKind(kReleased, west), west},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
       {"released claim turns up again",
-       {west, As(kReleased, west), west},
+       {west, WithKind(kReleased, west), west},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
       {"release of a claim that lost",
-       {gone, west, As(kReleased, west)},
+       {gone, west, WithKind(kReleased, west)},
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kHolderGone},
       {"lost claim turns up again after the winner's release",
-       {gone, west, As(kReleased, gone), west},
+       {gone, west, WithKind(kReleased, gone), west},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
       {"claimed anew after a release",
-       {gone, As(kReleased, gone), second},
+       {gone, WithKind(kReleased, gone), second},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"late release of the first claim",
-       {gone, As(kReleased, gone), second, As(kReleased, gone)},
+       {gone, WithKind(kReleased, gone), second, WithKind(kReleased, gone)},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"done of another claim",
-       {gone, As(kDone, second)},
+       {gone, WithKind(kDone, second)},
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kHolderGone},
   };
@@ -149,7 +149,7 @@
     CAPTURE(c.name);
     ClaimTable table = MakeTable(kEast);
     for (const ClaimRecord& record : c.records) table.Apply(record, kStart);
-    const ClaimDecision decision = BeginAt(&table, "e-9");
+    const ClaimDecision decision = BeginClaimAt(&table, "e-9");
     CHECK(decision.kind == c.kind);
     CHECK(decision.refusal == c.refusal);
   }
@@ -159,7 +159,7 @@
   const char* name;
   Duration key_age;
   // Oldest record known, before the present; nullopt: the whole stream.
-  std::optional<Duration> remembered;
+  std::optional<Duration> known_history;
   bool caught_up;
   bool log_available;
   ClaimRefusal refusal;
@@ -193,11 +193,11 @@
     settings.self = kEast;
     ClaimTable table(settings);
     if (c.caught_up) table.MarkCaughtUp();
-    if (c.remembered) {
+    if (c.known_history) {
       table.HandleGap(kStart);
-      ClaimRecord other = ClaimOf("w-1", kWest, kStart - *c.remembered);
+      ClaimRecord other = ClaimOf("w-1", kWest, kStart - *c.known_history);
       other.key = "other";
-      table.Apply(other, kStart - *c.remembered);
+      table.Apply(other, kStart - *c.known_history);
     }
     const ClaimDecision decision = table.BeginClaim(
         RequestOf("e-1", kStart - c.key_age), kStart, c.log_available);
@@ -208,8 +208,8 @@
 TEST_CASE("two entries claim the same key: the first in the log wins") {
   ClaimTable east = MakeTable(kEast);
   ClaimTable west = MakeTable(kWest);
-  const ClaimRecord first = BeginAt(&west, "w-1").record;
-  const ClaimRecord second = BeginAt(&east, "e-1").record;
+  const ClaimRecord first = BeginClaimAt(&west, "w-1").record;
+  const ClaimRecord second = BeginClaimAt(&east, "e-1").record;
   CHECK_FALSE(west.MaySend("w-1"));
 
   CHECK(west.Apply(first, kStart)->kind == ClaimEventKind::kWon);
@@ -219,12 +219,12 @@
 
   CHECK(west.MaySend("w-1"));
   CHECK_FALSE(east.MaySend("e-1"));
-  CHECK(BeginAt(&east, "e-2").kind == ClaimDecisionKind::kAskHolder);
+  CHECK(BeginClaimAt(&east, "e-2").kind == ClaimDecisionKind::kAskHolder);
 }
 
 TEST_CASE("a claim whose reply was lost is decided by reading it back") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   CHECK_FALSE(table.MaySend("e-1"));
   CHECK(table.Apply(claim, kStart)->kind == ClaimEventKind::kWon);
   // The writer sent it again.
@@ -234,19 +234,19 @@
 
 TEST_CASE("a claim given up before it was seen is never sent") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   const auto release = table.Release("e-1");
   REQUIRE(release);
   CHECK_FALSE(table.Apply(claim, kStart));
   CHECK_FALSE(table.MaySend("e-1"));
-  CHECK(BeginAt(&table, "e-2").refusal == ClaimRefusal::kBeingReleased);
+  CHECK(BeginClaimAt(&table, "e-2").refusal == ClaimRefusal::kBeingReleased);
   table.Apply(*release, kStart);
-  CHECK(BeginAt(&table, "e-3").kind == ClaimDecisionKind::kAppend);
+  CHECK(BeginClaimAt(&table, "e-3").kind == ClaimDecisionKind::kAppend);
 }
 
 TEST_CASE("a paused holder may not send what it has released") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   table.Apply(claim, kStart);
   REQUIRE(table.MaySend("e-1"));
   const auto release = table.Release("e-1");
@@ -259,15 +259,15 @@
   ClaimTable west = MakeTable(kWest);
   west.Apply(ClaimOf("e-1", kEast), kStart);
   west.SetReachableEntries({kWest});
-  CHECK(BeginAt(&west, "w-1", kStart + minutes(14)).refusal ==
+  CHECK(BeginClaimAt(&west, "w-1", kStart + minutes(14)).refusal ==
         ClaimRefusal::kHolderGone);
 }
 
 TEST_CASE("repeats at the holder") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   SUBCASE("still pending") {
-    CHECK(BeginAt(&table, "e-2").claim_id == "e-1");
+    CHECK(BeginClaimAt(&table, "e-2").claim_id == "e-1");
     const ClaimRequest other =
         RequestOf("e-3", kStart, DigestOf("another body"));
     CHECK(table.BeginClaim(other, kStart, true).refusal ==
@@ -275,21 +275,23 @@
   }
   SUBCASE("never appended") {
     table.ForgetUnappended("e-1");
-    CHECK(BeginAt(&table, "e-2").kind == ClaimDecisionKind::kAppend);
+    CHECK(BeginClaimAt(&table, "e-2").kind == ClaimDecisionKind::kAppend);
   }
   SUBCASE("won") {
     table.Apply(claim, kStart);
     SUBCASE("running") {
-      CHECK(BeginAt(&table, "e-2").kind == ClaimDecisionKind::kJoin);
+      CHECK(BeginClaimAt(&table, "e-2").kind == ClaimDecisionKind::kJoin);
     }
     SUBCASE("answered") {
       CHECK(table.Finish("e-1", 200)->kind == ClaimRecordKind::kDone);
-      CHECK(BeginAt(&table, "e-2").kind == ClaimDecisionKind::kAnsweredHere);
+      CHECK(BeginClaimAt(&table, "e-2").kind ==
+            ClaimDecisionKind::kAnsweredHere);
       CHECK_FALSE(table.MaySend("e-1"));
     }
     SUBCASE("unknown") {
       table.FinishUnknown("e-1");
-      CHECK(BeginAt(&table, "e-2").refusal == ClaimRefusal::kOutcomeUnknown);
+      CHECK(BeginClaimAt(&table, "e-2").refusal ==
+            ClaimRefusal::kOutcomeUnknown);
       CHECK_FALSE(table.Release("e-1"));
     }
     SUBCASE("another body") {
@@ -319,7 +321,7 @@
   ClaimTable table = MakeTable(kWest);
   const ClaimRecord first = ClaimOf("e-1", kEast);
   table.Apply(first, kStart);
-  table.Apply(As(ClaimRecordKind::kReleased, first), kStart);
+  table.Apply(WithKind(ClaimRecordKind::kReleased, first), kStart);
   table.Apply(ClaimOf("e-2", kEast), kStart + minutes(10));
   ClaimRecord other = ClaimOf("e-3", kEast, kStart + minutes(16));
   other.key = "other";
@@ -329,7 +331,7 @@
 
 TEST_CASE("a stuck claim is lost by the log's clock") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   const auto event = table.Apply(claim, kStart + minutes(16));
   REQUIRE(event);
   CHECK(event->kind == ClaimEventKind::kLost);
@@ -338,7 +340,7 @@
 
 TEST_CASE("a gap that may hide an earlier claim takes the win away") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   table.HandleGap(kStart);
   const auto event = table.Apply(claim, kStart);
   REQUIRE(event);
@@ -369,7 +371,7 @@
 TEST_CASE("records survive their JSON form") {
   for (const auto kind : {ClaimRecordKind::kClaim, ClaimRecordKind::kReleased,
                           ClaimRecordKind::kDone}) {
-    ClaimRecord record = As(kind, ClaimOf("e-1", kEast));
+    ClaimRecord record = WithKind(kind, ClaimOf("e-1", kEast));
     record.status = 201;
     Error error;
     const auto read = ParseClaimRecord(ToJson(record), &error);
--- a/tests/auto/routing/routing_fixtures.h
+++ b/tests/auto/routing/routing_fixtures.h
@@ -70,7 +70,7 @@
 
 // The actions of type T, in order.
 template <typename T>
-std::vector<T> Only(const RoutingActions& actions) {
+std::vector<T> ActionsOfType(const RoutingActions& actions) {
   std::vector<T> result;
   for (const RoutingAction& action : actions) {
     const T* found = std::get_if<T>(&action);
--- a/tests/auto/routing/tst_admission.cc
+++ b/tests/auto/routing/tst_admission.cc
@@ -12,12 +12,12 @@
 namespace thornplank {
 namespace {
 
+using routing_test::ActionsOfType;
 using routing_test::At;
 using routing_test::MakeAccount;
 using routing_test::MakeExecutors;
 using routing_test::MakeRequest;
 using routing_test::MakeResult;
-using routing_test::Only;
 
 // Executors of one slot that take 100 ms, all of them busy from At(100) on.
 struct Busy {
@@ -37,7 +37,7 @@
 
   std::vector<SendAttempt> Submit(const std::string& id, int deadline,
                                   int now) {
-    return Only<SendAttempt>(
+    return ActionsOfType<SendAttempt>(
         router.Submit(MakeRequest(id, "a", At(deadline)), At(now)));
   }
 
@@ -52,8 +52,8 @@
   const RoutingActions actions = busy.router.CompleteAttempt(
       busy.running.request_id, busy.running.executor,
       MakeResult(AttemptOutcome::kAnswered, 100), At(930));
-  CHECK(Only<FinishNotRun>(actions).at(0).request_id == "short");
-  CHECK(Only<SendAttempt>(actions).at(0).request_id == "long");
+  CHECK(ActionsOfType<FinishNotRun>(actions).at(0).request_id == "short");
+  CHECK(ActionsOfType<SendAttempt>(actions).at(0).request_id == "long");
 }
 
 TEST_CASE("requests that became hopeless are refused before their deadline") {
@@ -63,7 +63,8 @@
   }
   CHECK(busy.router.demand().accounts.at(0).queued == 100);
   busy.router.SetExecutors(MakeExecutors(1, 1), At(110));
-  const size_t refused = Only<FinishNotRun>(busy.router.Tick(At(300))).size();
+  const size_t refused =
+      ActionsOfType<FinishNotRun>(busy.router.Tick(At(300))).size();
   CHECK(refused > 60);
   CHECK(refused < 95);
 }
--- a/tests/auto/routing/tst_executor_health.cc
+++ b/tests/auto/routing/tst_executor_health.cc
@@ -28,7 +28,7 @@
     std::string name;
     const char* outcomes;
     double peers_failing;
-    bool may_take_out;
+    bool may_eject;
     bool out;
   };
   const Row rows[] = {
@@ -48,8 +48,8 @@
     CAPTURE(row.name);
     ExecutorHealth health;
     PeerHealth peers = GoodPeers();
-    peers.failure_share = row.peers_failing;
-    peers.may_take_out = row.may_take_out;
+    peers.failure_rate = row.peers_failing;
+    peers.may_eject = row.may_eject;
     bool out = false;
     for (char letter : std::string(row.outcomes)) {
       AttemptResult result = MakeResult(AttemptOutcome::kUnknown, 100);
@@ -86,7 +86,7 @@
     int oldest_age_ms;
     bool answered_since;
     bool peers_answer;
-    bool may_take_out;
+    bool may_eject;
     bool out;
   };
   const Row rows[] = {
@@ -102,7 +102,7 @@
     const Time now = At(5000);
     const Time oldest = now - milliseconds(row.oldest_age_ms);
     PeerHealth peers = GoodPeers();
-    peers.may_take_out_for_latency = row.may_take_out;
+    peers.may_eject_for_latency = row.may_eject;
     peers.last_answer = row.peers_answer ? now : At(0);
     ExecutorHealth health;
     const Time answered = row.answered_since ? now : At(1);
@@ -110,33 +110,34 @@
       health.Record(MakeResult(AttemptOutcome::kAnswered, row.latency_ms),
                     false, peers, answered);
     }
-    CHECK(health.Inspect(oldest, peers, now).has_value() == row.out);
+    CHECK(health.CheckResponsiveness(oldest, peers, now).has_value() ==
+          row.out);
   }
 }
 
 TEST_CASE("it comes back by one probe and a slow start") {
   ExecutorHealth health;
-  health.TakeOut(false, At(0));
-  CHECK(health.Limit(8) == 0);
+  health.Eject(false, At(0));
+  CHECK(health.SlotLimit(8) == 0);
   const Duration first_stay = health.probe_time() - At(0);
   health.BeginProbe(At(2000));
-  CHECK(health.Limit(8) == 0);
+  CHECK(health.SlotLimit(8) == 0);
   SUBCASE("a lost probe lengthens the stay") {
     CHECK_FALSE(health.EndProbe(false, At(2000)));
-    CHECK(health.Limit(8) == 0);
+    CHECK(health.SlotLimit(8) == 0);
     CHECK(health.probe_time() - At(2000) == 2 * first_stay);
   }
   SUBCASE("answers raise the limit") {
     CHECK(health.EndProbe(true, At(2000)));
     for (int expected : {1, 2, 4, 8}) {
-      CHECK(health.Limit(8) == expected);
+      CHECK(health.SlotLimit(8) == expected);
       health.Record(MakeResult(AttemptOutcome::kAnswered), false, GoodPeers(),
                     At(2000));
     }
     CHECK(health.state() == ExecutorHealth::State::kSlowStart);
     health.Record(MakeResult(AttemptOutcome::kAnswered), false, GoodPeers(),
                   At(2000));
-    CHECK(health.state() == ExecutorHealth::State::kIn);
+    CHECK(health.state() == ExecutorHealth::State::kActive);
   }
   SUBCASE("one failure in slow start takes it out again, for longer") {
     CHECK(health.EndProbe(true, At(2000)));
@@ -144,7 +145,7 @@
               .Record(MakeResult(AttemptOutcome::kFailed), false, GoodPeers(),
                       At(2000))
               .has_value());
-    health.TakeOut(false, At(2000));
+    health.Eject(false, At(2000));
     CHECK(health.probe_time() - At(2000) == 2 * first_stay);
   }
 }
--- a/tests/auto/routing/tst_executor_pool.cc
+++ b/tests/auto/routing/tst_executor_pool.cc
@@ -26,16 +26,16 @@
 
   void Load(const std::string& name, int count) {
     for (int i = 0; i < count; ++i) {
-      pool.Begin(pool.Find(name), At(0));
+      pool.BeginAttempt(pool.Find(name), At(0));
     }
   }
 
   void Refuse(const std::string& name) {
-    pool.Begin(pool.Find(name), At(0));
+    pool.BeginAttempt(pool.Find(name), At(0));
     AttemptEnd end;
     end.start = At(0);
     end.result = MakeResult(AttemptOutcome::kRefusedNotRun);
-    pool.End(pool.Find(name), end, At(0));
+    pool.EndAttempt(pool.Find(name), end, At(0));
   }
 
   ExecutorPool pool;
@@ -52,8 +52,8 @@
   const Row rows[] = {
       {"all idle", {0, 0, 0, 0}, "", "executor-101"},
       {"equal load", {3, 3, 3, 3}, "", "executor-101"},
-      {"the near one is loaded", {1, 1, 1, 0}, "", "executor-103"},
-      {"the near one was tried", {2, 0, 1, 2}, "executor-101", "executor-102"},
+      {"the local one is loaded", {1, 1, 1, 0}, "", "executor-103"},
+      {"the local one was tried", {2, 0, 1, 2}, "executor-101", "executor-102"},
       {"all are full", {8, 8, 8, 8}, "", ""},
       {"only the excluded one has room", {8, 0, 8, 8}, "executor-101", ""},
   };
--- a/tests/auto/routing/tst_fair_queue.cc
+++ b/tests/auto/routing/tst_fair_queue.cc
@@ -27,12 +27,12 @@
 std::map<std::string, int> BeginMany(FairQueue* queue, int count) {
   std::map<std::string, int> begun;
   for (int i = 0; i < count; ++i) {
-    const std::optional<std::string> account = queue->Next({});
+    const std::optional<std::string> account = queue->NextAccount({});
     if (!account.has_value()) {
       break;
     }
     queue->Take(*account, Any);
-    queue->Begin(*account);
+    queue->BeginAttempt(*account);
     ++begun[*account];
   }
   return begun;
@@ -115,12 +115,12 @@
   Fill(&queue, "short", 2000);
   std::map<std::string, int> begun;
   for (int i = 0; i < 1000; ++i) {
-    const std::string account = *queue.Next({});
+    const std::string account = *queue.NextAccount({});
     queue.Take(account, Any);
-    const double charged = queue.Begin(account);
+    const double charged_seconds = queue.BeginAttempt(account);
     const Duration latency = milliseconds(account == "long" ? 40 : 10);
     queue.RecordAnswer(account, latency);
-    queue.End(account, charged, latency);
+    queue.EndAttempt(account, charged_seconds, latency);
     ++begun[account];
   }
   CHECK(begun["short"] >= 3.5 * begun["long"]);
@@ -143,8 +143,8 @@
   queue.Push("a", {2, At(100)});
   queue.Push("a", {3, At(200)});
   queue.Push("a", {4, At(100)});
-  CHECK(queue.Rank("a", At(100)) == 2);
-  CHECK(queue.Rank("a", At(250)) == 3);
+  CHECK(queue.RequestsAhead("a", At(100)) == 2);
+  CHECK(queue.RequestsAhead("a", At(250)) == 3);
   CHECK(queue.Remove("a", {3, At(200)}));
   CHECK_FALSE(queue.Remove("a", {3, At(200)}));
   for (uint64_t expected : {2, 4, 1}) {
@@ -168,8 +168,8 @@
     queue.SetLimits({MakeAccount("a", 40)});
     Fill(&queue, "a", row.waiting);
     for (int i = 0; i < row.refused; ++i) queue.RecordRefusal("a", At(0));
-    queue.SetDemandElsewhere("a", row.elsewhere, At(0));
-    CHECK(queue.Find("a")->guaranteed_here == row.expected);
+    queue.SetRemoteDemand("a", row.elsewhere, At(0));
+    CHECK(queue.Find("a")->local_guarantee == row.expected);
   }
 }
 
--- a/tests/auto/routing/tst_request_router.cc
+++ b/tests/auto/routing/tst_request_router.cc
@@ -12,12 +12,12 @@
 namespace thornplank {
 namespace {
 
+using routing_test::ActionsOfType;
 using routing_test::At;
 using routing_test::MakeAccount;
 using routing_test::MakeExecutors;
 using routing_test::MakeRequest;
 using routing_test::MakeResult;
-using routing_test::Only;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -43,7 +43,7 @@
 TEST_CASE(
     "a request is sent to the own failure domain and its answer ends it") {
   Fixture fixture(8);
-  const auto sends = Only<SendAttempt>(
+  const auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(1000)), At(0)));
   REQUIRE(sends.size() == 1);
   CHECK(sends[0].attempt == 1);
@@ -58,7 +58,7 @@
 
 TEST_CASE("an outcome that fits no attempt in flight is ignored") {
   Fixture fixture(2);
-  const auto sends = Only<SendAttempt>(
+  const auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(1000)), At(0)));
   const std::string other =
       sends[0].executor == "executor-100" ? "executor-101" : "executor-100";
@@ -79,7 +79,7 @@
                            return limits;
                          }()});
   // One answer of 100 ms teaches the service time.
-  auto sends = Only<SendAttempt>(
+  auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("first", "a", At(9000)), At(0)));
   fixture.router.CompleteAttempt("first", sends[0].executor,
                                  MakeResult(AttemptOutcome::kAnswered, 100),
@@ -116,7 +116,7 @@
     AccountLimits limits = MakeAccount("a");
     limits.max_queued = queued;
     Fixture fixture(1, 1, {limits});
-    auto sends = Only<SendAttempt>(
+    auto sends = ActionsOfType<SendAttempt>(
         fixture.router.Submit(MakeRequest("first", "a", At(600000)), At(0)));
     fixture.router.CompleteAttempt("first", sends[0].executor,
                                    MakeResult(AttemptOutcome::kAnswered, 100),
@@ -142,11 +142,11 @@
 
 TEST_CASE("a request in flight at its deadline ends as unknown, once") {
   Fixture fixture(2);
-  const auto sends = Only<SendAttempt>(
+  const auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(100), false), At(0)));
   CHECK(fixture.router.NextTickTime() <= At(100));
   const RoutingActions ended = fixture.router.Tick(At(100));
-  CHECK(Only<FinishUnknown>(ended).size() == 1);
+  CHECK(ActionsOfType<FinishUnknown>(ended).size() == 1);
   const RoutingActions late = fixture.router.CompleteAttempt(
       "r", sends[0].executor, MakeResult(AttemptOutcome::kAnswered, 105),
       At(105));
@@ -159,12 +159,14 @@
   fixture.router.Submit(MakeRequest("running", "a", At(9000)), At(0));
   SUBCASE("when its caller is gone") {
     fixture.router.Submit(MakeRequest("r", "a", At(9000)), At(0));
-    CHECK(Only<FinishNotRun>(fixture.router.Cancel("r", At(1))).size() == 1);
+    CHECK(
+        ActionsOfType<FinishNotRun>(fixture.router.Cancel("r", At(1))).size() ==
+        1);
     CHECK(fixture.router.Cancel("r", At(2)).empty());
   }
   SUBCASE("when its deadline comes") {
     fixture.router.Submit(MakeRequest("r", "a", At(50)), At(0));
-    CHECK(Only<FinishNotRun>(fixture.router.Tick(At(50))).size() == 1);
+    CHECK(ActionsOfType<FinishNotRun>(fixture.router.Tick(At(50))).size() == 1);
   }
   CHECK(fixture.router.demand().accounts[0].queued == 0);
 }
@@ -175,7 +177,7 @@
   router.SetExecutors(MakeExecutors(2, 8), At(0));
   router.SetLiveEntries("entry-1", {}, At(0));
   const auto sent = [&router](const std::string& id, const char* account) {
-    return Only<SendAttempt>(
+    return ActionsOfType<SendAttempt>(
                router.Submit(MakeRequest(id, account, At(9000)), At(1)))
         .size();
   };
@@ -239,10 +241,10 @@
 
 TEST_CASE("a retry goes to another executor even when that is farther") {
   Fixture fixture(2);
-  const auto first = Only<SendAttempt>(
+  const auto first = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(5000)), At(0)));
   CHECK(first.at(0).executor == "executor-101");
-  const auto second = Only<SendAttempt>(fixture.router.CompleteAttempt(
+  const auto second = ActionsOfType<SendAttempt>(fixture.router.CompleteAttempt(
       "r", "executor-101", MakeResult(AttemptOutcome::kFailed), At(10)));
   CHECK(second.at(0).executor == "executor-100");
   CHECK(second.at(0).attempt == 2);
--- a/tests/auto/routing/tst_retry_policy.cc
+++ b/tests/auto/routing/tst_retry_policy.cc
@@ -22,16 +22,16 @@
   history.idempotent = idempotent;
   history.tries = tries;
   history.may_have_run = may_have_run;
-  history.budget = budget;
+  history.has_budget = budget;
   return history;
 }
 
 TEST_CASE("the next step after an attempt") {
   using Outcome = AttemptOutcome;
   AttemptHistory unwanted = History(true, 1, false);
-  unwanted.wanted = false;
+  unwanted.still_wanted = false;
   AttemptHistory alone = History(true, 1, false);
-  alone.alternative = false;
+  alone.has_alternative = false;
   AttemptHistory refused_often = History(true, 0, false);
   refused_often.refusals = 8;
   const Row rows[] = {
@@ -74,7 +74,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    CHECK(Decide(row.outcome, row.history) == row.expected);
+    CHECK(DecideNextStep(row.outcome, row.history) == row.expected);
   }
 }
 
@@ -90,9 +90,9 @@
     RetryBudget budget(row.percent);
     int retries = 0;
     for (int i = 0; i < row.requests; ++i) {
-      budget.AddFresh();
+      budget.RecordFreshRequest();
       while (budget.available()) {
-        budget.Take();
+        budget.ConsumeToken();
         ++retries;
       }
     }
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -71,7 +71,7 @@
 
   std::map<std::string, Request> requests;
   std::map<std::string, int> load;
-  std::set<std::string> said_leaving;
+  std::set<std::string> announced_leaving;
   std::set<std::string> listed_leaving;
   std::set<std::string> out;
   std::vector<std::string> probes;
@@ -82,11 +82,11 @@
   Driver()
       : router_(RouterOptions{},
                 std::make_unique<RecordingShare>(&allocation_)) {
-    Carry(router_.SetAccountLimits({MakeAccount("a", 4), MakeAccount("b")},
-                                   now_));
+    Execute(router_.SetAccountLimits({MakeAccount("a", 4), MakeAccount("b")},
+                                     now_));
     executors_ = MakeExecutors(kExecutors, kSlots);
-    Carry(router_.SetExecutors(executors_, now_));
-    Carry(router_.SetLiveEntries("entry-1", {"entry-1", "entry-2"}, now_));
+    Execute(router_.SetExecutors(executors_, now_));
+    Execute(router_.SetLiveEntries("entry-1", {"entry-1", "entry-2"}, now_));
   }
 
   void Step(int kind, int argument) {
@@ -99,7 +99,7 @@
       CancelOne(argument);
     } else if (kind < 88) {
       now_ += milliseconds(argument % 400);
-      Carry(router_.Tick(now_));
+      Execute(router_.Tick(now_));
       // A wake that is due at once would make the carrier spin.
       RC_ASSERT(router_.NextTickTime().value_or(Time::max()) > now_);
     } else if (kind < 91) {
@@ -108,7 +108,7 @@
       PeerDemand demand;
       demand.entry = "entry-2";
       demand.accounts = {{"claims", "a", argument % 50, 0}};
-      Carry(router_.SetPeerDemand(demand, now_));
+      Execute(router_.SetPeerDemand(demand, now_));
     } else {
       AnswerProbe(argument);
     }
@@ -119,7 +119,7 @@
     for (int round = 0; round < 2000 && CompleteOne(0); ++round) {
     }
     now_ += milliseconds(10000);
-    Carry(router_.Tick(now_));
+    Execute(router_.Tick(now_));
     for (const auto& [id, request] : model_.requests) {
       RC_ASSERT(request.finals == 1);
     }
@@ -142,7 +142,7 @@
       RC_ASSERT(actions.size() == 1u);
       RC_ASSERT(std::holds_alternative<FinishNotRun>(actions[0]));
     }
-    Carry(actions);
+    Execute(actions);
   }
 
   bool CompleteOne(int argument) {
@@ -172,9 +172,9 @@
       request.may_have_run = true;
     }
     if (leaving) {
-      model_.said_leaving.insert(executor);
+      model_.announced_leaving.insert(executor);
     }
-    Carry(router_.CompleteAttempt(
+    Execute(router_.CompleteAttempt(
         id, executor, MakeResult(outcome, argument % 50, leaving), now_));
     return true;
   }
@@ -184,7 +184,7 @@
       return;
     }
     const size_t index = static_cast<size_t>(argument) % model_.requests.size();
-    Carry(router_.Cancel("r" + std::to_string(index), now_));
+    Execute(router_.Cancel("r" + std::to_string(index), now_));
   }
 
   void ToggleLeaving(int argument) {
@@ -196,7 +196,7 @@
     } else {
       model_.listed_leaving.erase(info.name);
     }
-    Carry(router_.SetExecutors(executors_, now_));
+    Execute(router_.SetExecutors(executors_, now_));
   }
 
   void AnswerProbe(int argument) {
@@ -207,9 +207,9 @@
     model_.probes.pop_back();
     const bool leaving = argument % 3 == 0;
     if (leaving) {
-      model_.said_leaving.insert(executor);
+      model_.announced_leaving.insert(executor);
     }
-    Carry(router_.HandleProbeResult(
+    Execute(router_.HandleProbeResult(
         executor,
         MakeResult(argument % 2 == 0 ? AttemptOutcome::kAnswered
                                      : AttemptOutcome::kUnknown,
@@ -217,13 +217,13 @@
         now_));
   }
 
-  void Carry(const RoutingActions& actions) {
+  void Execute(const RoutingActions& actions) {
     for (const RoutingAction& action : actions) {
       if (const auto* taken_out = std::get_if<ExecutorEjected>(&action)) {
         model_.out.insert(taken_out->executor);
       } else if (const auto* back = std::get_if<ExecutorReinstated>(&action)) {
         // Back from its own sign of leaving, or else from being out.
-        if (model_.said_leaving.erase(back->executor) == 0) {
+        if (model_.announced_leaving.erase(back->executor) == 0) {
           model_.out.erase(back->executor);
         }
       } else if (const auto* probe = std::get_if<ProbeExecutor>(&action)) {
@@ -255,7 +255,7 @@
     RC_ASSERT(send.attempt == ++request.attempts);
     RC_ASSERT(request.attempts <= kMaxAttempts);
     RC_ASSERT(send.attempt_deadline <= request.deadline);
-    RC_ASSERT(model_.said_leaving.count(send.executor) == 0u);
+    RC_ASSERT(model_.announced_leaving.count(send.executor) == 0u);
     RC_ASSERT(model_.listed_leaving.count(send.executor) == 0u);
     RC_ASSERT(model_.out.count(send.executor) == 0u);
     RC_ASSERT(model_.load[send.executor] < allocation_[send.executor]);
--- a/tests/auto/routing/tst_slot_sharing_policy.cc
+++ b/tests/auto/routing/tst_slot_sharing_policy.cc
@@ -40,7 +40,7 @@
 
 std::vector<int> AllocateFor(const SlotSharingPolicy& share,
                              SlotSharingInput input, size_t entry) {
-  input.own_entry = entry;
+  input.own_entry_index = entry;
   return share.Allocate(input);
 }
 
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -25,7 +25,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-const std::string kBad = "executor-100";
+const std::string kFaultyExecutor = "executor-100";
 constexpr int kLatencyMs = 10;
 
 // What an executor does with a request.
@@ -36,11 +36,12 @@
 };
 
 // Runs requests through a router for some virtual time.
-class Run {
+class Simulation {
  public:
   using Behaviour = std::function<Reaction(const SendAttempt&)>;
 
-  Run(int executors, std::vector<AccountLimits> accounts, Behaviour behaviour)
+  Simulation(int executors, std::vector<AccountLimits> accounts,
+             Behaviour behaviour)
       : router_(RouterOptions{}), behaviour_(std::move(behaviour)) {
     router_.SetAccountLimits(accounts, now_);
     router_.SetExecutors(MakeExecutors(executors), now_);
@@ -48,7 +49,7 @@
   }
 
   // Each millisecond `per_ms` requests of the account arrive.
-  void Arrivals(const std::string& account, int per_ms) {
+  void SetArrivalRate(const std::string& account, int per_ms) {
     arrivals_[account] = per_ms;
   }
 
@@ -58,17 +59,17 @@
       while (!ends_.empty() && ends_.begin()->first <= now_) {
         const auto [attempt, reaction] = ends_.begin()->second;
         ends_.erase(ends_.begin());
-        Carry(router_.CompleteAttempt(
+        Execute(router_.CompleteAttempt(
             attempt.request_id, attempt.executor,
             MakeResult(reaction.outcome, reaction.latency_ms, reaction.leaving),
             now_));
       }
-      Carry(router_.Tick(now_));
+      Execute(router_.Tick(now_));
       for (const auto& [account, per_ms] : arrivals_) {
         for (int k = 0; k < per_ms; ++k) {
-          Carry(router_.Submit(MakeRequest("r" + std::to_string(++number_),
-                                           account, now_ + seconds(1)),
-                               now_));
+          Execute(router_.Submit(MakeRequest("r" + std::to_string(++number_),
+                                             account, now_ + seconds(1)),
+                                 now_));
         }
       }
     }
@@ -82,7 +83,7 @@
   int back() const { return back_; }
   int answered() const { return answered_; }
 
-  void Carry(const RoutingActions& actions) {
+  void Execute(const RoutingActions& actions) {
     for (const RoutingAction& action : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
         ++sent_[send->executor];
@@ -103,7 +104,7 @@
     while (!probes_.empty()) {
       const std::string executor = probes_.front();
       probes_.pop_front();
-      Carry(router_.HandleProbeResult(
+      Execute(router_.HandleProbeResult(
           executor, MakeResult(AttemptOutcome::kAnswered), now_));
     }
   }
@@ -136,34 +137,35 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    Run run(10, {MakeAccount("a")}, [&](const SendAttempt& send) {
-      return send.executor == kBad ? row.reaction : Reaction{};
+    Simulation simulation(10, {MakeAccount("a")}, [&](const SendAttempt& send) {
+      return send.executor == kFaultyExecutor ? row.reaction : Reaction{};
     });
-    run.Arrivals("a", 2);
-    run.Advance(4000);
-    MESSAGE(row.name, ": ", run.sent_to(kBad), " of 8000 requests");
-    CHECK(run.taken_out(kBad) >= 1);
-    CHECK(run.sent_to(kBad) < 150);
-    CHECK(run.sent_to("executor-105") > 500);
-    CHECK(run.executors_taken_out() == 1);
+    simulation.SetArrivalRate("a", 2);
+    simulation.Advance(4000);
+    MESSAGE(row.name, ": ", simulation.sent_to(kFaultyExecutor),
+            " of 8000 requests");
+    CHECK(simulation.taken_out(kFaultyExecutor) >= 1);
+    CHECK(simulation.sent_to(kFaultyExecutor) < 150);
+    CHECK(simulation.sent_to("executor-105") > 500);
+    CHECK(simulation.executors_taken_out() == 1);
   }
 }
 
 TEST_CASE("an upstream that is mended comes back") {
-  bool mended = false;
-  Run run(10, {MakeAccount("a")}, [&](const SendAttempt& send) {
-    return send.executor == kBad && !mended
+  bool repaired = false;
+  Simulation simulation(10, {MakeAccount("a")}, [&](const SendAttempt& send) {
+    return send.executor == kFaultyExecutor && !repaired
                ? Reaction{AttemptOutcome::kFailed, 1, false}
                : Reaction{};
   });
-  run.Arrivals("a", 2);
-  run.Advance(500);
-  mended = true;
-  run.Advance(3000);
-  const int before = run.sent_to(kBad);
-  run.Advance(2000);
-  CHECK(run.back() >= 1);
-  CHECK(run.sent_to(kBad) - before > 200);
+  simulation.SetArrivalRate("a", 2);
+  simulation.Advance(500);
+  repaired = true;
+  simulation.Advance(3000);
+  const int before = simulation.sent_to(kFaultyExecutor);
+  simulation.Advance(2000);
+  CHECK(simulation.back() >= 1);
+  CHECK(simulation.sent_to(kFaultyExecutor) - before > 200);
 }
 
 TEST_CASE("when many fail, enough stay in rotation") {
@@ -180,99 +182,107 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    Run run(10, {MakeAccount("a")}, [&](const SendAttempt& send) {
+    Simulation simulation(10, {MakeAccount("a")}, [&](const SendAttempt& send) {
       return send.executor < MakeExecutor(row.bad).name ? row.reaction
                                                         : Reaction{};
     });
-    run.Arrivals("a", 2);
-    run.Advance(900);
-    CHECK(run.executors_taken_out() <= row.most_out);
+    simulation.SetArrivalRate("a", 2);
+    simulation.Advance(900);
+    CHECK(simulation.executors_taken_out() <= row.most_out);
   }
 }
 
 TEST_CASE("one account's failing requests take no executor out") {
-  Run run(10, {MakeAccount("bad"), MakeAccount("good")},
-          [&](const SendAttempt& send) {
-            // Requests are numbered; every third one is of the bad account.
-            const int number = std::stoi(send.request_id.substr(1));
-            return number % 3 == 1 ? Reaction{AttemptOutcome::kFailed, 1, false}
-                                   : Reaction{};
-          });
-  run.Arrivals("bad", 1);
-  run.Arrivals("good", 2);
-  run.Advance(3000);
-  CHECK(run.answered() > 8000);
-  CHECK(run.executors_taken_out() == 0);
+  Simulation simulation(
+      10, {MakeAccount("bad"), MakeAccount("good")},
+      [&](const SendAttempt& send) {
+        // Requests are numbered; every third one is of the bad account.
+        const int number = std::stoi(send.request_id.substr(1));
+        return number % 3 == 1 ? Reaction{AttemptOutcome::kFailed, 1, false}
+                               : Reaction{};
+      });
+  simulation.SetArrivalRate("bad", 1);
+  simulation.SetArrivalRate("good", 2);
+  simulation.Advance(3000);
+  CHECK(simulation.answered() > 8000);
+  CHECK(simulation.executors_taken_out() == 0);
 }
 
 TEST_CASE("an upstream that is leaving gets nothing new") {
   std::vector<ExecutorInfo> executors = MakeExecutors(4);
   bool says = false;
-  Run run(4, {MakeAccount("a")}, [&](const SendAttempt& send) {
+  Simulation simulation(4, {MakeAccount("a")}, [&](const SendAttempt& send) {
     Reaction reaction;
-    reaction.leaving = says && send.executor == kBad;
+    reaction.leaving = says && send.executor == kFaultyExecutor;
     return reaction;
   });
-  run.Arrivals("a", 1);
-  run.Advance(100);
+  simulation.SetArrivalRate("a", 1);
+  simulation.Advance(100);
   SUBCASE("when the list says so") {
     executors[0].leaving = true;
-    run.Carry(run.router().SetExecutors(executors, run.now()));
-    const int before = run.sent_to(kBad);
-    run.Advance(500);
-    CHECK(run.sent_to(kBad) == before);
+    simulation.Execute(
+        simulation.router().SetExecutors(executors, simulation.now()));
+    const int before = simulation.sent_to(kFaultyExecutor);
+    simulation.Advance(500);
+    CHECK(simulation.sent_to(kFaultyExecutor) == before);
   }
   SUBCASE("when it says so itself, whatever the list says") {
     says = true;
-    run.Advance(50);
-    const int before = run.sent_to(kBad);
-    run.Carry(run.router().SetExecutors(executors, run.now()));
-    run.Advance(500);
+    simulation.Advance(50);
+    const int before = simulation.sent_to(kFaultyExecutor);
+    simulation.Execute(
+        simulation.router().SetExecutors(executors, simulation.now()));
+    simulation.Advance(500);
     executors[0].leaving = true;
-    run.Carry(run.router().SetExecutors(executors, run.now()));
+    simulation.Execute(
+        simulation.router().SetExecutors(executors, simulation.now()));
     executors[0].leaving = false;
-    run.Carry(run.router().SetExecutors(executors, run.now()));
-    run.Advance(500);
-    CHECK(run.sent_to(kBad) == before);
+    simulation.Execute(
+        simulation.router().SetExecutors(executors, simulation.now()));
+    simulation.Advance(500);
+    CHECK(simulation.sent_to(kFaultyExecutor) == before);
     SUBCASE("until another takes its name") {
       executors[0].address = "127.0.0.1:9999";
-      run.Carry(run.router().SetExecutors(executors, run.now()));
+      simulation.Execute(
+          simulation.router().SetExecutors(executors, simulation.now()));
       says = false;
-      run.Advance(100);
-      CHECK(run.sent_to(kBad) > before);
+      simulation.Advance(100);
+      CHECK(simulation.sent_to(kFaultyExecutor) > before);
     }
     SUBCASE("until a probe is answered without the sign") {
       says = false;
-      run.Advance(12000);
-      CHECK(run.sent_to(kBad) > before);
+      simulation.Advance(12000);
+      CHECK(simulation.sent_to(kFaultyExecutor) > before);
     }
   }
 }
 
 TEST_CASE("a full upstream is not asked again at once") {
-  Run run(4, {MakeAccount("a")}, [&](const SendAttempt& send) {
-    return send.executor == kBad
+  Simulation simulation(4, {MakeAccount("a")}, [&](const SendAttempt& send) {
+    return send.executor == kFaultyExecutor
                ? Reaction{AttemptOutcome::kRefusedNotRun, 1, false}
                : Reaction{};
   });
-  run.Arrivals("a", 2);
-  run.Advance(1000);
-  CHECK(run.answered() > 1900);
-  CHECK(run.sent_to(kBad) < 300);
+  simulation.SetArrivalRate("a", 2);
+  simulation.Advance(1000);
+  CHECK(simulation.answered() > 1900);
+  CHECK(simulation.sent_to(kFaultyExecutor) < 300);
 }
 
 TEST_CASE("a flood does not take a neighbour's guaranteed slots") {
   // By weight alone the neighbour would get 4 of the 40 slots.
-  Run run(5, {MakeAccount("flood", 0, 10.0), MakeAccount("guaranteed", 20)},
-          [](const SendAttempt&) { return Reaction{}; });
-  run.Arrivals("flood", 20);  // five times what 40 slots of 10 ms can do
-  run.Advance(500);
-  run.Arrivals("guaranteed", 4);
-  run.Advance(50);
+  Simulation simulation(
+      5, {MakeAccount("flood", 0, 10.0), MakeAccount("guaranteed", 20)},
+      [](const SendAttempt&) { return Reaction{}; });
+  simulation.SetArrivalRate("flood",
+                            20);  // five times what 40 slots of 10 ms can do
+  simulation.Advance(500);
+  simulation.SetArrivalRate("guaranteed", 4);
+  simulation.Advance(50);
   int least = 1000;
   for (int i = 0; i < 200; ++i) {
-    run.Advance(1);
-    for (const AccountDemand& demand : run.router().demand().accounts) {
+    simulation.Advance(1);
+    for (const AccountDemand& demand : simulation.router().demand().accounts) {
       if (demand.account == "guaranteed") {
         least = std::min(least, demand.in_flight);
       }
