--- a/src/libs/routing/admission_margin.cc
+++ b/src/libs/routing/admission_margin.cc
@@ -1,4 +1,4 @@
-// Steps up on late refusals, down on requests sent in time.
+// Raises the factor on late refusals and lowers it on requests sent in time.
 #include "routing/admission_margin.h"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kStep = 0.02;
-// Late refusals, as a share of the requests that waited, at which the factor
-// stays where it is.
+// Share of late refusals among the requests that waited at which the factor
+// is stable.
 constexpr double kTargetLateShare = 0.003;
 constexpr double kMaxFactor = 4.0;
 
--- a/src/libs/routing/admission_margin.h
+++ b/src/libs/routing/admission_margin.h
@@ -1,8 +1,9 @@
-// By how much admission overestimates the wait, learned from its mistakes.
+// Safety factor for the expected wait in admission control.
 //
-// The wait is estimated from the present share, which changes. Each admitted
-// request that is then given up on raises the factor, each one that is sent
-// lowers it a little, so that late refusals settle at a set share.
+// The wait is estimated from the entry's current share of the slots, which
+// changes. Each admitted request that is refused later raises the factor, each
+// one that is sent lowers it a little, so that late refusals converge to a
+// target share.
 #ifndef THORNPLANK_ROUTING_ADMISSION_MARGIN_H_
 #define THORNPLANK_ROUTING_ADMISSION_MARGIN_H_
 
@@ -10,11 +11,11 @@
 
 class AdmissionMargin {
  public:
-  // By what the estimated wait is multiplied; at least 1.
+  // The expected wait is multiplied by this; at least 1.
   double factor() const { return factor_; }
-  // A request was given up on after it had waited.
+  // A request was refused after it had waited.
   void RecordLateRefusal();
-  // A request that had waited was sent in time.
+  // A request was sent in time after it had waited.
   void RecordSent();
 
  private:
--- a/src/libs/routing/all_slots.cc
+++ b/src/libs/routing/all_slots.cc
@@ -1,4 +1,4 @@
-// Every entry may use every slot.
+// Allocates all slots to every entry.
 #include "routing/all_slots.h"
 
 #include "routing/demand_split.h"
--- a/src/libs/routing/all_slots.h
+++ b/src/libs/routing/all_slots.h
@@ -1,4 +1,5 @@
-// Every entry may use every slot; the executors' refusals limit it.
+// Policy under which every entry may use every slot and only the executors'
+// refusals limit the use.
 #ifndef THORNPLANK_ROUTING_ALL_SLOTS_H_
 #define THORNPLANK_ROUTING_ALL_SLOTS_H_
 
--- a/src/libs/routing/decaying_count.h
+++ b/src/libs/routing/decaying_count.h
@@ -1,4 +1,4 @@
-// A count of events that fades with time.
+// A count of events with exponential decay.
 #ifndef THORNPLANK_ROUTING_DECAYING_COUNT_H_
 #define THORNPLANK_ROUTING_DECAYING_COUNT_H_
 
@@ -9,7 +9,8 @@
 class DecayingCount {
  public:
   void Add(Time now);
-  // Events up to `now`, each counted by half for each second of its age.
+  // Number of events up to `now`; the weight of an event halves with each
+  // second of its age.
   double At(Time now) const;
 
  private:
--- a/src/libs/routing/demand_share.cc
+++ b/src/libs/routing/demand_share.cc
@@ -1,4 +1,4 @@
-// Ranges of slots in proportion to demand.
+// Computes this entry's range of slots from the demand of all entries.
 #include "routing/demand_share.h"
 
 #include <algorithm>
@@ -9,8 +9,9 @@
 namespace thornplank {
 namespace {
 
-// An entry without demand keeps these, which overlap with its neighbour's, so
-// that its first request does not wait for a heartbeat.
+// Minimum size of an entry's range. The range of an entry without demand may
+// overlap that of the next entry, so that its first request does not wait for a
+// heartbeat.
 constexpr int kMinRangeSlots = 2;
 
 }  // namespace
--- a/src/libs/routing/demand_split.cc
+++ b/src/libs/routing/demand_split.cc
@@ -1,4 +1,5 @@
-// Water-filling of slots over accounts, then proportional split over entries.
+// Divides slots among accounts by weighted max-min fairness (water-filling),
+// then among entries in proportion to demand.
 #include "routing/demand_split.h"
 
 #include <algorithm>
@@ -8,7 +9,8 @@
 
 constexpr double kNegligible = 1e-9;
 
-// Whether the account still wants slots beyond its guarantee.
+// Whether the account may use more slots than `granted` and has demand for
+// them.
 bool WantsMore(const AccountLimits& account, double demand, double granted) {
   return account.borrowing && account.weight > 0 &&
          demand - granted > kNegligible;
@@ -33,7 +35,7 @@
     return granted;
   }
   double left = slots - guaranteed;
-  // Each round satisfies at least one account or uses up what is left.
+  // Each round satisfies at least one account or uses up the remaining slots.
   for (size_t round = 0; round < accounts.size() && left > kNegligible;
        ++round) {
     double weights = 0;
--- a/src/libs/routing/demand_split.h
+++ b/src/libs/routing/demand_split.h
@@ -1,7 +1,8 @@
-// Division of a service's slots over client accounts and entries.
+// Division of a service's slots among client accounts and entries by demand.
 //
-// Accounts get their guarantees first and then what is left by weight; what an
-// account gets is divided over the entries in proportion to its demand there.
+// Accounts first get their guarantees; the remaining slots are divided by
+// weight. The slots of an account are divided among the entries in proportion
+// to its demand there.
 #ifndef THORNPLANK_ROUTING_DEMAND_SPLIT_H_
 #define THORNPLANK_ROUTING_DEMAND_SPLIT_H_
 
@@ -11,17 +12,19 @@
 
 namespace thornplank {
 
-// Slots for each account when `demand[account]` requests want one each. The
-// sum is at most `slots`. Guarantees that do not fit are cut in proportion.
+// Returns the slots of each account; `demand` holds the number of requests per
+// account, which need one slot each. The sum is at most `slots`. Guarantees
+// that exceed `slots` together are reduced in proportion.
 std::vector<double> SplitOverAccounts(
     double slots, const std::vector<AccountLimits>& accounts,
     const std::vector<double>& demand);
 
-// Slots that each entry's demand claims; the sum is at most `slots`.
+// Returns the slots that each entry gets for its demand; the sum is at most
+// `slots`.
 std::vector<double> SplitOverEntries(double slots,
                                      const SlotSharingInput& input);
 
-// Slots that no other entry's demand claims.
+// Slots that are left after the demand of the other entries is served.
 double SlotsLeftByOthers(const SlotSharingInput& input);
 
 }  // namespace thornplank
--- a/src/libs/routing/executor.cc
+++ b/src/libs/routing/executor.cc
@@ -1,4 +1,4 @@
-// Limits on the use of one executor.
+// Computes the limits on the use of one executor.
 #include "routing/executor.h"
 
 #include <algorithm>
@@ -9,6 +9,7 @@
 
 using std::chrono::milliseconds;
 
+// Retries allowed at one executor, as a percentage of its fresh requests.
 constexpr double kUpstreamRetryPercent = 20.0;
 constexpr double kDecreaseFactor = 0.75;
 constexpr Duration kInitialBackoff = milliseconds(5);
@@ -31,14 +32,15 @@
 }
 
 void Executor::RecordFull(Duration max_backoff, uint64_t random, Time now) {
-  // What is in flight there has been accepted and need not give way.
+  // Attempts in flight have been accepted, so the limit is not reduced below
+  // their number.
   const double accepted = std::max(1, in_flight());
   adaptive_limit_ = std::min<double>(
       allocated_slots_, std::max(accepted, adaptive_limit_ * kDecreaseFactor));
   backoff_ = std::clamp(2 * backoff_, kInitialBackoff,
                         std::max(kInitialBackoff, max_backoff));
-  // Between half and the whole of the pause, so that entries do not return
-  // together.
+  // The actual pause is between half and all of the backoff, so that entries do
+  // not return at the same time.
   const auto half = static_cast<uint64_t>(backoff_.count() / 2);
   backoff_until_ =
       now + Duration(static_cast<Duration::rep>(half + random % (half + 1)));
--- a/src/libs/routing/executor.h
+++ b/src/libs/routing/executor.h
@@ -1,9 +1,9 @@
-// One executor as this entry uses it: its load, what limits its use, and its
+// State of one executor at this entry: its load, the limits on its use, and its
 // health.
 //
-// The limit is the least of this entry's share, what is left of it after
-// refusals (additive increase, multiplicative decrease), and what the health
-// allows; nothing while the executor is leaving.
+// The number of usable slots is the minimum of this entry's share, a limit that
+// adapts to refusals (additive increase, multiplicative decrease), and the
+// limit set by the executor's health. It is 0 while the executor is leaving.
 #ifndef THORNPLANK_ROUTING_EXECUTOR_H_
 #define THORNPLANK_ROUTING_EXECUTOR_H_
 
@@ -24,40 +24,45 @@
   int in_flight() const { return static_cast<int>(attempt_starts.size()); }
   bool leaving() const { return info.leaving || announced_leaving || !listed; }
   int allocated_slots() const { return allocated_slots_; }
-  // Requests that may be in flight at a time, and the part of the share that
-  // health and leaving leave, both at the latest UpdateLimits().
+  // Requests that may be in flight at the same time, as of the latest
+  // UpdateLimits().
   int usable_slots() const { return usable_slots_; }
+  // allocated_slots(), or 0 while the executor is ejected or leaving; as of the
+  // latest UpdateLimits().
   int available_slots() const { return available_slots_; }
-  // To be called after each change of what they depend on.
+  // Recomputes both; to be called after each change of the share, the adaptive
+  // limit, the health or the state of leaving.
   void UpdateLimits();
 
   // Sets this entry's share of the slots.
   void SetAllocated(int slots);
-  // The executor was full. Nothing is sent until after a pause, which doubles
-  // up to `longest_pause`; `random` spreads it.
+  // The executor refused a request because it was full. Nothing is sent to it
+  // during a backoff, which doubles up to `max_backoff` with each refusal until
+  // it answers a request again; `random` adds jitter.
   void RecordFull(Duration max_backoff, uint64_t random, Time now);
   void RecordAnswer();
   bool InBackoff(Time now) const { return now < backoff_until_; }
   Time backoff_until() const { return backoff_until_; }
 
   ExecutorInfo info;
-  // Grows when the executor is replaced by another of the same name, so that
-  // attempts at the old one are not held against the new one.
+  // Incremented when the executor is replaced by another of the same name, so
+  // that outcomes of attempts at the old one do not count for the new one.
   uint64_t generation = 0;
-  // False when the instance list no longer has it.
+  // False when the executor is no longer in the instance list.
   bool listed = true;
-  // Set by the executor's own sign; the instance list does not clear it.
+  // Set by the executor's own notice; the instance list does not clear it.
   bool announced_leaving = false;
-  // When to ask an executor that said that it leaves whether it still does.
+  // When to probe an executor that announced that it is leaving, to learn
+  // whether it still is.
   Time leaving_probe_time;
-  // Starts of the attempts in flight, ascending.
+  // Start times of the attempts in flight, ascending.
   std::vector<Time> attempt_starts;
   ExecutorHealth health;
   RetryBudget retry_budget;
 
  private:
   int allocated_slots_ = 0;
-  // At most `allocated_slots_`; below it after refusals, but at least 1.
+  // At most `allocated_slots_`; reduced by refusals, but never below 1 by them.
   double adaptive_limit_ = 0;
   int usable_slots_ = 0;
   int available_slots_ = 0;
--- a/src/libs/routing/executor_health.cc
+++ b/src/libs/routing/executor_health.cc
@@ -1,4 +1,4 @@
-// Evidence against an executor, and its way back.
+// Ejects an executor on evidence of a fault and reinstates it by a probe.
 #include "routing/executor_health.h"
 
 #include <algorithm>
@@ -10,17 +10,18 @@
 using std::chrono::seconds;
 
 constexpr double kFailureWeight = 0.1;
-// Above this share of failures among peers, the fault is not one executor's.
+// When the peers' failure rate is above this, the cause is not one executor.
 constexpr double kCommonFailureRate = 0.5;
 constexpr int kConsecutiveFailuresToEject = 3;
 constexpr int kConsecutiveTimeoutsToEject = 2;
 constexpr int kConsecutiveNotSentToEject = 3;
-// Failures in a row speak against an executor when a sound one would show as
-// many with less than this probability.
+// Consecutive failures are evidence against an executor when a healthy one
+// would show as many with less than this probability.
 constexpr double kSignificanceLevel = 1e-4;
-// No single failure is less probable than this.
+// Lower bound of the assumed probability of a single failure.
 constexpr double kMinFailureProbability = 1e-3;
-// In slow start one failure is enough unless it is at least this probable.
+// In slow start one failure is enough unless it is at least this probable at a
+// healthy executor.
 constexpr double kSlowStartSignificanceLevel = 0.2;
 constexpr int kMinSamples = 10;
 constexpr double kHighFailureRate = 0.5;
@@ -28,11 +29,13 @@
 constexpr int kSlowRatioToPeers = 5;
 constexpr int kSilentRatioToPeers = 8;
 constexpr Duration kMinSilence = milliseconds(500);
-// A timeout shorter than this many typical latencies blames nobody.
+// A timeout shorter than this many typical latencies is no evidence against the
+// executor.
 constexpr int kMinTimeoutRatio = 3;
 constexpr Duration kBaseEjectionTime = seconds(1);
 constexpr int kMaxEjectionTimeDoublings = 5;
-// Answers in slow start double the limit, from 1; above this it is in again.
+// Each answer in slow start doubles the limit, from 1; above this limit the
+// executor is active again.
 constexpr double kSlowStartMaxLimit = 16;
 
 }  // namespace
@@ -178,7 +181,7 @@
   }
   state_ = State::kSlowStart;
   slow_start_limit_ = 1;
-  // Old evidence is settled by the probe.
+  // The successful probe outweighs the evidence from before the ejection.
   failure_rate_ = FailureRate(kFailureWeight);
   latency_ = ServiceTime();
   ResetConsecutiveFailures();
--- a/src/libs/routing/executor_pool.cc
+++ b/src/libs/routing/executor_pool.cc
@@ -1,4 +1,5 @@
-// Loads, limits and choice of executors.
+// Keeps the loads and limits of executors, picks executors and runs their
+// health checks.
 #include "routing/executor_pool.h"
 
 #include <algorithm>
@@ -12,13 +13,15 @@
 using std::chrono::seconds;
 
 constexpr Duration kMaxRefusalBackoff = milliseconds(500);
-// A full executor frees a slot within a fraction of its service time.
+// A full executor is expected to free a slot within this fraction of the
+// typical latency (1/4).
 constexpr int kBackoffFraction = 4;
 constexpr Duration kResponsivenessCheckPeriod = milliseconds(100);
 constexpr Duration kProbeTimeout = seconds(1);
 constexpr Duration kLeavingProbePeriod = seconds(10);
-// Share of a service's executors that may be out at the same time: for
-// failing, and for latency alone.
+// Share of a service's executors that may be ejected at the same time, in total
+// and for latency alone. Executors that cannot be reached are ejected in any
+// case.
 constexpr double kMaxEjectedShare = 0.5;
 constexpr double kMaxEjectedForLatencyShare = 0.2;
 
@@ -45,7 +48,7 @@
     executor.info = info;
     if (info.leaving && !was_leaving) {
       actions.push_back(
-          ExecutorLeaving{info.name, "the instance list says so"});
+          ExecutorLeaving{info.name, "marked as leaving in the instance list"});
     }
     if (!info.leaving) {
       slots_.push_back({info.name, info.failure_domain, info.slots});
@@ -182,7 +185,7 @@
   }
   if (result.leaving) {
     std::optional<RoutingAction> leaving =
-        MarkLeaving(executor, "the executor says so", now);
+        MarkLeaving(executor, "executor reports that it is leaving", now);
     if (leaving.has_value()) {
       actions.push_back(*std::move(leaving));
     }
@@ -219,20 +222,21 @@
     executor->leaving_probe_time = now + kLeavingProbePeriod;
     if (healthy && !result.leaving) {
       executor->announced_leaving = false;
-      actions.push_back(ExecutorReinstated{executor->info.name,
-                                           "no longer says that it leaves"});
+      actions.push_back(ExecutorReinstated{
+          executor->info.name, "no longer reports that it is leaving"});
     }
   } else if (result.leaving) {
     std::optional<RoutingAction> leaving =
-        MarkLeaving(executor, "the executor says so", now);
+        MarkLeaving(executor, "executor reports that it is leaving", now);
     if (leaving.has_value()) {
       actions.push_back(*std::move(leaving));
     }
   }
-  // A leaving executor stays out; it is probed when it no longer leaves.
+  // A leaving executor stays ejected; it is probed again once it no longer
+  // leaves.
   if (executor->health.EndProbe(healthy && !executor->leaving(), now)) {
     actions.push_back(
-        ExecutorReinstated{executor->info.name, "its probe succeeded"});
+        ExecutorReinstated{executor->info.name, "probe succeeded"});
   }
   UpdateExecutor(executor);
   UpdateNextProbe();
@@ -318,7 +322,7 @@
   const int others = totals.in_rotation - (counted ? 1 : 0);
   const double failures =
       totals.failure_rate - (counted ? executor.health.failure_rate() : 0.0);
-  // Without peers nothing speaks for a fault of this one alone.
+  // Without peers there is no evidence that only this executor is faulty.
   peers.failure_rate = others <= 0 ? 1.0 : failures / others;
   const int total = totals.in_rotation + totals.ejected;
   peers.may_eject = totals.ejected + 1 <= kMaxEjectedShare * total;
@@ -382,7 +386,7 @@
     return;
   }
   if (health.state() == ExecutorHealth::State::kProbing) {
-    // The carrier never reported; the probe counts as lost.
+    // The dispatcher reported no result; the probe counts as lost.
     health.EndProbe(false, now);
     return;
   }
--- a/src/libs/routing/executor_pool.h
+++ b/src/libs/routing/executor_pool.h
@@ -1,7 +1,8 @@
-// The executors of one service as this entry uses them: their loads, the
-// limits on them, and which one gets the next request.
+// The executors of one service at this entry: loads, limits, health checks, and
+// the choice of the executor for the next request.
 //
-// What limits the use of one executor is kept in Executor.
+// The limits on one executor are kept in Executor. Times are passed in; the
+// class reads no clock. Not thread-safe.
 #ifndef THORNPLANK_ROUTING_EXECUTOR_POOL_H_
 #define THORNPLANK_ROUTING_EXECUTOR_POOL_H_
 
@@ -20,9 +21,9 @@
 
 namespace thornplank {
 
-// The end of an attempt at an executor.
+// Input of ExecutorPool::EndAttempt.
 struct AttemptEnd {
-  // Of the executor when the attempt began.
+  // Executor::generation when the attempt began.
   uint64_t generation = 0;
   Time start;
   bool timed_out = false;
@@ -35,42 +36,48 @@
  public:
   ExecutorPool(uint64_t seed, std::string own_failure_domain);
 
-  // Replaces the executors by `listed`, all of this pool's service.
+  // Replaces the executors by `listed`, which holds all executors of this
+  // pool's service.
   RoutingActions SetExecutors(const std::vector<ExecutorInfo>& listed,
                               Time now);
-  // The executors that share slots, in the order common to all entries.
+  // The slots of the executors that are not marked as leaving in the instance
+  // list, in the order of OrderByDomain.
   const std::vector<ExecutorSlots>& slots() const { return slots_; }
-  // Sets this entry's share of each of slots().
+  // Sets this entry's share of the slots of each element of slots(), at most
+  // `connection_limit` each.
   void SetAllocation(const std::vector<int>& allocation, int connection_limit);
 
   Executor* Find(const std::string& name);
-  // The least loaded executor with room, other than `excluded`; the own failure
-  // domain goes first among equals. Null when there is none.
+  // Returns the executor with the fewest requests in flight among those with a
+  // usable slot, other than `excluded`; on equal load an executor in this
+  // entry's failure domain is preferred. Null when there is none.
   Executor* Pick(const std::string& excluded, Time now);
-  // Whether some executor other than `excluded` is in rotation.
+  // Whether an executor other than `excluded` is in rotation and not leaving.
   bool HasAlternative(const std::string& excluded) const;
-  // Attempts that this entry may have in flight, over all executors.
+  // Number of attempts that this entry may have in flight at all executors
+  // together.
   int usable_slots() const { return usable_slots_; }
-  // Share of the allocated slots that health and leaving allow, 0 to 1.
+  // Share of the allocated slots at executors that are in rotation and not
+  // leaving, 0 to 1.
   double available_share() const;
   int in_flight() const { return in_flight_; }
 
   void BeginAttempt(Executor* executor, Time now);
-  // An attempt has ended. Returns state changes.
+  // Records the end of an attempt. Returns changes of the executor's state.
   RoutingActions EndAttempt(Executor* executor, const AttemptEnd& end,
                             Time now);
   RoutingActions ProbeResult(Executor* executor, const AttemptResult& result,
                              Time now);
-  // Starts probes and looks for silent and slow executors.
+  // Starts probes and ejects executors that do not answer or are too slow.
   RoutingActions Tick(Time now);
-  // The next time at which Tick or Pick may have something to do. `waiting`
-  // says whether requests wait for an executor.
+  // The next time at which Tick is due or Pick may find an executor again.
+  // `waiting` says whether requests wait for an executor.
   std::optional<Time> NextTickTime(bool waiting) const;
 
  private:
-  // Sums over the executors that are not leaving.
+  // Totals over the executors that are not leaving.
   struct HealthTotals {
-    double failure_rate = 0;  // of those in rotation
+    double failure_rate = 0;  // sum over the executors in rotation
     int in_rotation = 0;
     int ejected = 0;
     int ejected_for_latency = 0;
@@ -79,9 +86,11 @@
   HealthTotals ComputeHealthTotals() const;
   PeerHealth PeerHealthOf(const Executor& executor,
                           const HealthTotals& totals) const;
-  // Another executor has taken the name; nothing is known about it.
+  // Handles another executor under the same name: discards what is known about
+  // the old one and keeps its attempts in flight.
   void Replace(Executor* executor, const ExecutorInfo& info);
-  // Brings the totals up to date after a change of the executor.
+  // Recomputes the executor's limits and the totals that depend on them; to be
+  // called after each change of the executor.
   void UpdateExecutor(Executor* executor);
   std::optional<RoutingAction> MarkLeaving(Executor* executor,
                                            const std::string& reason, Time now);
@@ -96,18 +105,19 @@
   std::mt19937_64 random_;
   std::unordered_map<std::string, Executor> executors_;
   std::vector<ExecutorSlots> slots_;
-  // Executors in the order in which Pick looks at them.
+  // All elements of `executors_`, sorted by name; Pick scans them from a random
+  // position.
   std::vector<Executor*> pick_order_;
-  // Sum of the executors' usable().
+  // Sum of the executors' usable_slots().
   int usable_slots_ = 0;
   // Sum of the executors' attempts in flight.
   int in_flight_ = 0;
   // Sum of the slots allocated to this entry.
   int allocated_slots_ = 0;
-  // Sum of the executors' available().
+  // Sum of the executors' available_slots().
   int available_slots_ = 0;
-  // Pick found nothing, and nothing has changed since; valid until
-  // `exhausted_until_`.
+  // Pick found no executor and no executor has changed since, so Pick need not
+  // scan again before `all_busy_until_`, the end of the first backoff.
   bool all_busy_ = false;
   Time all_busy_until_;
   Time next_responsiveness_check_;
--- a/src/libs/routing/failure_rate.cc
+++ b/src/libs/routing/failure_rate.cc
@@ -1,4 +1,4 @@
-// Running mean that begins as if one success had been seen.
+// The average starts as if one success had been recorded.
 #include "routing/failure_rate.h"
 
 #include <algorithm>
--- a/src/libs/routing/failure_rate.h
+++ b/src/libs/routing/failure_rate.h
@@ -1,4 +1,4 @@
-// Share of attempts that failed, weighted towards the latest.
+// Exponentially weighted share of failed attempts.
 #ifndef THORNPLANK_ROUTING_FAILURE_RATE_H_
 #define THORNPLANK_ROUTING_FAILURE_RATE_H_
 
@@ -6,10 +6,10 @@
 
 class FailureRate {
  public:
-  // `weight` is that of a new attempt once there are many; the first attempts
-  // weigh more.
+  // `weight` is the weight of a new attempt in the average once there are many;
+  // the first attempts weigh more.
   explicit FailureRate(double weight) : weight_(weight) {}
-  // `failed` is 0 for a success, 1 for a failure, and between them for a
+  // `failed` is 0 for a success, 1 for a failure, and a value in between for a
   // failure that may have another cause.
   void Add(double failed);
   double value() const { return value_; }
--- a/src/libs/routing/fair_queue.cc
+++ b/src/libs/routing/fair_queue.cc
@@ -1,4 +1,4 @@
-// Guarantees first, then start-time fair queueing.
+// Serves guarantees first, then applies start-time fair queueing.
 #include "routing/fair_queue.h"
 
 #include <algorithm>
@@ -7,11 +7,12 @@
 namespace thornplank {
 namespace {
 
-// Charged while the service time is unknown, in seconds.
+// Minimum charge, also used while the service time is unknown.
 constexpr double kDefaultCostSeconds = 0.001;
-// Requests of one account that are looked at for an eligible one.
+// Requests of one account that are scanned for an eligible one.
 constexpr size_t kMaxScannedRequests = 64;
-// An account without room for a share still drains.
+// Lower bound of an account's expected slots, so that its expected wait is
+// finite: an account without a share still drains.
 constexpr double kMinimumSlots = 0.1;
 constexpr double kMinimumWeight = 0.001;
 
--- a/src/libs/routing/fair_queue.h
+++ b/src/libs/routing/fair_queue.h
@@ -1,10 +1,12 @@
-// The requests of one service that wait at this entry, and whose turn it is.
+// The requests of one service that wait at this entry, with fair queueing among
+// client accounts.
 //
-// An account below its guarantee goes first. Slots beyond the guarantees go by
-// start-time fair queueing: each account has a virtual time that advances by
-// the service time it uses divided by its weight, and the account that is
-// least advanced goes next. Within an account the earliest deadline goes
-// first. Queues are bounded by the account's limit.
+// Accounts below their guarantee go first. Slots beyond the guarantees are
+// assigned by start-time fair queueing: each account has a virtual time that
+// advances by the service time used divided by the account's weight, and the
+// account with the lowest virtual time goes next. Within an account the
+// earliest deadline goes first. The length of an account's queue is bounded by
+// its limit.
 #ifndef THORNPLANK_ROUTING_FAIR_QUEUE_H_
 #define THORNPLANK_ROUTING_FAIR_QUEUE_H_
 
@@ -24,47 +26,49 @@
 
 namespace thornplank {
 
-// A waiting request; `handle` is the router's own number of it.
+// A waiting request.
 struct QueuedRequest {
-  uint64_t handle = 0;
+  uint64_t handle = 0;  // see RoutedRequest
   Time deadline;
 };
 
 class FairQueue {
  public:
-  // Weight of one attempt in an account's share of failures.
+  // Weight of one attempt in an account's failure rate.
   static constexpr double kFailureWeight = 0.05;
 
-  // One account's part of the queue.
+  // Queue and counters of one account.
   struct Account {
     AccountLimits limits;
-    // False when the account's limits are gone and it only drains.
+    // False when the account was removed from the limits; its queue then only
+    // drains.
     bool has_limits = false;
-    // Ascending by deadline, then by arrival.
+    // Sorted by deadline, then by arrival.
     std::deque<QueuedRequest> waiting;
     int in_flight = 0;
-    // Slots of the guarantee that fall to this entry.
+    // This entry's part of the account's guarantee, in slots.
     int local_guarantee = 0;
-    // Demand of the same account at the other entries.
+    // Demand of the account at all other entries, in requests.
     double remote_demand = 0;
-    // Requests turned away here lately, as of the last SetDemandElsewhere; the
-    // other entries' demand holds theirs, too.
+    // Recent refusals at this entry, as of the last SetRemoteDemand. They count
+    // as demand, since the demand of the other entries includes their refusals.
     double refusal_demand = 0;
-    // Virtual time at which the account's next request starts.
+    // Virtual start time of the account's next request, in seconds of service
+    // time divided by weight.
     double virtual_start = 0;
     ServiceTime service_time;
-    // Of all attempts that were sent, at all executors.
+    // Over all attempts that were sent, at all executors.
     FailureRate failure_rate{kFailureWeight};
-    // Requests turned away lately for want of slots.
+    // Recent refusals for lack of slots.
     DecayingCount refusals;
 
     int demand() const { return static_cast<int>(waiting.size()) + in_flight; }
   };
 
-  // Replaces the limits; queues and loads stay. Accounts that are gone keep
-  // what they queued, with a weight of 1 and no guarantee.
+  // Replaces the limits; queues and counters stay. Accounts without new limits
+  // keep their queued requests, with a weight of 1 and no guarantee.
   void SetLimits(const std::vector<AccountLimits>& limits);
-  // Demand of the account at all other entries together.
+  // Sets the demand of the account at all other entries together, in requests.
   void SetRemoteDemand(const std::string& account, double demand, Time now);
 
   // Null when the account has no limits.
@@ -72,47 +76,51 @@
   const std::map<std::string, Account>& accounts() const { return accounts_; }
   size_t size() const { return size_; }
 
-  // Whether the account's queue takes one more.
+  // Whether the account has limits and its queue is below max_queued.
   bool HasRoom(const std::string& account) const;
-  // Requests of the account that go before one with this deadline.
+  // Number of the account's queued requests that go before one with this
+  // deadline.
   int RequestsAhead(const std::string& account, Time deadline) const;
-  // Precondition: the account is known. Requests that return from an attempt
-  // may exceed the bound.
+  // Precondition: the account is in accounts(). The bound is not checked, since
+  // requests that are queued again for a retry may exceed it.
   void Push(const std::string& account, const QueuedRequest& request);
-  // False when the request does not wait.
+  // False when the request is not in the queue.
   bool Remove(const std::string& account, const QueuedRequest& request);
 
-  // The account whose turn it is; nullopt when none may send. Those in
-  // `blocked` are passed over.
+  // The account whose turn it is, without those in `blocked`; nullopt when none
+  // may send.
   std::optional<std::string> NextAccount(
       const std::vector<std::string>& blocked) const;
-  // Whether a further request of the account would borrow while another account
-  // with requests in flight has not used its guarantee up.
+  // Whether the account's next request would use a slot beyond its guarantee
+  // while another account with requests in flight is below its guarantee.
   bool BorrowsFromActive(const std::string& account) const;
-  // Takes the first request of the account that `eligible` accepts, looking at
-  // a bounded number. nullopt when there is none.
+  // Removes and returns the account's first request for whose handle `eligible`
+  // is true, among a bounded number of requests; nullopt when there is none.
   std::optional<QueuedRequest> Take(
       const std::string& account,
       const std::function<bool(uint64_t)>& eligible);
-  // The last of the account's requests, which would be sent last.
+  // The account's request with the latest deadline; nullopt when none waits.
   std::optional<QueuedRequest> LastRequest(const std::string& account) const;
 
-  // An attempt of the account has begun. Returns the virtual time charged.
+  // Records the start of an attempt. Returns the service time charged to the
+  // account in seconds, 0 when the attempt uses the guarantee.
   double BeginAttempt(const std::string& account);
-  // It has ended; `latency` when it used a slot for that long.
+  // Records the end of the attempt that was charged `charged_seconds`; the
+  // charge is corrected to `latency`, or to 0 when the attempt used no slot.
   void EndAttempt(const std::string& account, double charged_seconds,
                   std::optional<Duration> latency);
-  // Service time of the account, or of the service while that is unknown.
+  // Service time of the account's requests, or of all requests while the
+  // account has no answers.
   const ServiceTime& ServiceTimeOf(const std::string& account) const;
   void RecordAnswer(const std::string& account, Duration latency);
-  // An attempt that was sent has succeeded or failed. Returns the account's
-  // share of failures before it.
+  // Records the outcome of an attempt that was sent. Returns the account's
+  // failure rate before it.
   double RecordAttempt(const std::string& account, bool failed);
-  // A request of the account was turned away for want of slots.
+  // Records the refusal of a request for lack of slots.
   void RecordRefusal(const std::string& account, Time now);
 
-  // Slots out of `slots` that the account can count on, were it to have more
-  // requests than it can send.
+  // The number of `slots` that the account can expect if it has more requests
+  // than it can send.
   double SlotsFor(const std::string& account, double slots) const;
 
  private:
@@ -121,10 +129,10 @@
 
   std::map<std::string, Account> accounts_;
   ServiceTime service_time_;
-  // Virtual start of the request that was begun last; an account that was
-  // idle starts from here, and does not catch up on what it left unused.
+  // Virtual start time of the latest attempt. An account that was idle starts
+  // from here, so that it gets no credit for the slots it did not use.
   double virtual_time_ = 0;
-  // Sum of the accounts' waiting requests.
+  // Total of the accounts' waiting requests.
   size_t size_ = 0;
 };
 
--- a/src/libs/routing/jitter.cc
+++ b/src/libs/routing/jitter.cc
@@ -1,4 +1,4 @@
-// Fractions from a hash of the key.
+// Computes the fraction from a hash of the key.
 #include "routing/jitter.h"
 
 #include <xxhash.h>
@@ -6,6 +6,7 @@
 namespace thornplank {
 namespace {
 
+// Width of the mantissa of a double, in bits.
 constexpr int kFractionBits = 53;
 
 }  // namespace
--- a/src/libs/routing/jitter.h
+++ b/src/libs/routing/jitter.h
@@ -1,4 +1,4 @@
-// Deterministic spreading of times, from a seed and a key.
+// Deterministic jitter from a seed and a key.
 #ifndef THORNPLANK_ROUTING_JITTER_H_
 #define THORNPLANK_ROUTING_JITTER_H_
 
@@ -7,8 +7,7 @@
 
 namespace thornplank {
 
-// A number in [0, 1) that depends on nothing but the seed and the key, and
-// differs between keys as if drawn at random.
+// A pseudo-random number in [0, 1) that depends only on the seed and the key.
 double JitterFraction(uint64_t seed, std::string_view key);
 
 }  // namespace thornplank
--- a/src/libs/routing/request_router.cc
+++ b/src/libs/routing/request_router.cc
@@ -1,5 +1,5 @@
-// Takes events, keeps the life of each request, and leaves what concerns one
-// service to its ServiceRouter.
+// Handles events and the lifecycle of each request; delegates what concerns a
+// single service to its ServiceRouter.
 #include "routing/request_router.h"
 
 #include <algorithm>
@@ -17,7 +17,8 @@
 namespace thornplank {
 namespace {
 
-// Retry-After of refusals that no queue explains.
+// Minimum Retry-After when the service is unknown, so that there is no queue to
+// derive it from.
 constexpr Duration kNoServiceRetryAfter = std::chrono::seconds(1);
 
 void Append(RoutingActions from, RoutingActions* to) {
@@ -30,9 +31,9 @@
     : RequestRouter(std::move(options), std::make_unique<DemandShare>()) {}
 
 RequestRouter::RequestRouter(RouterOptions options,
-                             std::unique_ptr<SlotSharingPolicy> share)
+                             std::unique_ptr<SlotSharingPolicy> slot_sharing)
     : options_(std::move(options)),
-      slot_sharing_(std::move(share)),
+      slot_sharing_(std::move(slot_sharing)),
       table_(std::make_unique<RequestTable>()) {}
 
 RequestRouter::~RequestRouter() = default;
@@ -48,17 +49,18 @@
 }
 
 ServiceRouter* RequestRouter::FindOrAdd(const std::string& service, Time now) {
-  std::unique_ptr<ServiceRouter>& slot = services_[service];
-  if (slot != nullptr) {
-    return slot.get();
+  std::unique_ptr<ServiceRouter>& router = services_[service];
+  if (router != nullptr) {
+    return router.get();
   }
-  slot = std::make_unique<ServiceRouter>(options_.seed, options_.failure_domain,
-                                         slot_sharing_.get(), table_.get());
-  slot->SetLimits(LimitsFor(service), now);
+  router =
+      std::make_unique<ServiceRouter>(options_.seed, options_.failure_domain,
+                                      slot_sharing_.get(), table_.get());
+  router->SetLimits(LimitsFor(service), now);
   if (!entries_.empty()) {
-    slot->SetLiveEntries(entries_, own_entry_index(), now);
+    router->SetLiveEntries(entries_, own_entry_index(), now);
   }
-  return slot.get();
+  return router.get();
 }
 
 std::vector<AccountLimits> RequestRouter::LimitsFor(
--- a/src/libs/routing/request_router.h
+++ b/src/libs/routing/request_router.h
@@ -1,11 +1,12 @@
-// Decides which executor gets which request, when, and what the caller is told.
+// Decides which executor gets which request and when, and how each request
+// ends.
 //
-// One object per entry. It holds the queues, the executors' loads and health,
-// and the retry budgets; it does no I/O and reads no clock. Every call takes
-// the present time and returns the actions that follow from the event. Each
-// submitted request gets exactly one final action: FinishAnswered,
-// FinishNotRun or FinishUnknown. Not thread-safe; the carrier holds it under
-// its mutex.
+// Each entry has one object, which holds the queues, the executors' loads and
+// health, and the retry budgets. It does no I/O and reads no clock: each call
+// reports an event with the current time and returns the resulting actions.
+// Each submitted request gets exactly one final action: FinishAnswered,
+// FinishNotRun or FinishUnknown. Not thread-safe; the RequestDispatcher guards
+// it by a mutex.
 #ifndef THORNPLANK_ROUTING_REQUEST_ROUTER_H_
 #define THORNPLANK_ROUTING_REQUEST_ROUTER_H_
 
@@ -30,7 +31,7 @@
 struct RoutedRequest;
 
 struct RouterOptions {
-  // Spreads Retry-After and breaks ties.
+  // Seed for the jitter of Retry-After and for random choices among executors.
   uint64_t seed = 1;
   // Failure domain of this entry; executors in it are preferred when the load
   // is equal.
@@ -40,9 +41,9 @@
 class RequestRouter {
  public:
   explicit RequestRouter(RouterOptions options);
-  // With a way of sharing slots between entries other than the default.
+  // Uses `slot_sharing` in place of the default policy, DemandShare.
   RequestRouter(RouterOptions options,
-                std::unique_ptr<SlotSharingPolicy> share);
+                std::unique_ptr<SlotSharingPolicy> slot_sharing);
   ~RequestRouter();
   RequestRouter(const RequestRouter&) = delete;
   RequestRouter& operator=(const RequestRouter&) = delete;
@@ -51,47 +52,52 @@
   // are refused.
   RoutingActions SetAccountLimits(const std::vector<AccountLimits>& accounts,
                                   Time now);
-  // Replaces the executors by the present instance list. An executor that said
-  // itself that it is leaving stays so whatever the list says, until it has
-  // another address or answers a probe without that sign.
+  // Replaces the executors by those of the current instance list. An executor
+  // that announced itself that it is leaving stays in that state, whatever the
+  // list says, until it has another address or answers a probe without that
+  // notice.
   RoutingActions SetExecutors(const std::vector<ExecutorInfo>& executors,
                               Time now);
-  // The live entries, with or without `own_name`.
+  // Replaces the list of live entries, which may or may not contain `own_name`.
   RoutingActions SetLiveEntries(const std::string& own_name,
                                 const std::vector<std::string>& live_entries,
                                 Time now);
-  // The newest demand of another entry, from its heartbeat.
+  // Replaces the demand of another entry, taken from its heartbeat. Ignored
+  // when the entry is not live.
   RoutingActions SetPeerDemand(const PeerDemand& demand, Time now);
 
-  // Whether Submit would refuse the request now. Changes nothing; asked before
-  // a claim is appended for a non-idempotent request. Submit at the same time
-  // gives the same refusal and counts it as demand.
+  // Returns the refusal that Submit would give now; nullopt when it would admit
+  // the request. Changes nothing; called before a claim is appended for a
+  // non-idempotent request. Submit, called at the same time, refuses alike and
+  // also counts the refusal as demand.
   std::optional<Refusal> CheckAdmission(const RequestInfo& request,
                                         Time now) const;
 
-  // Takes a request, which is sent, queued or refused. An id that is already
-  // known is ignored.
+  // Sends, queues or refuses a request. Ignored when a request with this id is
+  // being handled.
   RoutingActions Submit(const RequestInfo& request, Time now);
-  // The outcome of an attempt, also of one whose request is already finished.
-  // Ignored when no such attempt is in flight.
+  // Handles the outcome of an attempt, also when its request is already
+  // finished. Ignored when no such attempt is in flight.
   RoutingActions CompleteAttempt(const std::string& request_id,
                                  const std::string& executor,
                                  const AttemptResult& result, Time now);
-  // The outcome of a ProbeExecutor: kAnswered for a healthy executor.
+  // Handles the outcome of a ProbeExecutor action: kAnswered for a healthy
+  // executor.
   RoutingActions HandleProbeResult(const std::string& executor,
                                    const AttemptResult& result, Time now);
-  // The caller is gone. A queued request finishes as not run; one in flight
-  // goes on, and is not retried.
+  // Handles the loss of the caller. A queued request finishes as not run, or as
+  // unknown when an earlier attempt may have run; a request in flight continues
+  // and is not retried.
   RoutingActions Cancel(const std::string& request_id, Time now);
   // To be called at NextTickTime() or later: ends requests at their deadline
   // and starts probes.
   RoutingActions Tick(Time now);
 
-  // This entry's own demand at the latest event, for its heartbeat: per service
-  // and account what is in flight, and under `queued` what waits or was turned
-  // away in the last seconds.
+  // This entry's demand at the latest event, for its heartbeat: per service and
+  // account the requests in flight and, as `queued`, those that wait or were
+  // refused in the last seconds.
   PeerDemand demand() const;
-  // When Tick has something to do; nullopt when only events will bring it.
+  // When Tick is due next; nullopt when it is not due without another event.
   std::optional<Time> NextTickTime() const;
 
  private:
@@ -100,7 +106,7 @@
   ServiceRouter* Find(const std::string& service);
   ServiceRouter* FindOrAdd(const std::string& service, Time now);
   std::vector<AccountLimits> LimitsFor(const std::string& service) const;
-  // Position of this entry among the live ones.
+  // Index of this entry in `entries_`.
   size_t own_entry_index() const;
   RetryBudget& RetryBudgetFor(const RequestInfo& request);
   void DispatchAll(Time now, RoutingActions* actions);
@@ -115,7 +121,7 @@
   // The time of the latest call.
   Time latest_event_time_;
   std::string own_name_;
-  // The live entries with this one, sorted.
+  // The live entries and this one, sorted by name.
   std::vector<std::string> entries_;
   std::unique_ptr<RequestTable> table_;
   std::map<std::string, std::unique_ptr<ServiceRouter>> services_;
--- a/src/libs/routing/request_table.cc
+++ b/src/libs/routing/request_table.cc
@@ -1,4 +1,4 @@
-// Requests by id and by handle, and an ordered set of their timers.
+// Keeps requests by id and by handle, and their timers in an ordered set.
 #include "routing/request_table.h"
 
 namespace thornplank {
--- a/src/libs/routing/request_table.h
+++ b/src/libs/routing/request_table.h
@@ -1,4 +1,4 @@
-// The requests that the router handles at present, with their timers.
+// The requests that the router currently handles, with their timers.
 #ifndef THORNPLANK_ROUTING_REQUEST_TABLE_H_
 #define THORNPLANK_ROUTING_REQUEST_TABLE_H_
 
@@ -18,21 +18,23 @@
   enum class Phase {
     kQueued,
     kInFlight,
-    // The final action is out while an attempt is still in flight.
+    // The final action was emitted while an attempt is still in flight.
     kFinished,
   };
 
   RequestInfo info;
+  // Number assigned by the table; identifies the request in queues and timers.
   uint64_t handle = 0;
   Phase phase = Phase::kQueued;
-  // Attempts that were not refused, and those that were.
+  // Ended attempts that the executor did not refuse.
   int tries = 0;
+  // Attempts that ended as kRefusedNotRun.
   int refusals = 0;
-  // Whether an attempt that has ended may have run.
+  // Whether the executor may have run the request in an ended attempt.
   bool may_have_run = false;
   bool caller_gone = false;
   Time queued_at;
-  // Of the current or the last attempt.
+  // These describe the current or the last attempt.
   std::string executor;
   uint64_t executor_generation = 0;
   Time attempt_start;
@@ -45,25 +47,26 @@
 
 class RequestTable {
  public:
-  // Null when the id is taken.
+  // Null when a request with this id is in the table.
   RoutedRequest* Add(const RequestInfo& info);
-  // Null when unknown.
+  // Null when there is none with this id.
   RoutedRequest* Find(const std::string& id);
-  // Precondition: the handle is of a request in the table.
+  // Precondition: a request with this handle is in the table.
   RoutedRequest* ByHandle(uint64_t handle) { return by_handle_.at(handle); }
   void Erase(RoutedRequest* request);
 
   void SetTimer(RoutedRequest* request, std::optional<Time> time);
-  // A request whose timer is at or before `now`; null when there is none.
+  // The request with the earliest timer when that is at or before `now`, else
+  // null.
   RoutedRequest* FirstDue(Time now);
   std::optional<Time> NextTimer() const;
 
  private:
-  // Pointers to the values stay valid while other requests come and go.
+  // Pointers to the values stay valid when other requests are added or erased.
   std::unordered_map<std::string, RoutedRequest> by_id_;
-  // Exactly the requests of by_id_.
+  // Holds exactly the requests of by_id_.
   std::unordered_map<uint64_t, RoutedRequest*> by_handle_;
-  // Exactly the requests whose `timer` is set.
+  // Timer and handle of exactly those requests whose `timer` is set.
   std::set<std::pair<Time, uint64_t>> timers_;
   uint64_t last_handle_ = 0;
 };
--- a/src/libs/routing/retry_budget.cc
+++ b/src/libs/routing/retry_budget.cc
@@ -1,4 +1,4 @@
-// Token bucket of retries.
+// Token arithmetic of the retry budget.
 #include "routing/retry_budget.h"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace thornplank {
 namespace {
 
-// Enough for a lone failure on a quiet account.
+// Enough to retry an isolated failure of an account with few requests.
 constexpr double kInitialTokens = 3.0;
 constexpr double kCapacity = 20.0;
 
--- a/src/libs/routing/retry_budget.h
+++ b/src/libs/routing/retry_budget.h
@@ -1,8 +1,8 @@
-// Limits retries to a share of fresh requests.
+// Token bucket that limits retries to a percentage of fresh requests.
 //
-// A token bucket: each fresh request adds a fraction of a token, each retry
-// takes a whole one. When everything fails, the attempts stay below
-// (1 + share) times the requests, plus the few tokens of the beginning.
+// Each fresh request adds a fraction of a token, each retry consumes one token.
+// When all attempts fail, their number stays below (1 + percent / 100) times
+// the number of requests, plus the initial tokens.
 #ifndef THORNPLANK_ROUTING_RETRY_BUDGET_H_
 #define THORNPLANK_ROUTING_RETRY_BUDGET_H_
 
@@ -12,10 +12,10 @@
  public:
   explicit RetryBudget(double percent);
   void set_percent(double percent) { percent_ = percent; }
-  // Earns the part of a retry that a fresh request allows.
+  // Adds the fraction of a token that a fresh request earns.
   void RecordFreshRequest();
   bool available() const { return tokens_ >= 1.0; }
-  // Takes one token; to be called only when available().
+  // Consumes one token; to be called only when available().
   void ConsumeToken();
 
  private:
--- a/src/libs/routing/retry_policy.cc
+++ b/src/libs/routing/retry_policy.cc
@@ -1,9 +1,10 @@
-// Decisions at the end of an attempt.
+// The rules for retries and final outcomes.
 #include "routing/retry_policy.h"
 
 namespace thornplank {
 namespace {
 
+// Attempts that were not refused and attempts that were refused, per request.
 constexpr int kMaxTries = 3;
 constexpr int kMaxRefusals = 8;
 
--- a/src/libs/routing/retry_policy.h
+++ b/src/libs/routing/retry_policy.h
@@ -1,7 +1,7 @@
-// What follows from the outcome of an attempt: the answer is delivered, another
-// attempt is made, or the request ends as "not run" or "unknown".
+// Decides what follows from the outcome of an attempt: the answer is delivered,
+// another attempt is made, or the request ends as "not run" or "unknown".
 //
-// A request that may have run is sent again only when it is idempotent, and
+// A request that may have run is sent again only when it is idempotent, and it
 // never ends as "not run".
 #ifndef THORNPLANK_ROUTING_RETRY_POLICY_H_
 #define THORNPLANK_ROUTING_RETRY_POLICY_H_
@@ -17,17 +17,18 @@
   kFinishUnknown,
 };
 
-// A request at the end of an attempt.
+// State of a request at the end of an attempt.
 struct AttemptHistory {
   bool idempotent = false;
-  // Attempts so far that were not refused, and those that were.
+  // Attempts so far that the executor did not refuse.
   int tries = 0;
+  // Attempts so far that ended as kRefusedNotRun.
   int refusals = 0;
   // Whether an earlier attempt may have run.
   bool may_have_run = false;
-  // False when the caller is gone or the time is up.
+  // False when the caller is gone or the deadline has passed.
   bool still_wanted = true;
-  // Whether another executor could take it.
+  // Whether another executor could take the request.
   bool has_alternative = true;
   // Whether the budgets of the account and of the upstream allow a retry.
   bool has_budget = true;
@@ -38,10 +39,11 @@
 
 NextStep DecideNextStep(AttemptOutcome outcome, const AttemptHistory& history);
 
-// Whether a retry after this outcome is paid from the retry budgets.
+// Whether a retry after this outcome consumes tokens of the retry budgets.
 bool ConsumesRetryBudget(AttemptOutcome outcome);
 
-// The number of tries after which a request is not sent again.
+// The number of attempts, without refused ones, after which a request is not
+// sent again.
 int MaxTries();
 
 }  // namespace thornplank
--- a/src/libs/routing/routing_types.h
+++ b/src/libs/routing/routing_types.h
@@ -1,8 +1,8 @@
-// Plain values that go into and come out of the request router.
+// Input and output values of RequestRouter.
 //
-// They hold no behaviour. The carrier fills in the inputs from the instance
-// list, the settings tree and the answers of executors, and carries out the
-// actions in the order in which they are returned.
+// The RequestDispatcher fills in the inputs from the instance list, the
+// settings tree and the answers of executors, and carries out the returned
+// actions in order.
 #ifndef THORNPLANK_ROUTING_ROUTING_TYPES_H_
 #define THORNPLANK_ROUTING_ROUTING_TYPES_H_
 
@@ -21,8 +21,7 @@
   // The service to which the limits apply; "" means every service for which
   // the account has no limits of its own.
   std::string service;
-  // Share of the slots that nobody's guarantee claims, relative to the other
-  // accounts; above 0.
+  // Relative share of the slots that are not used under a guarantee; above 0.
   double weight = 1.0;
   // Slots of the service, over all entries, that the account gets whenever it
   // has requests for them.
@@ -35,12 +34,13 @@
   bool borrowing = true;
 };
 
-// One upstream executor as the instance list shows it.
+// One upstream executor, as the instance list describes it.
 struct ExecutorInfo {
   std::string name;
   std::string address;  // "ip:port"
   std::string service;
   std::string failure_domain;
+  // Requests that the executor runs at the same time.
   int slots = 8;
   bool leaving = false;
 };
@@ -58,58 +58,59 @@
 struct AccountDemand {
   std::string service;
   std::string account;
-  // Requests that wait, and those turned away lately for want of slots.
+  // Requests that wait, plus recent refusals for lack of slots.
   int queued = 0;
   int in_flight = 0;
 };
 
-// What an entry tells its peers in each heartbeat.
+// The demand that an entry reports to its peers in each heartbeat.
 struct PeerDemand {
   std::string entry;
   std::vector<AccountDemand> accounts;
 };
 
 enum class AttemptOutcome {
-  // A whole answer below 500 arrived.
+  // A complete answer with a status below 500 arrived.
   kAnswered,
-  // A whole answer of 5xx from the upstream arrived; the request may have run.
+  // A complete 5xx answer arrived; the request may have run.
   kFailed,
-  // The executor proved that the request did not run: it is full or leaving.
+  // The executor refused the request without running it: it is full or
+  // leaving.
   kRefusedNotRun,
-  // Not one byte of the request was handed to a connection.
+  // No byte of the request was written to a connection.
   kNotSent,
-  // Sent, in part or whole, and no whole answer arrived.
+  // Sent in part or completely, and no complete answer arrived.
   kUnknown,
 };
 
 struct AttemptResult {
   AttemptOutcome outcome = AttemptOutcome::kUnknown;
-  // From the send to the answer or to giving up.
+  // From the send to the answer or the end of the attempt.
   Duration latency{};
-  // The executor's own sign, on any answer, that it is leaving.
+  // Whether the answer carried the executor's notice that it is leaving.
   bool leaving = false;
 };
 
-// Why a request is not admitted, and when the caller may come back.
+// Why a request is not admitted, and when the caller may retry.
 struct Refusal {
   std::string reason;
   Duration retry_after{};
 };
 
-// Send the request to this executor. The carrier answers each SendAttempt by
-// exactly one RequestRouter::Complete; at `attempt_deadline` it gives up on the
-// connection and completes with kUnknown.
+// Send the request to this executor. The dispatcher answers each SendAttempt by
+// exactly one RequestRouter::CompleteAttempt; at `attempt_deadline` it closes
+// the connection and reports kUnknown.
 struct SendAttempt {
   std::string request_id;
   std::string executor;
   std::string address;
-  int attempt = 1;  // 1 for the first
+  int attempt = 1;  // number of the attempt, from 1
   Time attempt_deadline;
   std::string reason;  // for the decision log
 };
 
-// Final: hand the answer that was just completed to the caller, whatever its
-// status is.
+// Final: deliver the answer of the attempt that just ended to the caller,
+// whatever its status.
 struct FinishAnswered {
   std::string request_id;
   std::string executor;
@@ -122,14 +123,14 @@
   Duration retry_after{};
 };
 
-// Final: the request may have run and there is no whole answer.
+// Final: the request may have run and there is no complete answer.
 struct FinishUnknown {
   std::string request_id;
   std::string reason;
 };
 
-// The answer that was just completed comes too late: its request has already
-// got its final action. To be dropped and logged.
+// The attempt that just ended was answered after its request got its final
+// action. The answer is to be dropped and logged.
 struct DropAnswer {
   std::string request_id;
   std::string executor;
@@ -141,21 +142,23 @@
   std::string reason;
 };
 
-// Ask the executor for its health and call RequestRouter::ProbeResult, with
-// kUnknown when there is no answer at `probe_deadline`.
+// Send a health probe to the executor and call
+// RequestRouter::HandleProbeResult, with kUnknown when there is no answer at
+// `probe_deadline`.
 struct ProbeExecutor {
   std::string executor;
   std::string address;
   Time probe_deadline;
 };
 
-// The executor gets requests again, one at a time at first.
+// The executor gets requests again; after an ejection it starts slowly, with
+// one request at a time.
 struct ExecutorReinstated {
   std::string executor;
   std::string reason;
 };
 
-// The executor gets nothing new because it is leaving.
+// The executor gets no new requests because it is leaving.
 struct ExecutorLeaving {
   std::string executor;
   std::string reason;
--- a/src/libs/routing/service_router.cc
+++ b/src/libs/routing/service_router.cc
@@ -1,4 +1,4 @@
-// Admission, dispatch and sharing of slots within one service.
+// Implements admission, dispatch and slot sharing within one service.
 #include "routing/service_router.h"
 
 #include <algorithm>
@@ -14,25 +14,28 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// How soon a change of the own demand shows in the own share.
+// Maximum delay after which a change of this entry's demand affects its share,
+// while requests are dispatched.
 constexpr Duration kReallocationPeriod = milliseconds(50);
 constexpr Duration kSheddingPeriod = milliseconds(100);
-// A queued request is given up on when its expected wait exceeds what is left
-// by this factor; above 1, so that the estimate's noise ends nothing.
+// A queued request is refused when its expected wait exceeds the time left to
+// its deadline by this factor; above 1, so that noise in the estimate alone
+// refuses no request.
 constexpr double kLateWaitFactor = 1.5;
-// A request may take this fraction of the mean; with less time left it is not
-// sent.
+// A request is not sent when the time left to its deadline is less than this
+// fraction (1/2) of the mean service time.
 constexpr int kQuickRunFraction = 2;
-// An attempt of an idempotent request is not given up on before this many
-// mean service times, deadline permitting.
+// The timeout of an attempt of an idempotent request is at least this many mean
+// service times, within the deadline.
 constexpr int kMinAttemptServiceTimes = 20;
-// For this long a refusal may show in the demand.
+// Time for which a refusal may count in the demand.
 constexpr Duration kRefusalDecayTime = seconds(12);
+// Assumed while the service time is unknown.
 constexpr Duration kDefaultBacklog = seconds(1);
 constexpr Duration kMinRetryAfter = milliseconds(200);
 constexpr Duration kMinSpread = seconds(1);
 constexpr Duration kMaxRetryAfter = seconds(60);
-// An entry with fewer slots keeps none free for guarantees.
+// An entry with fewer slots reserves none for guarantees.
 constexpr int kMinSlotsToReserveOne = 16;
 
 Duration Scale(Duration duration, double factor) {
@@ -41,7 +44,7 @@
           static_cast<double>(duration.count()) * factor));
 }
 
-// Requests that wait or were turned away lately.
+// Number of waiting requests and recent refusals.
 int QueuedDemand(const FairQueue::Account& account, Time now) {
   return static_cast<int>(account.waiting.size()) +
          static_cast<int>(std::lround(account.refusals.At(now)));
@@ -50,10 +53,10 @@
 }  // namespace
 
 ServiceRouter::ServiceRouter(uint64_t seed, std::string own_failure_domain,
-                             const SlotSharingPolicy* share,
+                             const SlotSharingPolicy* slot_sharing,
                              RequestTable* table)
     : seed_(seed),
-      slot_sharing_(share),
+      slot_sharing_(slot_sharing),
       table_(table),
       pool_(seed, std::move(own_failure_domain)) {}
 
@@ -208,7 +211,7 @@
   };
   std::optional<QueuedRequest> taken = queue_.Take(*account, fits);
   if (!taken.has_value()) {
-    // All that wait have just been at this executor.
+    // The last attempts of all scanned requests were at this executor.
     executor = pool_.Pick(executor->info.name, now);
     if (executor != nullptr) {
       taken = queue_.Take(*account, fits);
@@ -220,7 +223,8 @@
   }
   RoutedRequest* request = table_->ByHandle(taken->handle);
   const ServiceTime& time = queue_.ServiceTimeOf(*account);
-  // When others wait, a slot is not spent on what will probably be late.
+  // While other requests wait, a slot is not used for a request that would
+  // probably miss its deadline.
   const Duration needed = queue_.size() > 0 ? time.high_estimate()
                                             : time.mean() / kQuickRunFraction;
   if (now + needed >= request->info.deadline) {
@@ -258,7 +262,7 @@
   request->attempt_start = now;
   request->attempt_deadline = deadline;
   if (request->info.idempotent && request->tries + 1 < MaxTries()) {
-    // Leaves time for a retry when the executor turns out to be silent.
+    // Leaves time for a retry in case the executor does not answer.
     const Duration attempt_timeout = std::max(
         (deadline - now) / 2,
         kMinAttemptServiceTimes * queue_.ServiceTimeOf(account).mean());
--- a/src/libs/routing/service_time.cc
+++ b/src/libs/routing/service_time.cc
@@ -1,4 +1,4 @@
-// Mean over the first samples, then exponentially weighted.
+// The mean is arithmetic over the first samples, then exponentially weighted.
 #include "routing/service_time.h"
 
 #include <cmath>
--- a/src/libs/routing/service_time.h
+++ b/src/libs/routing/service_time.h
@@ -1,4 +1,4 @@
-// Running estimate of how long a service takes for a request.
+// Running estimate of a service's time per request.
 #ifndef THORNPLANK_ROUTING_SERVICE_TIME_H_
 #define THORNPLANK_ROUTING_SERVICE_TIME_H_
 
@@ -6,21 +6,21 @@
 
 namespace thornplank {
 
-// All durations are zero while nothing is known.
+// All durations are zero before the first Record.
 class ServiceTime {
  public:
   // The latency of one answered request.
   void Record(Duration latency);
   bool known() const { return samples_ > 0; }
   Duration mean() const;
-  // Most requests take less than this.
+  // Mean plus 2.5 mean deviations; most requests take less.
   Duration high_estimate() const;
 
  private:
   // Both in ticks of Duration.
   double mean_ = 0;
   double deviation_ = 0;  // mean of the absolute distance from mean_
-  int samples_ = 0;       // stops at the length of the window
+  int samples_ = 0;       // recorded samples, up to the window length
 };
 
 }  // namespace thornplank
--- a/src/libs/routing/slot_sharing_policy.cc
+++ b/src/libs/routing/slot_sharing_policy.cc
@@ -1,4 +1,4 @@
-// Numbering of slots, common to the ways of sharing them.
+// Order of executors and numbering of slots, common to all policies.
 #include "routing/slot_sharing_policy.h"
 
 #include <algorithm>
@@ -8,6 +8,7 @@
 namespace thornplank {
 namespace {
 
+// Connections to one executor from all entries together.
 constexpr int kExecutorConnections = 60;
 
 }  // namespace
@@ -17,7 +18,7 @@
             [](const ExecutorSlots& a, const ExecutorSlots& b) {
               return a.name < b.name;
             });
-  // The n-th executor of each domain comes before the n+1-th of any.
+  // The n-th executor of each domain precedes the (n+1)-th of any domain.
   std::map<std::string, int> seen;
   std::vector<std::pair<int, size_t>> keys;
   keys.reserve(executors->size());
--- a/src/libs/routing/slot_sharing_policy.h
+++ b/src/libs/routing/slot_sharing_policy.h
@@ -1,10 +1,12 @@
-// How the entries divide the slots of a service's executors among themselves.
+// Interface of the policies by which the entries divide the slots of a
+// service's executors among themselves.
 //
-// An executor has few slots and knows nothing of entries; it refuses what does
-// not fit. A SlotSharingPolicy says how many of each executor's slots this
-// entry may use at a time. Entries compute their shares on their own from the
-// same kind of input, so that no agreement is needed; where their inputs differ
-// for a moment, shares overlap and the executors' refusals settle it.
+// An executor has few slots, does not distinguish entries, and refuses requests
+// that exceed its slots. A SlotSharingPolicy determines how many of each
+// executor's slots this entry may use at a time. Each entry computes its share
+// independently from the same kind of input, so no consensus is needed. While
+// the entries' inputs differ, shares may overlap; the executors then refuse the
+// excess.
 #ifndef THORNPLANK_ROUTING_SLOT_SHARING_POLICY_H_
 #define THORNPLANK_ROUTING_SLOT_SHARING_POLICY_H_
 
@@ -23,40 +25,43 @@
   int slots = 0;
 };
 
-// All that a share depends on, for one service.
+// Input of a policy, for one service.
 struct SlotSharingInput {
-  // In the order of OrderByDomain, which is the same at every entry.
+  // In the order of OrderByDomain, which all entries compute alike.
   std::vector<ExecutorSlots> executors;
   std::vector<AccountLimits> accounts;
-  // Requests queued and in flight: demand[entry][account], with the live
-  // entries sorted by name.
+  // Requests queued and in flight as demand[entry][account], with the live
+  // entries sorted by name and the accounts in the order of `accounts`.
   std::vector<std::vector<double>> demand;
-  // Position of this entry; below demand.size().
+  // Index of this entry in `demand`.
   size_t own_entry_index = 0;
 };
 
 class SlotSharingPolicy {
  public:
   virtual ~SlotSharingPolicy() = default;
-  // Slots that this entry may use, for each executor of the input.
+  // The number of slots that this entry may use, for each executor of the
+  // input.
   virtual std::vector<int> Allocate(const SlotSharingInput& input) const = 0;
-  // Slots that this entry would soon have if its demand grew without bound.
+  // The number of slots that this entry would soon get if its demand grew
+  // without bound.
   virtual double AttainableSlots(const SlotSharingInput& input) const = 0;
 };
 
-// Orders executors so that neighbours are in different failure domains where
-// possible; depends on nothing but names and domains.
+// Orders executors so that adjacent ones are in different failure domains where
+// possible. The order depends only on names and domains.
 void OrderByDomain(std::vector<ExecutorSlots>* executors);
 
 int TotalSlots(const std::vector<ExecutorSlots>& executors);
 
-// Numbers all slots, first the first slot of each executor, then the second
-// and so on, and counts the numbers in [begin, end) per executor. Numbers wrap
-// around at the total.
+// Counts the slots with numbers in [begin, end) per executor. All slots are
+// numbered: first the first slot of each executor, then the second, and so on.
+// Numbers wrap around at the total number of slots.
 std::vector<int> SlotsInRange(const std::vector<ExecutorSlots>& executors,
                               int begin, int end);
 
-// Connections that one of `entries` entries may hold to an executor.
+// The number of connections that each of `entries` entries may hold to one
+// executor.
 int ConnectionLimit(size_t entries);
 
 }  // namespace thornplank
--- a/src/libs/routing/static_share.cc
+++ b/src/libs/routing/static_share.cc
@@ -1,4 +1,4 @@
-// Equal, fixed parts of the slots.
+// Computes this entry's fixed range of slots.
 #include "routing/static_share.h"
 
 namespace thornplank {
--- a/src/libs/routing/static_share.h
+++ b/src/libs/routing/static_share.h
@@ -1,4 +1,5 @@
-// Every entry owns an equal, fixed part of the slots.
+// Policy under which every entry owns an equal, fixed range of the numbered
+// slots.
 #ifndef THORNPLANK_ROUTING_STATIC_SHARE_H_
 #define THORNPLANK_ROUTING_STATIC_SHARE_H_
 
