--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -1,4 +1,4 @@
-// Taking, keeping and giving back the lead.
+// Taking, keeping and releasing leadership.
 #include "coordination/cluster_coordinator.h"
 
 #include <algorithm>
@@ -13,25 +13,27 @@
 namespace {
 
 constexpr char kProducer[] = "leader";
-// Apart from the other, so that neither waits for the other's answers.
+// A producer of its own, so that neither writer waits for the appends of the
+// other.
 constexpr char kProgressProducer[] = "progress";
 // Bounds the first sequence number, so that it never overflows.
-constexpr int64_t kSequenceSpan = int64_t{1} << 40;
+constexpr int64_t kSequenceRange = int64_t{1} << 40;
 // After a claim that did not succeed.
 constexpr Milliseconds kClaimRetry{200};
 constexpr Milliseconds kStoreRetry{120};
 
 Time Now() { return std::chrono::steady_clock::now(); }
 
-// The store takes two appends with the same producer, epoch and sequence for
-// one, answered twice. Claimants of the same epoch therefore begin at sequence
-// numbers of their own: the store keeps the first and refuses the others.
+// The store takes two appends with the same producer, epoch and sequence number
+// for duplicates and acknowledges both. Entries that claim the same epoch
+// therefore start at different sequence numbers: the store accepts the first
+// claim and rejects the others.
 int64_t FirstSequence(const std::string& holder) {
   return static_cast<int64_t>(std::hash<std::string>()(holder) %
-                              static_cast<uint64_t>(kSequenceSpan));
+                              static_cast<uint64_t>(kSequenceRange));
 }
 
-PlannerSettings PlanningFor(const ClusterCoordinatorSettings& settings) {
+PlannerSettings PlannerSettingsFor(const ClusterCoordinatorSettings& settings) {
   PlannerSettings planning;
   planning.bounds = settings.bounds;
   return planning;
@@ -43,18 +45,18 @@
                                        RecordStore& store, WorkerCalls& calls,
                                        const Formats& formats,
                                        ClusterCoordinatorSettings settings,
-                                       Surroundings surroundings,
+                                       Dependencies dependencies,
                                        MetricsRegistry& metrics)
     : io_(io),
       store_(store),
       calls_(calls),
       formats_(formats),
       settings_(std::move(settings)),
-      surroundings_(std::move(surroundings)),
+      dependencies_(std::move(dependencies)),
       first_sequence_(FirstSequence(settings_.holder)),
       election_(LeaderElectionSettings(), settings_.holder, settings_.rank),
-      planner_(PlanningFor(settings_)),
-      record_pace_(settings_.ends_gap),
+      planner_(PlannerSettingsFor(settings_)),
+      progress_write_limiter_(settings_.end_record_interval),
       metrics_(metrics),
       tick_timer_(io),
       planning_timer_(io),
@@ -66,52 +68,53 @@
 
 void ClusterCoordinator::OnTick() {
   const Time now = Now();
-  if (phase_ == Phase::kFollowing && !released_ && now >= next_claim_ &&
-      election_.ShouldClaim(surroundings_.board->leader(), now)) {
-    Claim();
+  if (phase_ == Phase::kFollowing && !released_ && now >= next_claim_time_ &&
+      election_.ShouldClaim(dependencies_.board->leader(), now)) {
+    BeginClaim();
   }
   if (phase_ == Phase::kLeading) {
     const BootTime written = BootClock::now();
-    const bool may_renew = written - lead_confirmed_ < settings_.lead_term;
+    const bool may_renew =
+        written - leadership_confirmed_ < settings_.leadership_timeout;
     fleet_->Tick(now, may_renew);
     StopOutdatedRuns();
-    const auto heartbeat = election_.settings().heartbeat;
+    const auto heartbeat = election_.settings().heartbeat_interval;
     if (board_writer_->idle() && now - last_heartbeat_ >= heartbeat) {
       WriteHeartbeat(/*released=*/false, nullptr);
     }
-    ForgetOldJobs();
+    DropExpiredRecords();
     SchedulePlanning();
   }
-  tick_timer_.expires_after(settings_.tick);
+  tick_timer_.expires_after(settings_.tick_interval);
   tick_timer_.async_wait([this](const boost::system::error_code& code) {
     if (!code) OnTick();
   });
 }
 
-void ClusterCoordinator::OnBoardContact(Duration latency) {
-  election_.OnContact(latency, Now());
+void ClusterCoordinator::OnBoardCaughtUp(Duration latency) {
+  election_.OnBoardCaughtUp(latency, Now());
 }
 
-void ClusterCoordinator::OnDomainsChanged() {
+void ClusterCoordinator::OnClosedDomainsChanged() {
   if (!fleet_) return;
-  fleet_->CloseDomains(surroundings_.closed_domains());
+  fleet_->CloseDomains(dependencies_.closed_domains());
   SchedulePlanning();
 }
 
-void ClusterCoordinator::OnStoreBack() {
-  if (directory_) directory_->Wake(settings_.store_timeout);
+void ClusterCoordinator::OnStoreRecovered() {
+  if (directory_) directory_->RetryIfLost(settings_.store_timeout);
 }
 
 void ClusterCoordinator::OnBoardChange(const BoardChange& change) {
   switch (change.kind) {
     case BoardChange::Kind::kLeader: {
-      const LeaderRecord& leader = surroundings_.board->leader();
+      const LeaderRecord& leader = dependencies_.board->leader();
       election_.OnLeaderRecord(leader, Now());
-      TellLeader(leader);
+      LogLeader(leader);
       const bool mine = leader.holder == settings_.holder;
       if (mine && leader.epoch == claimed_epoch_ && !leader.released &&
           (phase_ == Phase::kFollowing || phase_ == Phase::kClaiming)) {
-        BeginLead(leader.epoch);
+        BeginLeadership(leader.epoch);
       }
       if (!mine && phase_ != Phase::kFollowing && leader.epoch > epoch_ &&
           phase_ != Phase::kClaiming) {
@@ -122,7 +125,7 @@
     case BoardChange::Kind::kSubmitted:
     case BoardChange::Kind::kCancelled:
       if (phase_ != Phase::kLeading) return;
-      AdoptJob(change.job);
+      SyncJobFromBoard(change.job);
       if (change.kind == BoardChange::Kind::kCancelled) StopOutdatedRuns();
       return SchedulePlanning();
     case BoardChange::Kind::kState:
@@ -133,75 +136,77 @@
   }
 }
 
-void ClusterCoordinator::TellLeader(const LeaderRecord& leader) {
-  const bool known = leader.epoch == told_leader_.epoch &&
-                     leader.released == told_leader_.released;
-  told_leader_ = leader;
+void ClusterCoordinator::LogLeader(const LeaderRecord& leader) {
+  const bool known = leader.epoch == logged_leader_.epoch &&
+                     leader.released == logged_leader_.released;
+  logged_leader_ = leader;
   if (known) return;
-  LogEvent(events::kLeaderSeen, {{"holder", leader.holder},
-                                 {"epoch", leader.epoch},
-                                 {"released", leader.released},
-                                 {"board_next", surroundings_.board_next()}});
+  LogEvent(events::kLeaderSeen,
+           {{"holder", leader.holder},
+            {"epoch", leader.epoch},
+            {"released", leader.released},
+            {"board_next", dependencies_.board_next_offset()}});
 }
 
 // A claim is stored only if the board still ends where this entry has read to,
-// so that neither a word of the leader nor another claim is missed. Followers
-// read a busy board too seldom for that: the board is read just before.
-void ClusterCoordinator::Claim() {
+// so that it misses neither a record of the leader nor another claim. Followers
+// read a busy board too rarely for that, so the board is read just before.
+void ClusterCoordinator::BeginClaim() {
   phase_ = Phase::kClaiming;
-  surroundings_.refresh_board([this, generation = generation_,
+  dependencies_.refresh_board([this, generation = generation_,
                                current = *generation_](bool current_view) {
     if (*generation != current || phase_ != Phase::kClaiming) return;
     const bool vacant =
         current_view && !released_ &&
-        election_.ShouldClaim(surroundings_.board->leader(), Now());
+        election_.ShouldClaim(dependencies_.board->leader(), Now());
     if (vacant) return SendClaim();
     phase_ = Phase::kFollowing;
-    if (!current_view) next_claim_ = Now() + kClaimRetry;
+    if (!current_view) next_claim_time_ = Now() + kClaimRetry;
   });
 }
 
 void ClusterCoordinator::SendClaim() {
-  const int64_t epoch = surroundings_.board->leader().epoch + 1;
+  const int64_t epoch = dependencies_.board->leader().epoch + 1;
   claimed_epoch_ = epoch;
   AppendRequest request;
   request.partition = settings_.board;
   request.records = {JobBoard::Leader({settings_.holder, epoch, false})};
-  request.expected_end = surroundings_.board_next();
+  request.expected_end = dependencies_.board_next_offset();
   request.producer = ProducerPosition{kProducer, epoch, first_sequence_};
   LogEvent(events::kLeadClaimed,
            {{"epoch", epoch}, {"expected_end", *request.expected_end}});
   store_.Append(request, settings_.store_timeout,
                 [this, epoch, generation = generation_,
                  current = *generation_](const AppendResult& result) {
-                  if (*generation == current) OnClaimed(epoch, result);
+                  if (*generation == current) OnClaimResult(epoch, result);
                 });
 }
 
-void ClusterCoordinator::OnClaimed(int64_t epoch, const AppendResult& result) {
+void ClusterCoordinator::OnClaimResult(int64_t epoch,
+                                       const AppendResult& result) {
   if (phase_ != Phase::kClaiming) return;
-  if (result.outcome == StoreOutcome::kStored) return BeginLead(epoch);
+  if (result.outcome == StoreOutcome::kStored) return BeginLeadership(epoch);
   LogEvent(events::kLeadRefused, result.error, {{"epoch", epoch}});
-  // A submission came between; the next look may show a leader.
-  if (result.outcome == StoreOutcome::kConflict) return Claim();
+  // Another record was appended meanwhile; the next read may show a leader.
+  if (result.outcome == StoreOutcome::kConflict) return BeginClaim();
   phase_ = Phase::kFollowing;
-  // An unknown claim that was stored shows in the board, and so does the one
-  // that was faster.
-  next_claim_ = Now() + kClaimRetry;
-  surroundings_.refresh_board([](bool) {});
+  // If the outcome is unknown, the board shows whether this claim or a
+  // competing one was stored.
+  next_claim_time_ = Now() + kClaimRetry;
+  dependencies_.refresh_board([](bool) {});
 }
 
-void ClusterCoordinator::BeginLead(int64_t epoch) {
+void ClusterCoordinator::BeginLeadership(int64_t epoch) {
   phase_ = Phase::kFencing;
-  // The claim has served: the same record must not begin a lead again.
+  // The record of the same claim must not start leadership a second time.
   claimed_epoch_ = 0;
   epoch_ = epoch;
-  lead_confirmed_ = BootClock::now();
+  leadership_confirmed_ = BootClock::now();
   FenceProgress();
 }
 
-// From here on no progress of a predecessor is stored, so that what is read
-// next is its last state.
+// Once the new epoch is stored, the store rejects progress writes of a
+// predecessor, so that the progress read afterwards is final.
 void ClusterCoordinator::FenceProgress() {
   AppendRequest request;
   request.partition = settings_.board;
@@ -213,14 +218,14 @@
        current = *generation_](const AppendResult& result) {
         if (*generation != current || phase_ != Phase::kFencing) return;
         if (result.outcome == StoreOutcome::kFenced) {
-          return StepDown("fenced while taking the lead");
+          return StepDown("fenced while taking leadership");
         }
         const bool stored = result.outcome == StoreOutcome::kStored ||
                             result.outcome == StoreOutcome::kOutOfSequence;
         if (stored) {
           phase_ = Phase::kLoading;
-          loaded_.clear();
-          return LoadProgress(JobBoard::BeforeProgress());
+          loaded_progress_.clear();
+          return LoadProgress(JobBoard::ProgressKeyPrefix());
         }
         release_timer_.expires_after(kStoreRetry);
         release_timer_.async_wait([this](const boost::system::error_code& c) {
@@ -230,7 +235,7 @@
 }
 
 void ClusterCoordinator::LoadProgress(const std::string& after_key) {
-  store_.Newest(
+  store_.ReadNewest(
       settings_.board, after_key, settings_.store_timeout,
       [this, after_key, generation = generation_,
        current = *generation_](const NewestPage& page) {
@@ -246,23 +251,23 @@
         for (const KeyedRecord& record : page.records) {
           if (!record.value) continue;
           Error error;
-          const auto ref = JobBoard::BlockOf(record.key);
+          const auto ref = JobBoard::ParseProgressKey(record.key);
           auto block = DecodeBlock(*record.value, &error);
           if (!ref || !block) {
             LogEvent(events::kRecordUnreadable, error, {{"key", record.key}});
             continue;
           }
-          loaded_[ref->step][ref->block] = std::move(*block);
+          loaded_progress_[ref->step][ref->block] = std::move(*block);
         }
         if (page.has_more && !page.records.empty()) {
           return LoadProgress(page.records.back().key);
         }
-        OnLoaded();
+        OnProgressLoaded();
       });
 }
 
-void ClusterCoordinator::OnLoaded() {
-  const auto fenced = [this] { ScheduleStepDown("the store fenced it"); };
+void ClusterCoordinator::OnProgressLoaded() {
+  const auto fenced = [this] { ScheduleStepDown("fenced by the store"); };
   FencedWriterSettings writer;
   writer.producer = kProducer;
   writer.epoch = epoch_;
@@ -284,9 +289,9 @@
     ledger_.Checkpoint(run.task, run.run, run.checkpoint);
   };
   handlers.profile_of = [this](const TaskRef& task) { return ProfileOf(task); };
-  handlers.is_known = [this](const std::string& service) {
-    // Before the first configuration nothing can be told a stray.
-    const ServingConfiguration& configuration = surroundings_.configuration();
+  handlers.is_known_service = [this](const std::string& service) {
+    // Before the first configuration every service counts as known.
+    const ServingConfiguration& configuration = dependencies_.configuration();
     return configuration.queues.empty() || configuration.KnowsService(service);
   };
   handlers.on_ticket_refused = [this](const StepRef& step,
@@ -295,58 +300,59 @@
   };
   handlers.on_change = [this] { SchedulePlanning(); };
   handlers.on_fenced = [this] {
-    ScheduleStepDown("a worker obeys a higher epoch");
+    ScheduleStepDown("a worker has accepted a higher epoch");
   };
   fleet_ = std::make_unique<WorkerFleet>(calls_, formats_, fleet, handlers);
-  fleet_->CloseDomains(surroundings_.closed_domains());
-  advice_ = std::make_unique<AdviceDesk>(surroundings_.advisor,
-                                         [this] { SchedulePlanning(); });
+  fleet_->CloseDomains(dependencies_.closed_domains());
+  advice_ = std::make_unique<AdviceRequester>(dependencies_.advisor,
+                                              [this] { SchedulePlanning(); });
 
   phase_ = Phase::kLeading;
   ledger_ = JobLedger();
-  planner_ = Planner(PlanningFor(settings_));
+  planner_ = Planner(PlannerSettingsFor(settings_));
   stored_blocks_.clear();
-  begun_jobs_.clear();
-  published_ends_.clear();
-  finished_.clear();
-  for (const auto& [id, job] : surroundings_.board->jobs()) {
-    AdoptJob(id);
+  started_jobs_.clear();
+  published_ended_jobs_.clear();
+  finished_jobs_.clear();
+  for (const auto& [id, job] : dependencies_.board->jobs()) {
+    SyncJobFromBoard(id);
   }
   const Time now = Now();
   size_t inherited = 0;
-  for (const auto& [ref, blocks] : loaded_) {
+  for (const auto& [ref, blocks] : loaded_progress_) {
     for (const auto& [number, block] : blocks) {
       stored_blocks_.insert({ref, number});
     }
-    // An ended job whose runs are not settled is still needed for them.
-    const BoardJob* job = surroundings_.board->Find(ref.job);
+    // A job that has ended is still needed while some of its runs have not.
+    const BoardJob* job = dependencies_.board->Find(ref.job);
     if (job == nullptr) continue;
     if (ledger_.Find(ref.job) == nullptr) ledger_.Add(*job->spec, now);
     if (!ledger_.Restore(ref, blocks)) {
       LogEvent(events::kRecordUnreadable,
-               {"restore progress", "store", "it has another number of tasks"},
+               {"restore progress", "store", "number of tasks does not match"},
                {{"key", ref.ToString()}});
     }
     InheritRuns(ref, now);
     ++inherited;
   }
-  for (const auto& [ref, blocks] : loaded_) {
-    const BoardJob* job = surroundings_.board->Find(ref.job);
+  for (const auto& [ref, blocks] : loaded_progress_) {
+    const BoardJob* job = dependencies_.board->Find(ref.job);
     if (job == nullptr) continue;
-    ledger_.AdoptState(ref.job, job->published);
+    ledger_.AdoptState(ref.job, job->published_state);
     if (job->cancelled) ledger_.Cancel(ref.job);
-    if (IsTerminal(job->published)) published_ends_.insert(ref.job);
+    if (IsTerminal(job->published_state)) published_ended_jobs_.insert(ref.job);
   }
-  loaded_.clear();
-  LogEvent(events::kLeadTaken, {{"epoch", epoch_},
-                                {"board_next", surroundings_.board_next()},
-                                {"jobs", ledger_.jobs().size()},
-                                {"steps", inherited}});
+  loaded_progress_.clear();
+  LogEvent(events::kLeadTaken,
+           {{"epoch", epoch_},
+            {"board_next", dependencies_.board_next_offset()},
+            {"jobs", ledger_.jobs().size()},
+            {"steps", inherited}});
   WriteHeartbeat(/*released=*/false, nullptr);
 
   RecordTailSettings tail;
   tail.partition = formats_.streams().workers;
-  tail.pace = settings_.directory_pace;
+  tail.min_read_interval = settings_.directory_read_interval;
   RecordTail::Handlers directory;
   directory.on_record = [this](const KeyedRecord& record) {
     fleet_->OnDirectoryRecord(record, Now());
@@ -354,26 +360,28 @@
   directory.on_snapshot = [this](const std::set<std::string>& ids) {
     fleet_->OnDirectorySnapshot(ids, Now());
   };
-  directory_contact_ = StreamContact("directory");
-  directory.on_current = [this] {
-    directory_contact_.OnContact(directory_->next());
-    fleet_->OnDirectoryContact(Now());
+  directory_reachability_ = StreamReachability("directory");
+  directory.on_caught_up = [this] {
+    directory_reachability_.OnReadSucceeded(directory_->next_offset());
+    fleet_->OnDirectoryCaughtUp(Now());
   };
   directory.on_failure = [this](const Error& error) {
-    directory_contact_.OnFailure(error);
+    directory_reachability_.OnReadFailed(error);
   };
   directory_ = std::make_unique<RecordTail>(io_, store_, tail, directory);
   directory_->Start();
   StopOutdatedRuns();
-  Flush();
+  FlushProgress();
 }
 
-// Takes over from the board what it says of a job.
-void ClusterCoordinator::AdoptJob(const std::string& id) {
-  const BoardJob* job = surroundings_.board->Find(id);
+// Adds a job of the board to the ledger, and cancels it there if it was
+// cancelled.
+void ClusterCoordinator::SyncJobFromBoard(const std::string& id) {
+  const BoardJob* job = dependencies_.board->Find(id);
   if (job == nullptr) return;
   if (ledger_.Find(id) == nullptr) {
-    if (IsTerminal(job->published) || finished_.count(id) > 0) return;
+    if (IsTerminal(job->published_state) || finished_jobs_.count(id) > 0)
+      return;
     ledger_.Add(*job->spec, Now());
   }
   if (job->cancelled) ledger_.Cancel(id);
@@ -383,7 +391,7 @@
   const StepProgress* progress = ledger_.FindStep(ref);
   if (progress == nullptr) return;
   const Time lease_bound =
-      now + settings_.lead_term +
+      now + settings_.leadership_timeout +
       WorkerTracker::LongestLease(settings_.bounds.lease_term());
   for (size_t i = 0; i < progress->tasks.size(); ++i) {
     const TaskStatus& task = progress->tasks[i];
@@ -415,10 +423,10 @@
   progress_writer_.reset();
   ledger_ = JobLedger();
   pending_starts_.clear();
-  told_waits_.clear();
+  logged_waits_.clear();
   unrecorded_ends_.clear();
-  loaded_.clear();
-  next_claim_ = Now() + kClaimRetry;
+  loaded_progress_.clear();
+  next_claim_time_ = Now() + kClaimRetry;
 }
 
 void ClusterCoordinator::Release(Milliseconds timeout,
@@ -437,20 +445,21 @@
   release_timer_.async_wait([finish](const boost::system::error_code& code) {
     if (!code) finish();
   });
-  // What is decided and recorded goes out first.
-  Flush();
+  // Decisions made so far are recorded before the release.
+  FlushProgress();
   WriteHeartbeat(/*released=*/true, finish);
 }
 
 void ClusterCoordinator::WriteHeartbeat(bool released,
-                                        FencedWriter::Stored stored) {
+                                        FencedWriter::StoredCallback stored) {
   last_heartbeat_ = Now();
   const BootTime begun = BootClock::now();
   board_writer_->Write({JobBoard::Leader({settings_.holder, epoch_, released})},
                        [this, begun, generation = generation_,
                         current = *generation_, stored = std::move(stored)] {
                          if (*generation != current) return;
-                         lead_confirmed_ = std::max(lead_confirmed_, begun);
+                         leadership_confirmed_ =
+                             std::max(leadership_confirmed_, begun);
                          if (stored) stored();
                        });
 }
--- a/src/libs/coordination/metered_record_store.cc
+++ b/src/libs/coordination/metered_record_store.cc
@@ -1,4 +1,4 @@
-// thornplank_store_calls_total and thornplank_store_call_seconds.
+// Reports thornplank_store_calls_total and thornplank_store_call_seconds.
 #include "coordination/metered_record_store.h"
 
 #include <utility>
@@ -57,8 +57,8 @@
                 });
 }
 
-// A read that may wait for records is long because nothing happens: it counts
-// as a call of another kind.
+// The duration of a long poll says nothing about the store, so it is counted as
+// another kind of call.
 void MeteredRecordStore::Read(const Partition& partition, int64_t from,
                               Milliseconds wait, Milliseconds timeout,
                               std::function<void(const ReadResult&)> done) {
@@ -71,11 +71,10 @@
               });
 }
 
-void MeteredRecordStore::Newest(const Partition& partition,
-                                const std::string& after_key,
-                                Milliseconds timeout,
-                                std::function<void(const NewestPage&)> done) {
-  store_.Newest(
+void MeteredRecordStore::ReadNewest(
+    const Partition& partition, const std::string& after_key,
+    Milliseconds timeout, std::function<void(const NewestPage&)> done) {
+  store_.ReadNewest(
       partition, after_key, timeout,
       [this, begun = Now(), done = std::move(done)](const NewestPage& page) {
         meter_.Note("newest", page.ok ? "read" : "failed", begun);
--- a/src/libs/outlook/entry_client.h
+++ b/src/libs/reachability/entry_client.h
@@ -1,22 +1,22 @@
 // Asks other entries over HTTP.
-#ifndef THORNPLANK_OUTLOOK_ENTRY_CLIENT_H_
-#define THORNPLANK_OUTLOOK_ENTRY_CLIENT_H_
+#ifndef THORNPLANK_REACHABILITY_ENTRY_CLIENT_H_
+#define THORNPLANK_REACHABILITY_ENTRY_CLIENT_H_
 
 #include <functional>
 #include <optional>
 #include <string>
 
 #include "net/http_client.h"
-#include "outlook/entry_calls.h"
+#include "reachability/entry_client_interface.h"
 
 namespace thornplank {
 
-class EntryClient : public EntryCalls {
+class EntryClient : public EntryClientInterface {
  public:
   // `client` outlives this object.
   explicit EntryClient(HttpClient& client) : client_(client) {}
 
-  void AskStoreAge(
+  void FetchStoreAge(
       const std::string& address, Milliseconds timeout,
       std::function<void(std::optional<Milliseconds>)> done) override;
 
@@ -26,4 +26,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_ENTRY_CLIENT_H_
+#endif  // THORNPLANK_REACHABILITY_ENTRY_CLIENT_H_
--- a/src/libs/outlook/outlook_survey.cc
+++ b/src/libs/reachability/reachability_poller.cc
@@ -1,5 +1,5 @@
 // Rounds of questions to entries that are chosen by chance.
-#include "outlook/outlook_survey.h"
+#include "reachability/reachability_poller.h"
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -14,45 +14,46 @@
 
 }  // namespace
 
-OutlookSurvey::OutlookSurvey(boost::asio::io_context& io, EntryCalls& calls,
-                             OutlookSurveySettings settings,
-                             std::function<std::vector<std::string>()> peers)
+ReachabilityPoller::ReachabilityPoller(
+    boost::asio::io_context& io, EntryClientInterface& calls,
+    ReachabilityPollerSettings settings,
+    std::function<std::vector<std::string>()> peers)
     : calls_(calls),
       settings_(settings),
       peers_(std::move(peers)),
       timer_(io),
       random_(settings.seed) {}
 
-OutlookSurvey::~OutlookSurvey() { *alive_ = false; }
+ReachabilityPoller::~ReachabilityPoller() { *alive_ = false; }
 
-void OutlookSurvey::OnLost() {
+void ReachabilityPoller::OnReadFailed() {
   if (outlook_.lost()) return;
-  outlook_.OnLost(Now());
+  outlook_.OnReadFailed(Now());
   Tell();
   Ask();
 }
 
-void OutlookSurvey::OnReached() {
+void ReachabilityPoller::OnReadSucceeded() {
   if (!outlook_.lost()) return;
   timer_.cancel();
-  outlook_.OnReached();
+  outlook_.OnReadSucceeded();
   Tell();
 }
 
-bool OutlookSurvey::ServedElsewhere() const {
-  return outlook_.ServedElsewhere(Now());
+bool ReachabilityPoller::ReachableElsewhere() const {
+  return outlook_.ReachableElsewhere(Now());
 }
 
-void OutlookSurvey::Ask() {
+void ReachabilityPoller::Ask() {
   std::vector<std::string> peers = peers_();
   std::shuffle(peers.begin(), peers.end(), random_);
   if (peers.size() > settings_.asked) peers.resize(settings_.asked);
   for (const std::string& peer : peers) {
-    calls_.AskStoreAge(peer, settings_.timeout,
-                       [this, alive = alive_, peer,
-                        sent = Now()](std::optional<Milliseconds> age) {
-                         if (*alive) OnAnswer(peer, sent, age);
-                       });
+    calls_.FetchStoreAge(peer, settings_.timeout,
+                         [this, alive = alive_, peer,
+                          sent = Now()](std::optional<Milliseconds> age) {
+                           if (*alive) OnAnswer(peer, sent, age);
+                         });
   }
   timer_.expires_after(settings_.interval);
   timer_.async_wait([this](const boost::system::error_code& code) {
@@ -62,8 +63,8 @@
   });
 }
 
-void OutlookSurvey::OnAnswer(const std::string& peer, Time sent,
-                             std::optional<Milliseconds> age) {
+void ReachabilityPoller::OnAnswer(const std::string& peer, Time sent,
+                                  std::optional<Milliseconds> age) {
   if (age) {
     outlook_.OnAnswer(*age, sent, Now());
   } else {
@@ -72,8 +73,8 @@
   Tell();
 }
 
-void OutlookSurvey::Tell() {
-  const StoreBelief belief = outlook_.belief(Now());
+void ReachabilityPoller::Tell() {
+  const StoreStatus belief = outlook_.belief(Now());
   if (belief == told_) return;
   told_ = belief;
   LogEvent(events::kStoreOutlook, {{"belief", std::string(ToText(belief))}});
--- a/src/libs/outlook/store_outlook.h
+++ b/src/libs/reachability/store_reachability.h
@@ -4,8 +4,8 @@
 // at once. Where the store is away for all, that would use up the caller's
 // tries within milliseconds. Decisions only: what others say comes in as
 // events.
-#ifndef THORNPLANK_OUTLOOK_STORE_OUTLOOK_H_
-#define THORNPLANK_OUTLOOK_STORE_OUTLOOK_H_
+#ifndef THORNPLANK_REACHABILITY_STORE_REACHABILITY_H_
+#define THORNPLANK_REACHABILITY_STORE_REACHABILITY_H_
 
 #include <optional>
 #include <set>
@@ -16,7 +16,7 @@
 
 namespace thornplank {
 
-enum class StoreBelief {
+enum class StoreStatus {
   // This entry reaches it.
   kReached,
   // Not reached, and nobody has said yet whether others reach it.
@@ -27,22 +27,22 @@
   kCutOff,
 };
 
-std::string_view ToText(StoreBelief belief);
+std::string_view ToText(StoreStatus belief);
 
-class StoreOutlook {
+class StoreReachability {
  public:
   // The store was lost, or is still; only the first of a row counts.
-  void OnLost(Time now);
-  void OnReached();
+  void OnReadFailed(Time now);
+  void OnReadSucceeded();
   // A question that was sent to another entry at `sent` has an answer: its last
   // whole read of the store began `age` before that.
   void OnAnswer(Duration age, Time sent, Time now);
   // A question to `peer` has no answer.
   void OnSilence(const std::string& peer);
 
-  StoreBelief belief(Time now) const;
+  StoreStatus belief(Time now) const;
   // Whether a caller should try another entry at once.
-  bool ServedElsewhere(Time now) const;
+  bool ReachableElsewhere(Time now) const;
   bool lost() const { return lost_.has_value(); }
 
  private:
@@ -57,4 +57,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_OUTLOOK_STORE_OUTLOOK_H_
+#endif  // THORNPLANK_REACHABILITY_STORE_REACHABILITY_H_
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -44,8 +44,9 @@
     boost::asio::post(
         io_, [done = std::move(done), outcome] { done(outcome, Error()); });
   }
-  void Pace(const WorkerAddress& worker, const PaceOrder& order, Milliseconds,
-            std::function<void(CallOutcome, const Error&)> done) override {
+  void SetPace(const WorkerAddress& worker, const PaceOrder& order,
+               Milliseconds,
+               std::function<void(CallOutcome, const Error&)> done) override {
     const CallOutcome outcome = models.at(worker.id).Pace(order, ClockMs());
     boost::asio::post(
         io_, [done = std::move(done), outcome] { done(outcome, Error()); });
@@ -77,7 +78,7 @@
         FakeWorkerCalls& calls, const std::string& name, Milliseconds pace)
       : tail_(io, store, TailSettings(pace), Handlers()),
         coordinator_(io, store, calls, formats_, CoordinatorSettings(name),
-                     Surroundings(), metrics_) {
+                     Dependencies(), metrics_) {
     tail_.Start();
     coordinator_.Start();
   }
@@ -92,8 +93,8 @@
   static RecordTailSettings TailSettings(Milliseconds pace) {
     RecordTailSettings settings;
     settings.partition = kBoard;
-    settings.wait = Milliseconds(100);
-    settings.pace = pace;
+    settings.long_poll_wait = Milliseconds(100);
+    settings.min_read_interval = pace;
     return settings;
   }
   static ClusterCoordinatorSettings CoordinatorSettings(
@@ -109,28 +110,28 @@
       coordinator_.OnBoardChange(board_.Apply(record));
     };
     handlers.on_snapshot = [](const std::set<std::string>&) {};
-    handlers.on_current = [this] {
-      coordinator_.OnBoardContact(tail_.latency());
+    handlers.on_caught_up = [this] {
+      coordinator_.OnBoardCaughtUp(tail_.latency());
     };
     handlers.on_failure = [](const Error&) {};
     return handlers;
   }
-  ClusterCoordinator::Surroundings Surroundings() {
-    ClusterCoordinator::Surroundings surroundings;
-    surroundings.board = &board_;
-    surroundings.configuration = [this]() -> const ServingConfiguration& {
+  ClusterCoordinator::Dependencies Dependencies() {
+    ClusterCoordinator::Dependencies dependencies;
+    dependencies.board = &board_;
+    dependencies.configuration = [this]() -> const ServingConfiguration& {
       return configuration_;
     };
-    surroundings.closed_domains = []() -> const std::set<std::string>& {
+    dependencies.closed_domains = []() -> const std::set<std::string>& {
       static const std::set<std::string> kNone;
       return kNone;
     };
-    surroundings.board_next = [this] { return tail_.next(); };
-    surroundings.board_as_of = [this] { return tail_.as_of(); };
-    surroundings.refresh_board = [this](std::function<void(bool)> done) {
+    dependencies.board_next_offset = [this] { return tail_.next_offset(); };
+    dependencies.board_as_of = [this] { return tail_.as_of(); };
+    dependencies.refresh_board = [this](std::function<void(bool)> done) {
       tail_.CatchUp(Milliseconds(500), std::move(done));
     };
-    return surroundings;
+    return dependencies;
   }
 
   FakeFormats formats_;
--- a/tests/auto/coordination/worker_fleet_fixture.h
+++ b/tests/auto/coordination/worker_fleet_fixture.h
@@ -37,8 +37,8 @@
     ++stops;
     done(stop, Error());
   }
-  void Pace(const WorkerAddress&, const PaceOrder& order, Milliseconds,
-            std::function<void(CallOutcome, const Error&)> done) override {
+  void SetPace(const WorkerAddress&, const PaceOrder& order, Milliseconds,
+               std::function<void(CallOutcome, const Error&)> done) override {
     paces.push_back(order.percent);
     done(pace, Error());
   }
@@ -117,7 +117,7 @@
     };
     handlers.on_progress = [](const RunReport&) {};
     handlers.profile_of = [](const TaskRef&) { return RunProfile(); };
-    handlers.is_known = [](const std::string& service) {
+    handlers.is_known_service = [](const std::string& service) {
       return service != kStray;
     };
     handlers.on_ticket_refused = [](const StepRef&, const std::string&) {};
