--- a/src/libs/claims/answer_cache.cc
+++ b/src/libs/claims/answer_cache.cc
@@ -1,4 +1,4 @@
-// Holding and dropping of answers.
+// Stores answers by key and evicts the oldest ones.
 #include "claims/answer_cache.h"
 
 #include <utility>
@@ -6,7 +6,7 @@
 namespace thornplank {
 namespace {
 
-// What an answer costs besides its strings.
+// Memory of a cached answer besides its strings.
 constexpr size_t kOverheadBytes = 200;
 
 size_t BytesOf(const UpstreamAnswer& answer) {
--- a/src/libs/claims/answer_cache.h
+++ b/src/libs/claims/answer_cache.h
@@ -1,7 +1,9 @@
-// Answers to non-idempotent requests, held for repeats of their keys.
+// Cache of the answers to non-idempotent requests, for repeated requests with
+// the same idempotency key.
 //
-// Bounded by bytes and by age; the oldest answer goes first. Losing an answer
-// is harmless: the repeat is then told that the answer is no longer held.
+// Bounded by bytes and by age; the oldest answer is evicted first. Losing an
+// answer is safe: a repeated request is then refused because its answer is no
+// longer held. Not thread-safe.
 #ifndef THORNPLANK_CLAIMS_ANSWER_CACHE_H_
 #define THORNPLANK_CLAIMS_ANSWER_CACHE_H_
 
@@ -25,10 +27,11 @@
  public:
   explicit AnswerCache(AnswerCacheLimits limits);
 
-  // Holds the first answer of a key; an answer larger than all the room there
-  // is is not held.
+  // Stores the answer unless the key already has one or the answer alone
+  // exceeds max_bytes. Evicts answers that are too old or whose space is
+  // needed.
   void Put(const Digest128& key, UpstreamAnswer answer, Time now);
-  // nullopt when the answer is not held, or older than the limit.
+  // nullopt when the answer is not in the cache or older than max_age.
   std::optional<UpstreamAnswer> Find(const Digest128& key, Time now) const;
 
   size_t bytes() const { return bytes_; }
--- a/src/libs/claims/claim_key.cc
+++ b/src/libs/claims/claim_key.cc
@@ -1,4 +1,4 @@
-// Digests by xxHash, and their text form.
+// Computes digests by xxHash and converts them to and from hexadecimal text.
 #include "claims/claim_key.h"
 
 #include <xxhash.h>
@@ -12,7 +12,7 @@
 constexpr size_t kHexDigits = 32;
 constexpr size_t kHalfDigits = kHexDigits / 2;
 
-// A length before each part keeps ("ab", "c") apart from ("a", "bc").
+// The length prefix distinguishes ("ab", "c") from ("a", "bc").
 void AppendLengthPrefixed(std::string_view part, std::string* input) {
   input->append(std::to_string(part.size()));
   input->push_back(':');
--- a/src/libs/claims/claim_key.h
+++ b/src/libs/claims/claim_key.h
@@ -1,8 +1,8 @@
 // 128-bit digests of idempotency keys and of request bodies.
 //
-// The table of claims holds digests in place of the keys themselves, so that
-// a key costs the same however long it is. A collision can only refuse a
-// request; it never makes one run twice.
+// ClaimTable stores digests in place of the keys, so that the memory for a key
+// does not depend on its length. A collision can only cause a request to be
+// refused; it never causes a request to run twice.
 #ifndef THORNPLANK_CLAIMS_CLAIM_KEY_H_
 #define THORNPLANK_CLAIMS_CLAIM_KEY_H_
 
@@ -31,13 +31,14 @@
 // The xxHash digest of `bytes`; used for request bodies.
 Digest128 DigestOf(std::string_view bytes);
 
-// The identity of an idempotency key: no two different triples give the same
-// input to the hash.
+// Identifies an idempotency key within its account and service: different
+// triples never give the same input to the hash.
 Digest128 ClaimKeyDigest(std::string_view account, std::string_view service,
                          std::string_view key);
 
-// 32 hexadecimal digits, and back; nullopt when malformed.
+// Returns the digest as 32 hexadecimal digits.
 std::string ToHex(const Digest128& digest);
+// Parses the output of ToHex; nullopt when malformed.
 std::optional<Digest128> ParseDigest(std::string_view hex);
 
 }  // namespace thornplank
--- a/src/libs/claims/claim_record.cc
+++ b/src/libs/claims/claim_record.cc
@@ -1,4 +1,4 @@
-// The JSON form of the records of the log stream "claims".
+// Converts claim records to and from JSON.
 #include "claims/claim_record.h"
 
 namespace thornplank {
--- a/src/libs/claims/claim_record.h
+++ b/src/libs/claims/claim_record.h
@@ -1,4 +1,5 @@
-// The records of the log stream "claims".
+// The records of the log stream "claims", which decide which entry may send the
+// request of an idempotency key.
 #ifndef THORNPLANK_CLAIMS_CLAIM_RECORD_H_
 #define THORNPLANK_CLAIMS_CLAIM_RECORD_H_
 
@@ -15,16 +16,18 @@
 inline constexpr char kClaimStream[] = "claims";
 
 enum class ClaimRecordKind {
-  // `holder` wants to send the request of this key; the first one in the
-  // order of the log wins.
+  // `holder` claims the right to send the request of this key; the first claim
+  // in
+  // log order wins.
   kClaim,
-  // The holder proves that the claim `claim_id` was not sent and never will.
+  // The holder guarantees that the request of the claim `claim_id` was not sent
+  // and never will be.
   kReleased,
-  // The holder has the whole answer.
+  // The holder received the complete answer.
   kDone,
 };
 
-// One run of one entry. A restarted entry is another holder.
+// One incarnation of an entry. A restarted entry is a different holder.
 struct ClaimHolder {
   std::string entry;
   std::string incarnation;
@@ -40,11 +43,12 @@
   std::string service;
   std::string key;
   ClaimHolder holder;
-  // Unique for ever; also the id of the log record of a kClaim.
+  // Globally unique and never reused; also the id of the log record of a
+  // kClaim.
   std::string claim_id;
-  // When the caller made the key; kClaim only.
+  // When the caller created the key; kClaim only.
   WallTime key_time;
-  // Of the request body; kClaim only.
+  // Digest of the request body; kClaim only.
   Digest128 body_digest;
   // HTTP status of the answer; kDone only.
   int status = 0;
@@ -53,7 +57,8 @@
 // The id of the log record that carries `record`.
 std::string LogRecordId(const ClaimRecord& record);
 Json ToJson(const ClaimRecord& record);
-// nullopt and `*error` when a field is missing or of a wrong type.
+// Returns nullopt and sets `*error` when a field is missing or has a wrong
+// type.
 std::optional<ClaimRecord> ParseClaimRecord(const Json& data, Error* error);
 
 }  // namespace thornplank
--- a/src/libs/claims/claim_table.cc
+++ b/src/libs/claims/claim_table.cc
@@ -1,4 +1,4 @@
-// Folding of claim records, and what this entry may do about a key.
+// Applies claim records and decides what this entry may do with a key.
 #include "claims/claim_table.h"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 namespace thornplank {
 namespace {
 
-// Names one claim together with its holder, so that nobody can release the
-// claim of another by its id alone.
+// Identifies a claim by its id and its holder, so that a holder cannot release
+// the claim of another one by its id alone.
 Digest128 ClaimDigest(const ClaimRecord& record) {
   return ClaimKeyDigest(record.claim_id, record.holder.entry,
                         record.holder.incarnation);
@@ -37,10 +37,11 @@
 ClaimTable::ClaimTable(ClaimTableSettings settings)
     : settings_(std::move(settings)) {}
 
-// A claim is folded as valid only while the log's clock is at most
-// window + margin past the key time, and at least (ahead + margin) before it
-// never. So from the first valid claim of a key to the last possible one lie at
-// most window + ahead + 2 * margin.
+// A claim is valid only while the log's clock is between
+// max_key_time_ahead + max_clock_skew before the key time and
+// window + max_clock_skew after it. Hence at most
+// window + max_key_time_ahead + 2 * max_clock_skew lie between the first valid
+// claim on a key and the last possible one.
 Duration ClaimTable::retention() const {
   return settings_.window + settings_.max_key_time_ahead +
          2 * settings_.max_clock_skew;
@@ -156,7 +157,8 @@
   return ClaimRefusal::kNone;
 }
 
-// No claim of the key can be older than the key time less (ahead + margin).
+// No claim on a key can be older than the key time minus the largest lead of a
+// key time and the clock skew.
 bool ClaimTable::HistoryCovers(WallTime key_time) const {
   if (!history_complete_since_) return true;
   return key_time - settings_.max_key_time_ahead - settings_.max_clock_skew >=
@@ -319,7 +321,7 @@
   if (held != keys_.end() && held->second.claim == ClaimDigest(own.record)) {
     held->second.phase = KeyPhase::kReleasing;
   }
-  // After that time the claim can't win any more.
+  // After this time the claim can no longer win.
   const WallTime expires_at =
       own.record.key_time + settings_.window + settings_.max_clock_skew;
   abandoned_expiry_.push_back({expires_at, claim_id});
--- a/src/libs/claims/claim_table.h
+++ b/src/libs/claims/claim_table.h
@@ -1,14 +1,16 @@
-// The fold of the log stream "claims" and the decisions of one entry on it.
+// State of the idempotency keys of non-idempotent requests, built from the log
+// stream "claims", and the decisions of this entry on them.
 //
-// Every entry folds the same records in the same order, so all agree which
-// claim holds a key: the first in the order of the log that was not released.
-// An entry may send a request only while its own fold says that its own claim
-// holds the key, and nobody else's decision can take the claim away: only the
-// holder's own incarnation may release it. So it does no harm when a holder is
-// paused for any time between its check and its send.
+// Every entry applies the same records in the same order, so all agree which
+// claim holds a key: the first one in log order that was not released. An entry
+// may send a request only while its own claim holds the key in its own table.
+// No other entry can revoke the claim: only the incarnation that holds it may
+// release it. A holder may therefore be paused for any time between its check
+// and its send.
 //
-// Which claims are too late or too early follows from the times that the log
-// service gives to records, which all entries see alike. Not thread-safe.
+// Whether a claim is too late or too early depends only on the times that the
+// log service assigns to records, which are the same for all entries. Not
+// thread-safe.
 #ifndef THORNPLANK_CLAIMS_CLAIM_TABLE_H_
 #define THORNPLANK_CLAIMS_CLAIM_TABLE_H_
 
@@ -32,56 +34,62 @@
  public:
   explicit ClaimTable(ClaimTableSettings settings);
 
-  // Folds the next record, appended at `time` by the log's clock. Records come
-  // in order of offset; a record whose claim id was folded before changes
-  // nothing. Returns what it means for claims of this entry.
+  // Applies the next record, appended at `time` by the log's clock. Records
+  // must be passed in order of offset; one that was applied before changes
+  // nothing. Returns the effect on a claim of this entry, if any.
   std::optional<ClaimEvent> Apply(const ClaimRecord& record, WallTime time);
-  // Records before the next one to be folded were lost to retention.
+  // To be called when records before the next one to be applied were lost to
+  // the log's retention; `now` is this entry's time.
   void HandleGap(WallTime now);
-  // The stream has been read to its end once.
+  // To be called when the stream has been read to its end once.
   void MarkCaughtUp() { caught_up_ = true; }
-  // The entries that may still answer for their claims, this one included or
-  // not.
+  // Sets the entries that can be asked about their claims, with or without this
+  // one.
   void SetReachableEntries(std::vector<ClaimHolder> entries);
 
-  // What would be decided on the request; changes nothing.
+  // Returns the decision that BeginClaim would make; changes nothing.
   ClaimDecision Evaluate(const ClaimRequest& request, WallTime now,
                          bool log_available) const;
-  // Decides; with kAppend this entry's claim is pending from now on.
+  // Decides on the request; with kAppend, a claim of this entry is pending from
+  // now on.
   ClaimDecision BeginClaim(const ClaimRequest& request, WallTime now,
                            bool log_available);
 
-  // Whether this entry's fold says that its claim holds the key and it has
-  // neither released nor finished it.
+  // Whether the claim holds its key and was neither released nor finished by
+  // this entry.
   bool MaySend(const std::string& claim_id) const;
-  // From now on the claim is never sent. Returns the record to append, so that
-  // the key is free again; nullopt when there is nothing to release.
+  // Gives up a claim, whose request is never sent from now on. Returns the
+  // record to append, which frees the key; nullopt when there is nothing to
+  // release.
   std::optional<ClaimRecord> Release(const std::string& claim_id);
-  // The claim's append certainly never reached the log.
+  // Removes a claim whose record is known never to have reached the log.
   void ForgetUnappended(const std::string& claim_id);
-  // A whole answer arrived. Returns the record to append.
+  // Handles the arrival of a complete answer. Returns the record to append;
+  // nullopt when the claim is unknown.
   std::optional<ClaimRecord> Finish(const std::string& claim_id, int status);
-  // The request may have run and there will be no answer.
+  // Handles the end of a request that may have run and will get no answer.
   void FinishUnknown(const std::string& claim_id);
 
   bool caught_up() const { return caught_up_; }
-  // Every claim appended since then is known; nullopt: since ever.
+  // All claims appended since this time are known; nullopt when no records were
+  // lost.
   std::optional<WallTime> history_complete_since() const {
     return history_complete_since_;
   }
   size_t key_count() const { return keys_.size(); }
-  // How long the log's records are remembered after their time.
+  // Time for which the table keeps the state of a record, by the log's clock.
   Duration retention() const;
 
  private:
-  // Interned holder; grows by one for each start of an entry.
+  // Index into `holders_`, which grows by one for each incarnation of an entry.
   using HolderIndex = uint32_t;
 
   enum class KeyPhase : uint8_t {
     kHeld,
-    // This entry's own knowledge, ahead of the log: never sent.
+    // Known to this entry only, ahead of the log: its request is never sent.
     kReleasing,
-    // This entry's own knowledge: sent, no whole answer.
+    // Known to this entry only: its request was sent and has no complete
+    // answer.
     kUnknown,
     kDone,
   };
@@ -95,15 +103,15 @@
 
   enum class OwnClaimPhase { kPending, kWon, kAbandoned };
 
-  // A claim of this entry that has not come to its end.
+  // A claim of this entry that is neither lost nor finished.
   struct OwnClaim {
     ClaimRecord record;
     Digest128 key;
     OwnClaimPhase phase = OwnClaimPhase::kPending;
   };
 
-  // A key to be forgotten once the log's clock has passed `at`, unless another
-  // claim holds it by then.
+  // A key to be removed once the log's clock has passed `expires_at`, unless
+  // another claim holds it by then.
   struct KeyExpiry {
     WallTime expires_at;
     Digest128 key;
@@ -129,8 +137,11 @@
                                        const Digest128& claim,
                                        ClaimRefusal refusal);
   ClaimRefusal CheckKeyTime(const ClaimRecord& record) const;
+  // Whether all possible claims on a key of this time are known.
   bool HistoryCovers(WallTime key_time) const;
+  // Removes the claim from `own_by_key_`.
   void RemoveFromKeyIndex(const OwnClaim& own);
+  // Marks a claim as void, so that its record can no longer hold a key.
   void VoidClaim(const Digest128& claim);
   void RemoveExpired();
   ClaimDecision EvaluateHeldKey(const KeyState& held,
@@ -146,29 +157,28 @@
   const ClaimTableSettings settings_;
   bool caught_up_ = false;
   std::optional<WallTime> history_complete_since_;
-  // The next record folded is the oldest one known.
+  // Whether the next record to be applied is the first one after a gap.
   bool first_after_gap_ = false;
-  // The newest record time folded; never goes back.
+  // The latest time of an applied record; never decreases.
   WallTime log_time_ = WallTime::min();
 
   std::vector<ClaimHolder> holders_;
   std::vector<ClaimHolder> reachable_entries_;
 
-  // Keys that a claim holds. Equal on all entries up to `phase`, which only
-  // matters to the holder itself.
+  // Keys held by a claim. The same at all entries that applied the same
+  // records, except for `phase`, which matters only to the holder.
   std::unordered_map<Digest128, KeyState, Digest128Hash> keys_;
   std::deque<KeyExpiry> key_expiry_;
-  // Claims that lost or were released, by claim id and holder. A record of
-  // theirs that turns up (again) must not hold a key.
+  // Claims that lost or were released, by ClaimDigest. Their records may be
+  // delivered late or again and must not hold a key then.
   std::unordered_set<Digest128, Digest128Hash> void_claims_;
   std::deque<VoidExpiry> void_expiry_;
 
-  // By claim id; contains every claim that this entry may still send, and the
-  // abandoned ones whose release has not been folded.
+  // By claim id; contains every claim whose request this entry may still send,
+  // and the abandoned ones whose release has not been applied.
   std::unordered_map<std::string, OwnClaim> own_claims_;
   std::deque<AbandonedExpiry> abandoned_expiry_;
-  // The claim of this entry that is pending or won, by key; never an abandoned
-  // one.
+  // Ids of this entry's pending and won claims, by key; never an abandoned one.
   std::unordered_map<Digest128, std::string, Digest128Hash> own_by_key_;
 };
 
--- a/src/libs/claims/claim_types.cc
+++ b/src/libs/claims/claim_types.cc
@@ -1,4 +1,4 @@
-// What refusals mean, in classes and in words.
+// Classifies and describes refusals.
 #include "claims/claim_types.h"
 
 namespace thornplank {
--- a/src/libs/claims/claim_types.h
+++ b/src/libs/claims/claim_types.h
@@ -1,4 +1,4 @@
-// Plain values that go into and come out of the table of claims.
+// Input and output values of ClaimTable.
 #ifndef THORNPLANK_CLAIMS_CLAIM_TYPES_H_
 #define THORNPLANK_CLAIMS_CLAIM_TYPES_H_
 
@@ -13,21 +13,21 @@
 namespace thornplank {
 
 struct ClaimTableSettings {
-  // This run of this entry.
+  // This incarnation of this entry.
   ClaimHolder self;
-  // How long a key is valid after the caller made it.
+  // Time for which a key is valid after the caller created it.
   Milliseconds window{15 * 60 * 1000};
-  // How far ahead of the present a key time may lie.
+  // How far a key time may lie in the future.
   Milliseconds max_key_time_ahead{60000};
-  // The largest difference assumed between two clocks.
+  // The largest assumed difference between two clocks.
   Milliseconds max_clock_skew{30000};
-  // No new claim is begun while the table holds this many keys.
+  // No new claim is begun while the table holds this many keys and own claims.
   size_t max_keys = 1000000;
 };
 
-// A non-idempotent request that wants to be sent.
+// A non-idempotent request that is to be sent.
 struct ClaimRequest {
-  // Unique for ever; used when the request has to claim its key.
+  // Globally unique and never reused; the id of the claim if one is begun.
   std::string claim_id;
   std::string account;
   std::string service;
@@ -37,14 +37,17 @@
 };
 
 enum class ClaimDecisionKind {
-  // Append the claim and wait for ClaimEvent; only kWon permits to send.
+  // Append the claim and wait for its ClaimEvent; the request may be sent only
+  // after kWon.
   kAppend,
-  // This entry is running the same request under `claim_id`: wait for it.
+  // This entry is handling the same request under `claim_id`: wait for its
+  // outcome.
   kJoin,
-  // `holder`, which may still answer, has the request: ask it.
+  // `holder` claimed the key and is reachable: ask it for the outcome.
   kAskHolder,
-  // The request was answered through this entry: give the answer if it is
-  // still held.
+  // The request was answered through this entry: return the answer if it is
+  // still
+  // cached.
   kAnsweredHere,
   // Do not send; `refusal` says why.
   kRefuse,
@@ -52,18 +55,18 @@
 
 enum class ClaimRefusal {
   kNone,
-  // Proved that this request was not sent; may be tried again.
+  // This request was certainly not sent and may be retried.
   kNotCaughtUp,
   kLogDown,
   kTableFull,
   kBeingReleased,
-  // The key may have run before; never run again.
+  // The request of the key may have run before and must not run again.
   kKeyExpired,
   kKeyNotRemembered,
   kHolderGone,
   kOutcomeUnknown,
   kAnswerNotHeld,
-  // The caller's mistake.
+  // The caller's request is invalid.
   kKeyTimeAhead,
   kBodyDiffers,
 };
@@ -71,34 +74,36 @@
 // What a refusal means for the caller.
 enum class RefusalClass { kNone, kNotRun, kUnknown, kCallerFault };
 RefusalClass ClassOf(ClaimRefusal refusal);
-// One sentence for callers and logs.
+// Returns one sentence for callers and logs.
 std::string Describe(ClaimRefusal refusal);
 
 struct ClaimDecision {
   ClaimDecisionKind kind = ClaimDecisionKind::kRefuse;
   ClaimRefusal refusal = ClaimRefusal::kNone;
-  // kJoin: the claim to wait for.
+  // kJoin: the claim to wait for. kAppend: the claim to append.
   std::string claim_id;
-  // kAskHolder.
+  // kAskHolder: the holder to ask.
   ClaimHolder holder;
-  // kAppend, from Begin only: the record to append.
+  // kAppend, from BeginClaim only: the record to append.
   ClaimRecord record;
 };
 
 enum class ClaimEventKind {
-  // This entry's claim is the first in the order of the log.
+  // This entry's claim is the first one in log order and holds the key.
   kWon,
-  // It is not, or it came too late. It will never win: decide anew.
+  // Another claim holds the key, or the claim came too late or cannot be proved
+  // the first. It will never win; the request needs a new decision.
   kLost,
 };
 
-// What a folded record means for a claim of this entry.
+// Effect of an applied record on a claim of this entry.
 struct ClaimEvent {
   ClaimEventKind kind = ClaimEventKind::kLost;
   std::string claim_id;
-  // kLost because of the key's time; kNone when another claim came first.
+  // For kLost: the reason when it is the key's time, kNone when another claim
+  // came first.
   ClaimRefusal refusal = ClaimRefusal::kNone;
-  // To be appended, when set.
+  // The record to append, if set.
   std::optional<ClaimRecord> release;
 };
 
--- a/src/libs/claims/upstream_answer.h
+++ b/src/libs/claims/upstream_answer.h
@@ -1,4 +1,4 @@
-// A whole answer of an executor, as it is handed to callers.
+// A complete answer of an executor, as it is delivered to callers.
 #ifndef THORNPLANK_CLAIMS_UPSTREAM_ANSWER_H_
 #define THORNPLANK_CLAIMS_UPSTREAM_ANSWER_H_
 
