--- a/src/libs/claims/answer_cache.h
+++ b/src/libs/claims/answer_cache.h
@@ -46,7 +46,7 @@
   void EvictOldest();
 
   const AnswerCacheLimits limits_;
-  // Sum of BytesOf over answers_; at most limits_.max_bytes.
+  // Total size of answers_, with overhead; at most limits_.max_bytes.
   size_t bytes_ = 0;
   std::unordered_map<Digest128, CachedAnswer, Digest128Hash> answers_;
   // The keys of answers_, oldest first.
--- a/tests/auto/claims/tst_answer_cache.cc
+++ b/tests/auto/claims/tst_answer_cache.cc
@@ -1,4 +1,4 @@
-// Bounds of the held answers.
+// Bounds of the answer cache and what it keeps.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -17,7 +17,7 @@
 
 Digest128 Key(uint64_t number) { return {number, 0}; }
 
-TEST_CASE("held answers are bounded by bytes and by age") {
+TEST_CASE("the answer cache is bounded by bytes and by age") {
   AnswerCache cache({kMaxBytes, std::chrono::seconds(10)});
   for (uint64_t number = 0; number < 100; ++number) {
     cache.Put(Key(number), AnswerOf(1000), kNow);
@@ -33,7 +33,7 @@
   CHECK(cache.size() == 1);
 }
 
-TEST_CASE("an answer larger than the room there is leaves the others alone") {
+TEST_CASE("an answer larger than the cache evicts no other answer") {
   AnswerCache cache({kMaxBytes, std::chrono::seconds(10)});
   cache.Put(Key(1), AnswerOf(1000), kNow);
   cache.Put(Key(2), AnswerOf(kMaxBytes), kNow);
@@ -41,7 +41,7 @@
   CHECK_FALSE(cache.Find(Key(2), kNow));
 }
 
-TEST_CASE("the first answer of a key stays") {
+TEST_CASE("the first answer of a key is kept") {
   AnswerCache cache({kMaxBytes, std::chrono::seconds(10)});
   cache.Put(Key(1), AnswerOf(1), kNow);
   cache.Put(Key(1), AnswerOf(2), kNow);
--- a/tests/auto/claims/tst_claim_history.cc
+++ b/tests/auto/claims/tst_claim_history.cc
@@ -1,7 +1,9 @@
-// Random histories of several entries over one claim stream: records arrive
-// late, twice or never, holders are paused, restarted beside their old run, and
-// the log forgets. Whatever the order, a key is sent at most once, and a claim
-// whose caller was told "not run" is not sent, before or after.
+// Property test of ClaimTable with several entries on one claim stream and
+// random schedules: records arrive late, twice or never, holders are paused or
+// restarted while their old incarnation still runs, and the log drops old
+// records. In every schedule the request of a key is sent at most once, and the
+// request of a claim that was reported as "not run" is sent neither before nor
+// after the report.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -22,7 +24,7 @@
 constexpr int kStepsPerHistory = 250;
 constexpr size_t kMaxEntries = 5;
 constexpr int kMaxSkewSeconds = 14;
-// Short against the time that a history takes, so that keys expire in it.
+// Short compared with the duration of a history, so that keys expire within it.
 constexpr auto kWindow = std::chrono::minutes(2);
 const WallTime kStart = FromUnixMilliseconds(1700000000000);
 
@@ -36,7 +38,8 @@
   bool reported_not_run = false;
 };
 
-// One run of one entry; an old run goes on beside the one that replaced it.
+// One incarnation of one entry. An old incarnation keeps running beside the one
+// that replaced it.
 struct Entry {
   ClaimHolder self;
   ClaimTable table;
@@ -99,11 +102,11 @@
       if (entries_.size() < kMaxEntries) AddEntry(RandomBelow(2) ? "a" : "b");
       return;
     }
-    // Retention: the log forgets some of its oldest records.
+    // Retention: the log drops some of its oldest records.
     first_retained_ += RandomBelow(log_.size() - first_retained_ + 1) / 2;
   }
 
-  // Keys are made now and then, by callers with clocks of their own.
+  // Adds a key with a random clock skew of its caller.
   void MakeKey() {
     const std::string key = "key-" + std::to_string(key_times_.size());
     key_times_[key] = log_time_ + seconds(RandomBelow(2 * kMaxSkewSeconds + 1) -
@@ -131,7 +134,8 @@
     if (in_transit_.empty()) return;
     const int index = RandomBelow(in_transit_.size());
     log_.push_back({in_transit_[index], log_time_});
-    // Otherwise it was sent twice and the other copy is still under way.
+    // Otherwise the record was sent twice and the other copy is still in
+    // transit.
     if (RandomBelow(4) != 0) in_transit_.erase(in_transit_.begin() + index);
   }
 
@@ -167,7 +171,7 @@
     return found.empty() ? nullptr : found[RandomBelow(found.size())];
   }
 
-  // The deadline passes, or the request is proved not sent.
+  // The deadline passes, or the request is known not to have been sent.
   void Abandon() {
     Entry& entry = PickEntry();
     struct Attempt* attempt = PickAttempt(&entry, [](const struct Attempt& r) {
@@ -180,8 +184,9 @@
     attempt->reported_not_run = true;
   }
 
-  // Any number of steps may lie between the win and the send: a pause. Runs
-  // that were given up try as well, as a paused thread would.
+  // Any number of steps may lie between winning the claim and the send, as for
+  // a paused holder. Abandoned attempts try to send as well, as a paused thread
+  // would.
   void Send() {
     Entry& entry = PickEntry();
     struct Attempt* attempt =
@@ -212,7 +217,7 @@
   std::vector<StoredRecord> log_;
   size_t first_retained_ = 0;
   WallTime log_time_ = kStart;
-  // Appends whose fate is open.
+  // Records being appended; a record may reach the log more than once.
   std::vector<ClaimRecord> in_transit_;
   std::map<std::string, WallTime> key_times_;
   std::map<std::string, int> sends_;
@@ -221,7 +226,7 @@
   int claims_ = 0;
 };
 
-TEST_CASE("a key is sent at most once, and never after \"not run\"") {
+TEST_CASE("a key's request is sent at most once, and never when \"not run\"") {
   int sent_keys = 0;
   for (int seed = 0; seed < kHistories; ++seed) {
     History history(seed);
@@ -236,7 +241,7 @@
     REQUIRE_FALSE(history.sent_despite_not_run());
   }
   MESSAGE("histories " << kHistories << ", keys sent " << sent_keys);
-  // The property is not kept by sending nothing.
+  // Guards against a table that satisfies the property by sending nothing.
   CHECK(sent_keys > kHistories);
 }
 
--- a/tests/auto/claims/tst_claim_table.cc
+++ b/tests/auto/claims/tst_claim_table.cc
@@ -1,4 +1,4 @@
-// What one entry decides on a key, step by step over a short claim stream.
+// Decisions of ClaimTable on short, fixed claim streams.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -58,7 +58,7 @@
   return table->BeginClaim(RequestOf(claim_id), now, true);
 }
 
-// What was folded before, and what a new request of the key is then told.
+// Records applied before, and the decision on a new request of the key.
 struct HeldCase {
   const char* name;
   std::vector<ClaimRecord> records;
@@ -112,15 +112,15 @@
        {west, foreign_release},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
-      {"released by a later run of the holder",
+      {"released by a later incarnation of the holder",
        {west, other_run},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
-      {"released before the claim turned up",
+      {"released before the claim arrives",
        {WithKind(kReleased, west), west},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
-      {"released claim turns up again",
+      {"released claim arrives again",
        {west, WithKind(kReleased, west), west},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
@@ -128,7 +128,7 @@
        {gone, west, WithKind(kReleased, west)},
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kHolderGone},
-      {"lost claim turns up again after the winner's release",
+      {"lost claim arrives again after the winner's release",
        {gone, west, WithKind(kReleased, gone), west},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
@@ -158,14 +158,14 @@
 struct TimeCase {
   const char* name;
   Duration key_age;
-  // Oldest record known, before the present; nullopt: the whole stream.
+  // Age of the oldest known record; nullopt when the whole stream is known.
   std::optional<Duration> known_history;
   bool caught_up;
   bool log_available;
   ClaimRefusal refusal;
 };
 
-TEST_CASE("keys outside of what is remembered") {
+TEST_CASE("keys outside the window or the known history") {
   const std::vector<TimeCase> cases = {
       {"fresh", seconds(0), std::nullopt, true, true, ClaimRefusal::kNone},
       {"just inside", minutes(15), std::nullopt, true, true,
@@ -176,12 +176,12 @@
        ClaimRefusal::kNone},
       {"too far ahead", -seconds(61), std::nullopt, true, true,
        ClaimRefusal::kKeyTimeAhead},
-      {"older than what is remembered", minutes(5), minutes(5), true, true,
+      {"older than the known history", minutes(5), minutes(5), true, true,
        ClaimRefusal::kKeyNotRemembered},
-      {"claims could be older than the key", minutes(5),
+      {"claims may be older than the known history", minutes(5),
        minutes(5) + seconds(89), true, true, ClaimRefusal::kKeyNotRemembered},
-      {"remembered", minutes(5), minutes(5) + seconds(91), true, true,
-       ClaimRefusal::kNone},
+      {"within the known history", minutes(5), minutes(5) + seconds(91), true,
+       true, ClaimRefusal::kNone},
       {"not caught up", seconds(0), std::nullopt, false, true,
        ClaimRefusal::kNotCaughtUp},
       {"log down", seconds(0), std::nullopt, true, false,
@@ -222,17 +222,17 @@
   CHECK(BeginClaimAt(&east, "e-2").kind == ClaimDecisionKind::kAskHolder);
 }
 
-TEST_CASE("a claim whose reply was lost is decided by reading it back") {
+TEST_CASE("a claim whose append got no reply is decided by reading the log") {
   ClaimTable table = MakeTable(kEast);
   const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   CHECK_FALSE(table.MaySend("e-1"));
   CHECK(table.Apply(claim, kStart)->kind == ClaimEventKind::kWon);
-  // The writer sent it again.
+  // A second delivery of the record changes nothing.
   CHECK_FALSE(table.Apply(claim, kStart));
   CHECK(table.MaySend("e-1"));
 }
 
-TEST_CASE("a claim given up before it was seen is never sent") {
+TEST_CASE("a claim released before it is read from the log is never sent") {
   ClaimTable table = MakeTable(kEast);
   const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   const auto release = table.Release("e-1");
@@ -255,7 +255,7 @@
   CHECK_FALSE(table.MaySend("e-1"));
 }
 
-TEST_CASE("a paused holder keeps its claim from everybody else") {
+TEST_CASE("a claim of a paused, unreachable holder stays in force") {
   ClaimTable west = MakeTable(kWest);
   west.Apply(ClaimOf("e-1", kEast), kStart);
   west.SetReachableEntries({kWest});
@@ -303,7 +303,7 @@
   }
 }
 
-TEST_CASE("keys are forgotten by the log's clock, after no claim can win") {
+TEST_CASE("keys expire by the log's clock when no claim on them can win") {
   ClaimTable table = MakeTable(kWest);
   table.Apply(ClaimOf("e-1", kEast), kStart);
   ClaimRecord other = ClaimOf("e-2", kEast, kStart + minutes(16));
@@ -312,12 +312,12 @@
   CHECK(retention == minutes(17));
   table.Apply(other, kStart + retention);
   CHECK(table.key_count() == 2);
-  // A claim that was stuck on its way for the whole window.
+  // A claim whose append was delayed for the whole window.
   table.Apply(ClaimOf("w-1", kWest), kStart + retention + seconds(1));
   CHECK(table.key_count() == 1);
 }
 
-TEST_CASE("a key claimed anew outlives the claim released before it") {
+TEST_CASE("a key claimed again does not expire with the released claim") {
   ClaimTable table = MakeTable(kWest);
   const ClaimRecord first = ClaimOf("e-1", kEast);
   table.Apply(first, kStart);
@@ -329,7 +329,7 @@
   CHECK(table.key_count() == 2);
 }
 
-TEST_CASE("a stuck claim is lost by the log's clock") {
+TEST_CASE("a delayed claim is lost by the log's clock") {
   ClaimTable table = MakeTable(kEast);
   const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   const auto event = table.Apply(claim, kStart + minutes(16));
@@ -338,7 +338,7 @@
   CHECK(event->refusal == ClaimRefusal::kKeyExpired);
 }
 
-TEST_CASE("a gap that may hide an earlier claim takes the win away") {
+TEST_CASE("a claim does not win after a gap that may hide an earlier claim") {
   ClaimTable table = MakeTable(kEast);
   const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   table.HandleGap(kStart);
@@ -368,7 +368,7 @@
         ClaimRefusal::kTableFull);
 }
 
-TEST_CASE("records survive their JSON form") {
+TEST_CASE("records are restored from their JSON form") {
   for (const auto kind : {ClaimRecordKind::kClaim, ClaimRecordKind::kReleased,
                           ClaimRecordKind::kDone}) {
     ClaimRecord record = WithKind(kind, ClaimOf("e-1", kEast));
--- a/tests/auto/routing/routing_fixtures.h
+++ b/tests/auto/routing/routing_fixtures.h
@@ -1,4 +1,4 @@
-// Inputs that the tests of routing have in common.
+// Inputs and helpers shared by the tests of routing.
 #ifndef THORNPLANK_TESTS_AUTO_ROUTING_ROUTING_FIXTURES_H_
 #define THORNPLANK_TESTS_AUTO_ROUTING_ROUTING_FIXTURES_H_
 
@@ -68,7 +68,7 @@
   return result;
 }
 
-// The actions of type T, in order.
+// Returns the actions of type T, in order.
 template <typename T>
 std::vector<T> ActionsOfType(const RoutingActions& actions) {
   std::vector<T> result;
--- a/tests/auto/routing/tst_admission.cc
+++ b/tests/auto/routing/tst_admission.cc
@@ -1,5 +1,4 @@
-// Queued requests whose time runs out, and what refusals tell the other
-// entries.
+// Refusal of requests that would miss their deadline, and refusals as demand.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -19,7 +18,8 @@
 using routing_test::MakeRequest;
 using routing_test::MakeResult;
 
-// Executors of one slot that take 100 ms, all of them busy from At(100) on.
+// A router whose executors have one slot each and a service time of 100 ms; all
+// are busy from At(100) on.
 struct Busy {
   Busy(int executors, int max_queued) : router(RouterOptions{}) {
     AccountLimits limits = MakeAccount("a");
@@ -42,10 +42,11 @@
   }
 
   RequestRouter router;
-  SendAttempt running;  // the last one sent
+  SendAttempt running;  // the last attempt sent
 };
 
-TEST_CASE("a slot is not spent on what would be late while others wait") {
+TEST_CASE(
+    "a slot is not used for a request that would be late while others wait") {
   Busy busy(1, 100);
   busy.Submit("short", 1000, 100);
   busy.Submit("long", 9000, 100);
@@ -56,7 +57,7 @@
   CHECK(ActionsOfType<SendAttempt>(actions).at(0).request_id == "long");
 }
 
-TEST_CASE("requests that became hopeless are refused before their deadline") {
+TEST_CASE("requests that can no longer meet their deadline are refused early") {
   Busy busy(10, 1000);
   for (int i = 0; i < 100; ++i) {
     busy.Submit("r" + std::to_string(i), 2000, 100);
@@ -69,7 +70,7 @@
   CHECK(refused < 95);
 }
 
-TEST_CASE("requests turned away show as demand and fade") {
+TEST_CASE("refused requests count as demand and decay") {
   Busy busy(1, 1);
   for (int i = 0; i < 12; ++i) {
     busy.Submit("r" + std::to_string(i), 9000, 100);
@@ -80,7 +81,7 @@
   CHECK(busy.router.demand().accounts.at(0).queued == 2);
 }
 
-TEST_CASE("the margin follows the share of late refusals") {
+TEST_CASE("the margin depends on the share of late refusals") {
   struct Row {
     int late_per_thousand;
     double least;
--- a/tests/auto/routing/tst_executor_health.cc
+++ b/tests/auto/routing/tst_executor_health.cc
@@ -1,4 +1,4 @@
-// What speaks against an executor, and how it comes back.
+// Ejection of executors and their reinstatement.
 #include "routing/executor_health.h"
 
 #include <doctest/doctest.h>
@@ -21,9 +21,9 @@
   return peers;
 }
 
-TEST_CASE("outcomes that take an executor out") {
-  // One letter an attempt: a answered, f failed, n not sent, u lost, t timed
-  // out, s timed out after a time too short to blame anyone, r refused.
+TEST_CASE("outcomes that eject an executor") {
+  // One letter per attempt: a answered, f failed, n not sent, u answer lost,
+  // t timed out, s timed out after too short a time to be evidence, r refused.
   struct Row {
     std::string name;
     const char* outcomes;
@@ -34,14 +34,14 @@
   const Row rows[] = {
       {"answers", "aaaaaaaaaa", 0, true, false},
       {"fails fast", "afff", 0, true, true},
-      {"a failure now and then", "afafafafaf", 0, true, false},
+      {"occasional failures", "afafafafaf", 0, true, false},
       {"more failures than its peers", "ffaffaffaffaffaffaffa", 0, true, true},
       {"all fail alike", "ffffffffff", 0.9, true, false},
-      {"too many are out already", "ffffffffff", 0, false, false},
+      {"too many are ejected already", "ffffffffff", 0, false, false},
       {"black hole", "att", 0, true, true},
       {"deadlines too short", "ssssssssss", 0, true, false},
       {"unreachable", "nnn", 0.9, false, true},
-      {"refusals are no fault", "rrrrrrrrrr", 0, true, false},
+      {"refusals are no failures", "rrrrrrrrrr", 0, true, false},
       {"lost answers", "uuu", 0, true, true},
   };
   for (const Row& row : rows) {
@@ -79,7 +79,7 @@
   }
 }
 
-TEST_CASE("silence and slowness, against peers only") {
+TEST_CASE("silence and slowness are judged relative to peers") {
   struct Row {
     std::string name;
     int latency_ms;
@@ -92,7 +92,7 @@
   const Row rows[] = {
       {"as fast as its peers", 10, 5, false, true, true, false},
       {"far slower", 200, 5, false, true, true, true},
-      {"far slower, too many out", 200, 5, false, true, false, false},
+      {"far slower, too many ejected", 200, 5, false, true, false, false},
       {"silent", 10, 2000, false, true, true, true},
       {"one long request among answers", 10, 2000, true, true, true, false},
       {"all are silent", 10, 2000, false, false, true, false},
@@ -115,14 +115,14 @@
   }
 }
 
-TEST_CASE("it comes back by one probe and a slow start") {
+TEST_CASE("an ejected executor is reinstated by a probe and a slow start") {
   ExecutorHealth health;
   health.Eject(false, At(0));
   CHECK(health.SlotLimit(8) == 0);
   const Duration first_stay = health.probe_time() - At(0);
   health.BeginProbe(At(2000));
   CHECK(health.SlotLimit(8) == 0);
-  SUBCASE("a lost probe lengthens the stay") {
+  SUBCASE("a lost probe lengthens the ejection") {
     CHECK_FALSE(health.EndProbe(false, At(2000)));
     CHECK(health.SlotLimit(8) == 0);
     CHECK(health.probe_time() - At(2000) == 2 * first_stay);
@@ -139,7 +139,7 @@
                   At(2000));
     CHECK(health.state() == ExecutorHealth::State::kActive);
   }
-  SUBCASE("one failure in slow start takes it out again, for longer") {
+  SUBCASE("one failure in slow start ejects it again, for longer") {
     CHECK(health.EndProbe(true, At(2000)));
     CHECK(health
               .Record(MakeResult(AttemptOutcome::kFailed), false, GoodPeers(),
--- a/tests/auto/routing/tst_executor_pool.cc
+++ b/tests/auto/routing/tst_executor_pool.cc
@@ -1,4 +1,4 @@
-// Which executor is picked, and how many slots there are.
+// Choice of the executor and counts of slots.
 #include "routing/executor_pool.h"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,8 @@
 using routing_test::MakeResult;
 using std::chrono::milliseconds;
 
-// Four executors, one in each domain, the own one being that of the second.
+// Four executors, one in each failure domain. The entry is in the domain of the
+// second one, executor-101.
 struct Fixture {
   explicit Fixture(int slots = 8, int connections = 60)
       : pool(1, "domain-1"), executors(MakeExecutors(4, slots)) {
@@ -42,7 +43,7 @@
   std::vector<ExecutorInfo> executors;
 };
 
-TEST_CASE("the least loaded executor is picked, then the nearest") {
+TEST_CASE("the least loaded executor is picked, then the local one") {
   struct Row {
     std::string name;
     std::vector<int> load;
@@ -69,7 +70,7 @@
   }
 }
 
-TEST_CASE("a refusal pauses an executor and cuts its limit") {
+TEST_CASE("a refusal starts a backoff and reduces the executor's limit") {
   Fixture fixture;
   fixture.Refuse("executor-101");
   CHECK(fixture.pool.usable_slots() == 4 * 8 - 2);
@@ -77,12 +78,12 @@
   CHECK(fixture.pool.Pick("", At(1000))->info.name == "executor-101");
 }
 
-TEST_CASE("connections are limited, slots or not") {
+TEST_CASE("the connection limit bounds the usable slots") {
   Fixture fixture(8, 3);
   CHECK(fixture.pool.usable_slots() == 4 * 3);
 }
 
-TEST_CASE("the slots are counted through all changes of executors") {
+TEST_CASE("slot totals stay correct when executors change") {
   Fixture fixture;
   fixture.Refuse("executor-101");
   fixture.executors[1].address = "127.0.0.1:9999";
--- a/tests/auto/routing/tst_fair_queue.cc
+++ b/tests/auto/routing/tst_fair_queue.cc
@@ -1,4 +1,4 @@
-// Whose turn it is.
+// Order of accounts and requests in the fair queue.
 #include "routing/fair_queue.h"
 
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
   }
 }
 
-// Begins requests by turn; returns how many each account got.
+// Begins `count` attempts in the queue's order; returns the number per account.
 std::map<std::string, int> BeginMany(FairQueue* queue, int count) {
   std::map<std::string, int> begun;
   for (int i = 0; i < count; ++i) {
@@ -65,7 +65,7 @@
        100,
        25,
        75},
-      {"a guarantee before the rest",
+      {"a guarantee is served first",
        {MakeAccount("a"), MakeAccount("b", 80)},
        500,
        500,
@@ -86,7 +86,7 @@
        100,
        95,
        5},
-      {"two guarantees too large are divided",
+      {"guarantees larger than the slots are divided",
        {MakeAccount("a", 100), MakeAccount("b", 100)},
        500,
        500,
@@ -108,7 +108,7 @@
   }
 }
 
-TEST_CASE("an account that uses longer requests gets fewer of them") {
+TEST_CASE("an account with longer requests gets fewer of them") {
   FairQueue queue;
   queue.SetLimits({MakeAccount("long"), MakeAccount("short")});
   Fill(&queue, "long", 2000);
@@ -127,7 +127,7 @@
   CHECK(begun["short"] <= 4.5 * begun["long"]);
 }
 
-TEST_CASE("an idle account does not catch up on what it left unused") {
+TEST_CASE("an idle account gets no credit for slots it did not use") {
   FairQueue queue;
   queue.SetLimits({MakeAccount("a"), MakeAccount("b")});
   Fill(&queue, "a", 1000);
@@ -153,14 +153,14 @@
   CHECK(queue.size() == 0);
 }
 
-TEST_CASE("a guarantee is divided over the entries by demand") {
+TEST_CASE("a guarantee is divided among the entries by demand") {
   struct Row {
     int waiting;
     int refused;
     double elsewhere;
     int expected;
   };
-  // The demand of the other entries counts what they refused, too.
+  // The demand of the other entries includes the requests that they refused.
   const Row rows[] = {{0, 0, 10, 0},   {10, 0, 0, 40},    {10, 0, 30, 10},
                       {1, 0, 1000, 1}, {10, 90, 100, 20}, {0, 10, 30, 10}};
   for (const Row& row : rows) {
--- a/tests/auto/routing/tst_request_router.cc
+++ b/tests/auto/routing/tst_request_router.cc
@@ -1,4 +1,5 @@
-// The router's life of a request: admission, sending, retries, finishing.
+// Lifecycle of a request in the router: admission, sending, retries, final
+// action.
 #include "routing/request_router.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +22,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A router for one entry with account "a".
+// A router of a single entry, by default with the account "a".
 struct Fixture {
   explicit Fixture(int executors, int slots = 8,
                    std::vector<AccountLimits> accounts = {MakeAccount("a")})
@@ -41,7 +42,7 @@
 };
 
 TEST_CASE(
-    "a request is sent to the own failure domain and its answer ends it") {
+    "a request is sent within the failure domain and its answer ends it") {
   Fixture fixture(8);
   const auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(1000)), At(0)));
@@ -56,7 +57,7 @@
   CHECK(fixture.router.demand().accounts.empty());
 }
 
-TEST_CASE("an outcome that fits no attempt in flight is ignored") {
+TEST_CASE("an outcome without a matching attempt in flight is ignored") {
   Fixture fixture(2);
   const auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(1000)), At(0)));
@@ -72,13 +73,13 @@
             .empty());
 }
 
-TEST_CASE("what cannot run is refused at once") {
+TEST_CASE("requests that cannot run are refused at once") {
   Fixture fixture(1, 1, {MakeAccount("a"), [] {
                            AccountLimits limits = MakeAccount("closed");
                            limits.borrowing = false;
                            return limits;
                          }()});
-  // One answer of 100 ms teaches the service time.
+  // One answer after 100 ms sets the estimated service time.
   auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("first", "a", At(9000)), At(0)));
   fixture.router.CompleteAttempt("first", sends[0].executor,
@@ -111,7 +112,7 @@
   }
 }
 
-TEST_CASE("Retry-After spreads the return and grows with the backlog") {
+TEST_CASE("Retry-After has jitter and grows with the backlog") {
   const auto widest = [](int queued) {
     AccountLimits limits = MakeAccount("a");
     limits.max_queued = queued;
@@ -140,7 +141,7 @@
   CHECK(widest(200) > widest(20));
 }
 
-TEST_CASE("a request in flight at its deadline ends as unknown, once") {
+TEST_CASE("a request in flight at its deadline ends once, as unknown") {
   Fixture fixture(2);
   const auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(100), false), At(0)));
@@ -171,7 +172,8 @@
   CHECK(fixture.router.demand().accounts[0].queued == 0);
 }
 
-TEST_CASE("borrowing leaves the last slot to an active guaranteed account") {
+TEST_CASE(
+    "the last slot is reserved for an active account below its guarantee") {
   RequestRouter router(RouterOptions{});
   router.SetAccountLimits({MakeAccount("a", 4), MakeAccount("b")}, At(0));
   router.SetExecutors(MakeExecutors(2, 8), At(0));
@@ -239,7 +241,7 @@
   }
 }
 
-TEST_CASE("a retry goes to another executor even when that is farther") {
+TEST_CASE("a retry goes to another executor, even in another failure domain") {
   Fixture fixture(2);
   const auto first = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(5000)), At(0)));
--- a/tests/auto/routing/tst_retry_policy.cc
+++ b/tests/auto/routing/tst_retry_policy.cc
@@ -1,4 +1,4 @@
-// Outcomes of attempts and what follows from them.
+// Next step after each outcome of an attempt, and the retry budget.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -39,36 +39,37 @@
        NextStep::kDeliver},
       {"a failure of an idempotent request is retried", Outcome::kFailed,
        History(true, 1, false), NextStep::kRetry},
-      {"a failure of another one is delivered", Outcome::kFailed,
+      {"a failure of a non-idempotent request is delivered", Outcome::kFailed,
        History(false, 1, false), NextStep::kDeliver},
       {"a failure without budget is delivered", Outcome::kFailed,
        History(true, 1, false, false), NextStep::kDeliver},
       {"an unknown idempotent request is retried", Outcome::kUnknown,
        History(true, 1, false), NextStep::kRetry},
-      {"another unknown one is not", Outcome::kUnknown,
+      {"an unknown non-idempotent request is not retried", Outcome::kUnknown,
        History(false, 1, false), NextStep::kFinishUnknown},
-      {"the last try ends unknown", Outcome::kUnknown, History(true, 3, true),
-       NextStep::kFinishUnknown},
-      {"a refused request moves, idempotent or not", Outcome::kRefusedNotRun,
+      {"the last try ends as unknown", Outcome::kUnknown,
+       History(true, 3, true), NextStep::kFinishUnknown},
+      {"a refused non-idempotent request is retried", Outcome::kRefusedNotRun,
        History(false, 0, false), NextStep::kRetry},
-      {"a refusal moves without budget", Outcome::kRefusedNotRun,
+      {"a refused request is retried without budget", Outcome::kRefusedNotRun,
        History(false, 0, false, false), NextStep::kRetry},
-      {"moves are bounded", Outcome::kRefusedNotRun, refused_often,
-       NextStep::kFinishNotRun},
-      {"a request not sent moves, idempotent or not", Outcome::kNotSent,
+      {"retries after refusals are bounded", Outcome::kRefusedNotRun,
+       refused_often, NextStep::kFinishNotRun},
+      {"an unsent non-idempotent request is retried", Outcome::kNotSent,
        History(false, 1, false), NextStep::kRetry},
-      {"a request not sent costs budget", Outcome::kNotSent,
+      {"a retry of an unsent request needs budget", Outcome::kNotSent,
        History(false, 1, false, false), NextStep::kFinishNotRun},
-      {"what may have run is never 'not run'", Outcome::kNotSent,
+      {"a request that may have run never ends as 'not run'", Outcome::kNotSent,
        History(true, 3, true), NextStep::kFinishUnknown},
-      {"nor when refused at the end", Outcome::kRefusedNotRun,
+      {"a request that may have run and is refused at last",
+       Outcome::kRefusedNotRun,
        [] {
          AttemptHistory history = History(true, 1, true);
          history.refusals = 8;
          return history;
        }(),
        NextStep::kFinishUnknown},
-      {"a caller that is gone gets no retry", Outcome::kNotSent, unwanted,
+      {"no retry when the caller is gone", Outcome::kNotSent, unwanted,
        NextStep::kFinishNotRun},
       {"no other executor", Outcome::kUnknown, alone, NextStep::kFinishUnknown},
   };
@@ -78,7 +79,7 @@
   }
 }
 
-TEST_CASE("a budget allows its share of retries and no more") {
+TEST_CASE("a budget allows its percentage of retries and no more") {
   struct BudgetRow {
     double percent;
     int requests;
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -1,7 +1,8 @@
-// What holds for the router under any order of events.
+// Property test: invariants of the router under any order of events.
 //
-// Random events drive a router while a model beside it keeps what the outside
-// world knows: attempts in flight, final actions, signs of leaving.
+// Random events are passed to a router, and its actions are checked against a
+// model of the externally visible state: attempts in flight, final actions, and
+// notices that executors are leaving.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -36,7 +37,7 @@
 
 using Allocation = std::map<std::string, int>;
 
-// Notes what the router was allowed.
+// Records the slots that the policy allocated to the router.
 class RecordingShare : public SlotSharingPolicy {
  public:
   explicit RecordingShare(Allocation* allocation) : allocation_(allocation) {}
@@ -73,7 +74,7 @@
   std::map<std::string, int> load;
   std::set<std::string> announced_leaving;
   std::set<std::string> listed_leaving;
-  std::set<std::string> out;
+  std::set<std::string> ejected;
   std::vector<std::string> probes;
 };
 
@@ -100,7 +101,7 @@
     } else if (kind < 88) {
       now_ += milliseconds(argument % 400);
       Execute(router_.Tick(now_));
-      // A wake that is due at once would make the carrier spin.
+      // A tick that is due at once would make the dispatcher spin.
       RC_ASSERT(router_.NextTickTime().value_or(Time::max()) > now_);
     } else if (kind < 91) {
       ToggleLeaving(argument);
@@ -114,7 +115,7 @@
     }
   }
 
-  // Every request must come to its end when the attempts do.
+  // Completes all attempts and checks that every request got one final action.
   void Finish() {
     for (int round = 0; round < 2000 && CompleteOne(0); ++round) {
     }
@@ -219,30 +220,31 @@
 
   void Execute(const RoutingActions& actions) {
     for (const RoutingAction& action : actions) {
-      if (const auto* taken_out = std::get_if<ExecutorEjected>(&action)) {
-        model_.out.insert(taken_out->executor);
-      } else if (const auto* back = std::get_if<ExecutorReinstated>(&action)) {
-        // Back from its own sign of leaving, or else from being out.
-        if (model_.announced_leaving.erase(back->executor) == 0) {
-          model_.out.erase(back->executor);
+      if (const auto* ejected = std::get_if<ExecutorEjected>(&action)) {
+        model_.ejected.insert(ejected->executor);
+      } else if (const auto* reinstated =
+                     std::get_if<ExecutorReinstated>(&action)) {
+        // Ends the state that the executor announced, or else its ejection.
+        if (model_.announced_leaving.erase(reinstated->executor) == 0) {
+          model_.ejected.erase(reinstated->executor);
         }
       } else if (const auto* probe = std::get_if<ProbeExecutor>(&action)) {
         model_.probes.push_back(probe->executor);
       } else if (const auto* send = std::get_if<SendAttempt>(&action)) {
         Send(*send);
       } else if (const auto* answered = std::get_if<FinishAnswered>(&action)) {
-        Final(answered->request_id);
+        RecordFinalAction(answered->request_id);
       } else if (const auto* not_run = std::get_if<FinishNotRun>(&action)) {
-        Final(not_run->request_id);
+        RecordFinalAction(not_run->request_id);
         RC_ASSERT(!model_.requests[not_run->request_id].may_have_run);
         RC_ASSERT(model_.requests[not_run->request_id].in_flight_at.empty());
       } else if (const auto* unknown = std::get_if<FinishUnknown>(&action)) {
-        Final(unknown->request_id);
+        RecordFinalAction(unknown->request_id);
       }
     }
   }
 
-  void Final(const std::string& id) {
+  void RecordFinalAction(const std::string& id) {
     RC_ASSERT(++model_.requests[id].finals == 1);
   }
 
@@ -257,7 +259,7 @@
     RC_ASSERT(send.attempt_deadline <= request.deadline);
     RC_ASSERT(model_.announced_leaving.count(send.executor) == 0u);
     RC_ASSERT(model_.listed_leaving.count(send.executor) == 0u);
-    RC_ASSERT(model_.out.count(send.executor) == 0u);
+    RC_ASSERT(model_.ejected.count(send.executor) == 0u);
     RC_ASSERT(model_.load[send.executor] < allocation_[send.executor]);
     ++model_.load[send.executor];
     request.in_flight_at = send.executor;
--- a/tests/auto/routing/tst_slot_sharing_policy.cc
+++ b/tests/auto/routing/tst_slot_sharing_policy.cc
@@ -1,4 +1,4 @@
-// Ways of sharing slots between entries.
+// Policies that divide slots among entries.
 #include "routing/slot_sharing_policy.h"
 
 #include <doctest/doctest.h>
@@ -44,7 +44,7 @@
   return share.Allocate(input);
 }
 
-TEST_CASE("ranges of all entries together are all slots, each once") {
+TEST_CASE("the ranges of all entries cover each slot exactly once") {
   struct Row {
     std::string name;
     std::vector<std::vector<double>> demand;
@@ -75,7 +75,7 @@
   }
 }
 
-TEST_CASE("slots go where the demand is") {
+TEST_CASE("slots are allocated by demand") {
   struct Row {
     std::string name;
     std::vector<AccountLimits> accounts;
@@ -87,37 +87,37 @@
   AccountLimits closed = MakeAccount("b", 50);
   closed.borrowing = false;
   const Row rows[] = {
-      {"a burst at one entry gets all that nobody uses",
+      {"a burst at one entry gets all unused slots",
        {MakeAccount("a")},
        {{5000}, {0}, {0}, {0}},
        0,
        400,
        400},
-      {"an idle entry keeps a little for its first request",
+      {"an idle entry keeps slots for its first request",
        {MakeAccount("a")},
        {{5000}, {0}, {0}, {0}},
        2,
        2,
        2},
-      {"a guarantee at one entry stands against a flood at another",
+      {"a guarantee at one entry holds during a flood at another",
        {MakeAccount("a"), MakeAccount("b", 50)},
        {{10000, 0}, {0, 50}},
        1,
        50,
        50},
-      {"weights divide what no guarantee claims",
+      {"weights divide the slots beyond the guarantees",
        {MakeAccount("a"), MakeAccount("b", 0, 3.0)},
        {{10000, 0}, {0, 10000}},
        1,
        300,
        300},
-      {"without borrowing there is no more than the guarantee",
+      {"without borrowing an account gets no more than its guarantee",
        {MakeAccount("a"), closed},
        {{10000, 0}, {0, 10000}},
        1,
        50,
        50},
-      {"guarantees that do not fit are cut in proportion",
+      {"guarantees larger than the slots are reduced in proportion",
        {MakeAccount("a", 600), MakeAccount("b", 200)},
        {{1000, 0}, {0, 1000}},
        1,
@@ -134,7 +134,7 @@
   }
 }
 
-TEST_CASE("even a small share touches many executors and all domains") {
+TEST_CASE("a small share spans many executors and all failure domains") {
   SlotSharingInput input =
       MakeInput({MakeAccount("a")}, {{3920}, {80}});  // 392 and 8 slots
   const std::vector<int> slots = AllocateFor(DemandShare(), input, 1);
@@ -149,7 +149,7 @@
   CHECK(domains.size() == 4);
 }
 
-TEST_CASE("the potential of an entry is what the others do not claim") {
+TEST_CASE("an entry can attain the slots beyond the others' demand") {
   const SlotSharingInput input =
       MakeInput({MakeAccount("a")}, {{10}, {100}, {50}, {0}});
   CHECK(DemandShare().AttainableSlots(input) == doctest::Approx(kTotal - 150));
@@ -158,7 +158,7 @@
   CHECK(Sum(AllSlots().Allocate(input)) == kTotal);
 }
 
-TEST_CASE("an executor's connections are divided over the entries") {
+TEST_CASE("an executor's connections are divided among the entries") {
   struct Row {
     size_t entries;
     int limit;
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -1,5 +1,5 @@
-// Upstreams that fail, vanish, are full or leave, and what the router makes of
-// them; accounts that flood.
+// Reaction of the router to upstreams that fail, do not answer, are full or
+// leave, and to accounts that flood it.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -28,14 +28,14 @@
 const std::string kFaultyExecutor = "executor-100";
 constexpr int kLatencyMs = 10;
 
-// What an executor does with a request.
+// Outcome of a request at an executor.
 struct Reaction {
   AttemptOutcome outcome = AttemptOutcome::kAnswered;
   int latency_ms = kLatencyMs;
   bool leaving = false;
 };
 
-// Runs requests through a router for some virtual time.
+// Drives a router with requests in virtual time.
 class Simulation {
  public:
   using Behaviour = std::function<Reaction(const SendAttempt&)>;
@@ -48,7 +48,7 @@
     router_.SetLiveEntries("entry-1", {}, now_);
   }
 
-  // Each millisecond `per_ms` requests of the account arrive.
+  // From now on `per_ms` requests of the account arrive per millisecond.
   void SetArrivalRate(const std::string& account, int per_ms) {
     arrivals_[account] = per_ms;
   }
@@ -78,9 +78,9 @@
   RequestRouter& router() { return router_; }
   Time now() const { return now_; }
   int sent_to(const std::string& executor) { return sent_[executor]; }
-  int taken_out(const std::string& executor) { return taken_out_[executor]; }
-  size_t executors_taken_out() const { return taken_out_.size(); }
-  int back() const { return back_; }
+  int ejections(const std::string& executor) { return ejections_[executor]; }
+  size_t executors_ejected() const { return ejections_.size(); }
+  int reinstated() const { return reinstated_; }
   int answered() const { return answered_; }
 
   void Execute(const RoutingActions& actions) {
@@ -91,10 +91,10 @@
         const Time end = now_ + milliseconds(reaction.latency_ms);
         ends_.emplace(std::min(end, send->attempt_deadline),
                       std::make_pair(*send, reaction));
-      } else if (const auto* taken = std::get_if<ExecutorEjected>(&action)) {
-        ++taken_out_[taken->executor];
+      } else if (const auto* ejected = std::get_if<ExecutorEjected>(&action)) {
+        ++ejections_[ejected->executor];
       } else if (std::holds_alternative<ExecutorReinstated>(action)) {
-        ++back_;
+        ++reinstated_;
       } else if (std::holds_alternative<FinishAnswered>(action)) {
         ++answered_;
       } else if (const auto* probe = std::get_if<ProbeExecutor>(&action)) {
@@ -118,12 +118,12 @@
   std::multimap<Time, std::pair<SendAttempt, Reaction>> ends_;
   std::deque<std::string> probes_;
   std::map<std::string, int> sent_;
-  std::map<std::string, int> taken_out_;
-  int back_ = 0;
+  std::map<std::string, int> ejections_;
+  int reinstated_ = 0;
   int answered_ = 0;
 };
 
-TEST_CASE("a bad upstream among good ones draws few requests") {
+TEST_CASE("a faulty upstream among healthy ones gets few requests") {
   struct Row {
     std::string name;
     Reaction reaction;
@@ -144,14 +144,14 @@
     simulation.Advance(4000);
     MESSAGE(row.name, ": ", simulation.sent_to(kFaultyExecutor),
             " of 8000 requests");
-    CHECK(simulation.taken_out(kFaultyExecutor) >= 1);
+    CHECK(simulation.ejections(kFaultyExecutor) >= 1);
     CHECK(simulation.sent_to(kFaultyExecutor) < 150);
     CHECK(simulation.sent_to("executor-105") > 500);
-    CHECK(simulation.executors_taken_out() == 1);
+    CHECK(simulation.executors_ejected() == 1);
   }
 }
 
-TEST_CASE("an upstream that is mended comes back") {
+TEST_CASE("a repaired upstream is reinstated") {
   bool repaired = false;
   Simulation simulation(10, {MakeAccount("a")}, [&](const SendAttempt& send) {
     return send.executor == kFaultyExecutor && !repaired
@@ -164,16 +164,16 @@
   simulation.Advance(3000);
   const int before = simulation.sent_to(kFaultyExecutor);
   simulation.Advance(2000);
-  CHECK(simulation.back() >= 1);
+  CHECK(simulation.reinstated() >= 1);
   CHECK(simulation.sent_to(kFaultyExecutor) - before > 200);
 }
 
-TEST_CASE("when many fail, enough stay in rotation") {
+TEST_CASE("when many upstreams fail, enough stay in rotation") {
   struct Row {
     std::string name;
     int bad;
     Reaction reaction;
-    size_t most_out;
+    size_t max_ejected;
   };
   const Row rows[] = {
       {"all fail", 10, {AttemptOutcome::kFailed, 1, false}, 5},
@@ -188,11 +188,11 @@
     });
     simulation.SetArrivalRate("a", 2);
     simulation.Advance(900);
-    CHECK(simulation.executors_taken_out() <= row.most_out);
+    CHECK(simulation.executors_ejected() <= row.max_ejected);
   }
 }
 
-TEST_CASE("one account's failing requests take no executor out") {
+TEST_CASE("failing requests of one account eject no executor") {
   Simulation simulation(
       10, {MakeAccount("bad"), MakeAccount("good")},
       [&](const SendAttempt& send) {
@@ -205,20 +205,20 @@
   simulation.SetArrivalRate("good", 2);
   simulation.Advance(3000);
   CHECK(simulation.answered() > 8000);
-  CHECK(simulation.executors_taken_out() == 0);
+  CHECK(simulation.executors_ejected() == 0);
 }
 
-TEST_CASE("an upstream that is leaving gets nothing new") {
+TEST_CASE("a leaving upstream gets no new requests") {
   std::vector<ExecutorInfo> executors = MakeExecutors(4);
-  bool says = false;
+  bool announces_leaving = false;
   Simulation simulation(4, {MakeAccount("a")}, [&](const SendAttempt& send) {
     Reaction reaction;
-    reaction.leaving = says && send.executor == kFaultyExecutor;
+    reaction.leaving = announces_leaving && send.executor == kFaultyExecutor;
     return reaction;
   });
   simulation.SetArrivalRate("a", 1);
   simulation.Advance(100);
-  SUBCASE("when the list says so") {
+  SUBCASE("when the instance list marks it") {
     executors[0].leaving = true;
     simulation.Execute(
         simulation.router().SetExecutors(executors, simulation.now()));
@@ -226,8 +226,8 @@
     simulation.Advance(500);
     CHECK(simulation.sent_to(kFaultyExecutor) == before);
   }
-  SUBCASE("when it says so itself, whatever the list says") {
-    says = true;
+  SUBCASE("when it announces it, whatever the list says") {
+    announces_leaving = true;
     simulation.Advance(50);
     const int before = simulation.sent_to(kFaultyExecutor);
     simulation.Execute(
@@ -241,23 +241,23 @@
         simulation.router().SetExecutors(executors, simulation.now()));
     simulation.Advance(500);
     CHECK(simulation.sent_to(kFaultyExecutor) == before);
-    SUBCASE("until another takes its name") {
+    SUBCASE("until another upstream takes its name") {
       executors[0].address = "127.0.0.1:9999";
       simulation.Execute(
           simulation.router().SetExecutors(executors, simulation.now()));
-      says = false;
+      announces_leaving = false;
       simulation.Advance(100);
       CHECK(simulation.sent_to(kFaultyExecutor) > before);
     }
-    SUBCASE("until a probe is answered without the sign") {
-      says = false;
+    SUBCASE("until a probe is answered without the notice") {
+      announces_leaving = false;
       simulation.Advance(12000);
       CHECK(simulation.sent_to(kFaultyExecutor) > before);
     }
   }
 }
 
-TEST_CASE("a full upstream is not asked again at once") {
+TEST_CASE("a full upstream is not tried again at once") {
   Simulation simulation(4, {MakeAccount("a")}, [&](const SendAttempt& send) {
     return send.executor == kFaultyExecutor
                ? Reaction{AttemptOutcome::kRefusedNotRun, 1, false}
@@ -269,8 +269,8 @@
   CHECK(simulation.sent_to(kFaultyExecutor) < 300);
 }
 
-TEST_CASE("a flood does not take a neighbour's guaranteed slots") {
-  // By weight alone the neighbour would get 4 of the 40 slots.
+TEST_CASE("a flood does not use another account's guaranteed slots") {
+  // By weight alone the account "guaranteed" would get 4 of the 40 slots.
   Simulation simulation(
       5, {MakeAccount("flood", 0, 10.0), MakeAccount("guaranteed", 20)},
       [](const SendAttempt&) { return Reaction{}; });
