--- a/src/libs/claims/claim_table.cc
+++ b/src/libs/claims/claim_table.cc
@@ -90,9 +90,9 @@
 
 std::optional<ClaimEvent> ClaimTable::HandleWin(const ClaimRecord& record,
                                                 KeyState* held) {
-  const auto own = own_claims_.find(record.claim_id);
-  if (own == own_claims_.end()) return std::nullopt;
-  if (own->second.phase == OwnClaimPhase::kAbandoned) {
+  const auto own_claim = own_claims_.find(record.claim_id);
+  if (own_claim == own_claims_.end()) return std::nullopt;
+  if (own_claim->second.phase == OwnClaimPhase::kAbandoned) {
     held->phase = KeyPhase::kReleasing;
     return std::nullopt;
   }
@@ -104,7 +104,7 @@
     event.release = Release(record.claim_id);
     return event;
   }
-  own->second.phase = OwnClaimPhase::kWon;
+  own_claim->second.phase = OwnClaimPhase::kWon;
   event.kind = ClaimEventKind::kWon;
   return event;
 }
@@ -115,10 +115,10 @@
   VoidClaim(claim);
   const auto found = own_claims_.find(record.claim_id);
   if (found == own_claims_.end()) return std::nullopt;
-  const OwnClaim own = std::move(found->second);
+  const OwnClaim own_claim = std::move(found->second);
   own_claims_.erase(found);
-  RemoveFromKeyIndex(own);
-  if (own.phase != OwnClaimPhase::kPending) return std::nullopt;
+  RemoveFromKeyIndex(own_claim);
+  if (own_claim.phase != OwnClaimPhase::kPending) return std::nullopt;
   ClaimEvent event;
   event.kind = ClaimEventKind::kLost;
   event.claim_id = record.claim_id;
@@ -134,10 +134,10 @@
       held->second.phase != KeyPhase::kDone) {
     keys_.erase(held);
   }
-  const auto own = own_claims_.find(record.claim_id);
-  if (own == own_claims_.end()) return;
-  RemoveFromKeyIndex(own->second);
-  own_claims_.erase(own);
+  const auto own_claim = own_claims_.find(record.claim_id);
+  if (own_claim == own_claims_.end()) return;
+  RemoveFromKeyIndex(own_claim->second);
+  own_claims_.erase(own_claim);
 }
 
 void ClaimTable::ApplyDone(const ClaimRecord& record) {
@@ -210,8 +210,8 @@
   if (held != keys_.end()) return EvaluateHeldKey(held->second, request);
   const auto pending = own_by_key_.find(key);
   if (pending != own_by_key_.end()) {
-    const OwnClaim& own = own_claims_.at(pending->second);
-    if (own.record.body_digest != request.body_digest) {
+    const OwnClaim& own_claim = own_claims_.at(pending->second);
+    if (own_claim.record.body_digest != request.body_digest) {
       return Refuse(ClaimRefusal::kBodyDiffers);
     }
     return Join(pending->second);
@@ -285,47 +285,48 @@
                                      bool log_available) {
   ClaimDecision decision = Evaluate(request, now, log_available);
   if (decision.kind != ClaimDecisionKind::kAppend) return decision;
-  OwnClaim own;
-  own.record.kind = ClaimRecordKind::kClaim;
-  own.record.account = request.account;
-  own.record.service = request.service;
-  own.record.key = request.key;
-  own.record.holder = settings_.self;
-  own.record.claim_id = request.claim_id;
-  own.record.key_time = request.key_time;
-  own.record.body_digest = request.body_digest;
-  own.key = KeyDigest(own.record);
-  own_by_key_[own.key] = request.claim_id;
-  decision.record = own.record;
-  own_claims_[request.claim_id] = std::move(own);
+  OwnClaim own_claim;
+  own_claim.record.kind = ClaimRecordKind::kClaim;
+  own_claim.record.account = request.account;
+  own_claim.record.service = request.service;
+  own_claim.record.key = request.key;
+  own_claim.record.holder = settings_.self;
+  own_claim.record.claim_id = request.claim_id;
+  own_claim.record.key_time = request.key_time;
+  own_claim.record.body_digest = request.body_digest;
+  own_claim.key = KeyDigest(own_claim.record);
+  own_by_key_[own_claim.key] = request.claim_id;
+  decision.record = own_claim.record;
+  own_claims_[request.claim_id] = std::move(own_claim);
   return decision;
 }
 
 bool ClaimTable::MaySend(const std::string& claim_id) const {
-  const auto own = own_claims_.find(claim_id);
-  if (own == own_claims_.end()) return false;
-  if (own->second.phase != OwnClaimPhase::kWon) return false;
-  const auto held = keys_.find(own->second.key);
+  const auto own_claim = own_claims_.find(claim_id);
+  if (own_claim == own_claims_.end()) return false;
+  if (own_claim->second.phase != OwnClaimPhase::kWon) return false;
+  const auto held = keys_.find(own_claim->second.key);
   return held != keys_.end() &&
-         held->second.claim == ClaimDigest(own->second.record);
+         held->second.claim == ClaimDigest(own_claim->second.record);
 }
 
 std::optional<ClaimRecord> ClaimTable::Release(const std::string& claim_id) {
   const auto found = own_claims_.find(claim_id);
   if (found == own_claims_.end()) return std::nullopt;
-  OwnClaim& own = found->second;
-  if (own.phase == OwnClaimPhase::kAbandoned) return std::nullopt;
-  own.phase = OwnClaimPhase::kAbandoned;
-  RemoveFromKeyIndex(own);
-  const auto held = keys_.find(own.key);
-  if (held != keys_.end() && held->second.claim == ClaimDigest(own.record)) {
+  OwnClaim& own_claim = found->second;
+  if (own_claim.phase == OwnClaimPhase::kAbandoned) return std::nullopt;
+  own_claim.phase = OwnClaimPhase::kAbandoned;
+  RemoveFromKeyIndex(own_claim);
+  const auto held = keys_.find(own_claim.key);
+  if (held != keys_.end() &&
+      held->second.claim == ClaimDigest(own_claim.record)) {
     held->second.phase = KeyPhase::kReleasing;
   }
   // After this time the claim can no longer win.
   const WallTime expires_at =
-      own.record.key_time + settings_.window + settings_.max_clock_skew;
+      own_claim.record.key_time + settings_.window + settings_.max_clock_skew;
   abandoned_expiry_.push_back({expires_at, claim_id});
-  return MakeRecord(own, ClaimRecordKind::kReleased);
+  return MakeRecord(own_claim, ClaimRecordKind::kReleased);
 }
 
 void ClaimTable::ForgetUnappended(const std::string& claim_id) {
@@ -339,14 +340,15 @@
                                               int status) {
   const auto found = own_claims_.find(claim_id);
   if (found == own_claims_.end()) return std::nullopt;
-  const OwnClaim own = std::move(found->second);
+  const OwnClaim own_claim = std::move(found->second);
   own_claims_.erase(found);
-  RemoveFromKeyIndex(own);
-  const auto held = keys_.find(own.key);
-  if (held != keys_.end() && held->second.claim == ClaimDigest(own.record)) {
+  RemoveFromKeyIndex(own_claim);
+  const auto held = keys_.find(own_claim.key);
+  if (held != keys_.end() &&
+      held->second.claim == ClaimDigest(own_claim.record)) {
     held->second.phase = KeyPhase::kDone;
   }
-  ClaimRecord record = MakeRecord(own, ClaimRecordKind::kDone);
+  ClaimRecord record = MakeRecord(own_claim, ClaimRecordKind::kDone);
   record.status = status;
   return record;
 }
@@ -354,19 +356,19 @@
 void ClaimTable::FinishUnknown(const std::string& claim_id) {
   const auto found = own_claims_.find(claim_id);
   if (found == own_claims_.end()) return;
-  const OwnClaim own = std::move(found->second);
+  const OwnClaim own_claim = std::move(found->second);
   own_claims_.erase(found);
-  RemoveFromKeyIndex(own);
-  const auto held = keys_.find(own.key);
+  RemoveFromKeyIndex(own_claim);
+  const auto held = keys_.find(own_claim.key);
   if (held == keys_.end()) return;
-  if (held->second.claim != ClaimDigest(own.record)) return;
+  if (held->second.claim != ClaimDigest(own_claim.record)) return;
   held->second.phase = KeyPhase::kUnknown;
 }
 
-void ClaimTable::RemoveFromKeyIndex(const OwnClaim& own) {
-  const auto found = own_by_key_.find(own.key);
+void ClaimTable::RemoveFromKeyIndex(const OwnClaim& own_claim) {
+  const auto found = own_by_key_.find(own_claim.key);
   if (found == own_by_key_.end()) return;
-  if (found->second == own.record.claim_id) own_by_key_.erase(found);
+  if (found->second == own_claim.record.claim_id) own_by_key_.erase(found);
 }
 
 bool ClaimTable::IsReachable(const ClaimHolder& holder) const {
@@ -383,9 +385,9 @@
   return static_cast<HolderIndex>(holders_.size() - 1);
 }
 
-ClaimRecord ClaimTable::MakeRecord(const OwnClaim& own,
+ClaimRecord ClaimTable::MakeRecord(const OwnClaim& own_claim,
                                    ClaimRecordKind kind) const {
-  ClaimRecord record = own.record;
+  ClaimRecord record = own_claim.record;
   record.kind = kind;
   return record;
 }
--- a/src/libs/claims/claim_table.h
+++ b/src/libs/claims/claim_table.h
@@ -58,7 +58,7 @@
   // Whether the claim holds its key and was neither released nor finished by
   // this entry.
   bool MaySend(const std::string& claim_id) const;
-  // Gives up a claim, whose request is never sent from now on. Returns the
+  // Abandons a claim: its request is never sent from now on. Returns the
   // record to append, which frees the key; nullopt when there is nothing to
   // release.
   std::optional<ClaimRecord> Release(const std::string& claim_id);
@@ -140,7 +140,7 @@
   // Whether all possible claims on a key of this time are known.
   bool HistoryCovers(WallTime key_time) const;
   // Removes the claim from `own_by_key_`.
-  void RemoveFromKeyIndex(const OwnClaim& own);
+  void RemoveFromKeyIndex(const OwnClaim& own_claim);
   // Marks a claim as void, so that its record can no longer hold a key.
   void VoidClaim(const Digest128& claim);
   void RemoveExpired();
@@ -152,7 +152,7 @@
                                  bool log_available) const;
   bool IsReachable(const ClaimHolder& holder) const;
   HolderIndex InternHolder(const ClaimHolder& holder);
-  ClaimRecord MakeRecord(const OwnClaim& own, ClaimRecordKind kind) const;
+  ClaimRecord MakeRecord(const OwnClaim& own_claim, ClaimRecordKind kind) const;
 
   const ClaimTableSettings settings_;
   bool caught_up_ = false;
--- a/src/libs/routing/demand_split.cc
+++ b/src/libs/routing/demand_split.cc
@@ -34,28 +34,29 @@
     }
     return granted;
   }
-  double left = slots - guaranteed;
+  double remaining = slots - guaranteed;
   // Each round satisfies at least one account or uses up the remaining slots.
-  for (size_t round = 0; round < accounts.size() && left > kNegligible;
+  for (size_t round = 0; round < accounts.size() && remaining > kNegligible;
        ++round) {
-    double weights = 0;
+    double total_weight = 0;
     for (size_t i = 0; i < accounts.size(); ++i) {
       if (WantsMore(accounts[i], demand[i], granted[i])) {
-        weights += accounts[i].weight;
+        total_weight += accounts[i].weight;
       }
     }
-    if (weights <= 0) {
+    if (total_weight <= 0) {
       break;
     }
-    const double available = left;
+    const double available = remaining;
     for (size_t i = 0; i < accounts.size(); ++i) {
       if (!WantsMore(accounts[i], demand[i], granted[i])) {
         continue;
       }
-      const double part = std::min(demand[i] - granted[i],
-                                   available * accounts[i].weight / weights);
+      const double part =
+          std::min(demand[i] - granted[i],
+                   available * accounts[i].weight / total_weight);
       granted[i] += part;
-      left -= part;
+      remaining -= part;
     }
   }
   return granted;
@@ -63,21 +64,21 @@
 
 std::vector<double> SplitOverEntries(double slots,
                                      const SlotSharingInput& input) {
-  std::vector<double> totals(input.accounts.size(), 0.0);
+  std::vector<double> account_demand(input.accounts.size(), 0.0);
   for (const std::vector<double>& entry : input.demand) {
-    for (size_t i = 0; i < totals.size(); ++i) {
-      totals[i] += entry[i];
+    for (size_t i = 0; i < account_demand.size(); ++i) {
+      account_demand[i] += entry[i];
     }
   }
   const std::vector<double> granted =
-      SplitOverAccounts(slots, input.accounts, totals);
+      SplitOverAccounts(slots, input.accounts, account_demand);
   std::vector<double> result(input.demand.size(), 0.0);
   for (size_t entry = 0; entry < result.size(); ++entry) {
-    for (size_t i = 0; i < totals.size(); ++i) {
-      if (totals[i] <= 0) {
+    for (size_t i = 0; i < account_demand.size(); ++i) {
+      if (account_demand[i] <= 0) {
         continue;
       }
-      result[entry] += granted[i] * input.demand[entry][i] / totals[i];
+      result[entry] += granted[i] * input.demand[entry][i] / account_demand[i];
     }
   }
   return result;
@@ -86,13 +87,13 @@
 double SlotsLeftByOthers(const SlotSharingInput& input) {
   const double total = TotalSlots(input.executors);
   const std::vector<double> demanded = SplitOverEntries(total, input);
-  double left = total;
+  double remaining = total;
   for (size_t entry = 0; entry < demanded.size(); ++entry) {
     if (entry != input.own_entry_index) {
-      left -= demanded[entry];
+      remaining -= demanded[entry];
     }
   }
-  return left;
+  return remaining;
 }
 
 }  // namespace thornplank
--- a/src/libs/routing/executor.cc
+++ b/src/libs/routing/executor.cc
@@ -26,9 +26,9 @@
 }
 
 void Executor::SetAllocated(int slots) {
-  const bool cut = adaptive_limit_ < allocated_slots_;
+  const bool reduced = adaptive_limit_ < allocated_slots_;
   allocated_slots_ = slots;
-  adaptive_limit_ = cut ? std::min<double>(adaptive_limit_, slots) : slots;
+  adaptive_limit_ = reduced ? std::min<double>(adaptive_limit_, slots) : slots;
 }
 
 void Executor::RecordFull(Duration max_backoff, uint64_t random, Time now) {
--- a/src/libs/routing/executor.h
+++ b/src/libs/routing/executor.h
@@ -30,8 +30,8 @@
   // allocated_slots(), or 0 while the executor is ejected or leaving; as of the
   // latest UpdateLimits().
   int available_slots() const { return available_slots_; }
-  // Recomputes both; to be called after each change of the share, the adaptive
-  // limit, the health or the state of leaving.
+  // Recomputes usable_slots() and available_slots(); to be called after each
+  // change of the share, the adaptive limit, the health or the leaving state.
   void UpdateLimits();
 
   // Sets this entry's share of the slots.
--- a/src/libs/routing/fair_queue.cc
+++ b/src/libs/routing/fair_queue.cc
@@ -241,29 +241,30 @@
   if (found == accounts_.end()) {
     return kMinimumSlots;
   }
-  const Account& own = found->second;
-  const double own_guarantee = std::min(
-      slots, std::max(static_cast<double>(own.local_guarantee),
-                      std::min(1.0, 1.0 * own.limits.guaranteed_slots)));
-  if (!own.limits.borrowing) {
-    return std::max(kMinimumSlots, own_guarantee);
+  const Account& requester = found->second;
+  const double guaranteed = std::min(
+      slots, std::max(static_cast<double>(requester.local_guarantee),
+                      std::min(1.0, 1.0 * requester.limits.guaranteed_slots)));
+  if (!requester.limits.borrowing) {
+    return std::max(kMinimumSlots, guaranteed);
   }
-  double rest = slots - own_guarantee;
-  double weights = own.limits.weight;
+  double remaining = slots - guaranteed;
+  double total_weight = requester.limits.weight;
   for (const auto& [name, other] : accounts_) {
     if (name == account) {
       continue;
     }
     if (other.waiting.empty() || !other.limits.borrowing) {
-      rest -= std::max(std::min(other.local_guarantee, other.demand()),
-                       other.in_flight);
+      remaining -= std::max(std::min(other.local_guarantee, other.demand()),
+                            other.in_flight);
       continue;
     }
-    rest -= std::min(other.local_guarantee, other.demand());
-    weights += other.limits.weight;
+    remaining -= std::min(other.local_guarantee, other.demand());
+    total_weight += other.limits.weight;
   }
-  const double borrowed = std::max(0.0, rest) * own.limits.weight / weights;
-  return std::max(kMinimumSlots, own_guarantee + borrowed);
+  const double borrowed =
+      std::max(0.0, remaining) * requester.limits.weight / total_weight;
+  return std::max(kMinimumSlots, guaranteed + borrowed);
 }
 
 bool FairQueue::MaySend(const Account& account) const {
@@ -273,13 +274,15 @@
 
 void FairQueue::UpdateLocalGuarantee(Account* account) {
   const int guarantee = account->limits.guaranteed_slots;
-  const double own = account->demand() + account->refusal_demand;
-  if (guarantee <= 0 || own <= 0) {
+  const double local_demand = account->demand() + account->refusal_demand;
+  if (guarantee <= 0 || local_demand <= 0) {
     account->local_guarantee = 0;
     return;
   }
-  const double part = own / (own + account->remote_demand);
-  account->local_guarantee = static_cast<int>(std::ceil(guarantee * part));
+  const double local_fraction =
+      local_demand / (local_demand + account->remote_demand);
+  account->local_guarantee =
+      static_cast<int>(std::ceil(guarantee * local_fraction));
 }
 
 }  // namespace thornplank
--- a/src/libs/routing/fair_queue.h
+++ b/src/libs/routing/fair_queue.h
@@ -129,8 +129,9 @@
 
   std::map<std::string, Account> accounts_;
   ServiceTime service_time_;
-  // Virtual start time of the latest attempt. An account that was idle starts
-  // from here, so that it gets no credit for the slots it did not use.
+  // Highest virtual start time of an attempt beyond a guarantee. An account
+  // that was idle starts from here, so that it gets no credit for the slots it
+  // did not use.
   double virtual_time_ = 0;
   // Total of the accounts' waiting requests.
   size_t size_ = 0;
--- a/src/libs/routing/routing_types.h
+++ b/src/libs/routing/routing_types.h
@@ -98,8 +98,8 @@
 };
 
 // Send the request to this executor. The dispatcher answers each SendAttempt by
-// exactly one RequestRouter::CompleteAttempt; at `attempt_deadline` it closes
-// the connection and reports kUnknown.
+// exactly one RequestRouter::CompleteAttempt; at `attempt_deadline` it ends the
+// attempt and reports kUnknown.
 struct SendAttempt {
   std::string request_id;
   std::string executor;
--- a/src/libs/routing/service_router.cc
+++ b/src/libs/routing/service_router.cc
@@ -14,8 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Maximum delay after which a change of this entry's demand affects its share,
-// while requests are dispatched.
+// Interval at which Dispatch recomputes this entry's share from its demand.
 constexpr Duration kReallocationPeriod = milliseconds(50);
 constexpr Duration kSheddingPeriod = milliseconds(100);
 // A queued request is refused when its expected wait exceeds the time left to
@@ -33,7 +32,7 @@
 // Assumed while the service time is unknown.
 constexpr Duration kDefaultBacklog = seconds(1);
 constexpr Duration kMinRetryAfter = milliseconds(200);
-constexpr Duration kMinSpread = seconds(1);
+constexpr Duration kMinJitterRange = seconds(1);
 constexpr Duration kMaxRetryAfter = seconds(60);
 // An entry with fewer slots reserves none for guarantees.
 constexpr int kMinSlotsToReserveOne = 16;
@@ -130,15 +129,15 @@
       found == nullptr ? 0.0 : static_cast<double>(found->waiting.size());
   const double refusals = found == nullptr ? 0.0 : found->refusals.At(now);
   Duration backlog = kDefaultBacklog;
-  Duration spread = kMinSpread;
+  Duration jitter_range = kMinJitterRange;
   if (expected > Duration::zero()) {
     backlog = std::min(kMaxRetryAfter, Scale(expected, waiting / slots));
     const Duration returning =
         std::min(kMaxRetryAfter, Scale(expected, refusals / slots));
-    spread = std::max(kMinSpread, backlog + returning);
+    jitter_range = std::max(kMinJitterRange, backlog + returning);
   }
   const Duration after = std::max(kMinRetryAfter, backlog) +
-                         Scale(spread, JitterFraction(seed_, id));
+                         Scale(jitter_range, JitterFraction(seed_, id));
   return std::min(after, kMaxRetryAfter);
 }
 
--- a/tests/auto/routing/tst_upstreams.cc
+++ b/tests/auto/routing/tst_upstreams.cc
@@ -274,8 +274,8 @@
   Simulation simulation(
       5, {MakeAccount("flood", 0, 10.0), MakeAccount("guaranteed", 20)},
       [](const SendAttempt&) { return Reaction{}; });
-  simulation.SetArrivalRate("flood",
-                            20);  // five times what 40 slots of 10 ms can do
+  // Five times the rate that 40 slots of 10 ms can serve.
+  simulation.SetArrivalRate("flood", 20);
   simulation.Advance(500);
   simulation.SetArrivalRate("guaranteed", 4);
   simulation.Advance(50);
