--- a/src/libs/claims/claim_key.cc
+++ b/src/libs/claims/claim_key.cc
@@ -1,4 +1,4 @@
-// Digests by xxHash, and their text form.
+// Computes digests by xxHash and converts them to and from hexadecimal text.
 #include "claims/claim_key.h"
 
 #include <xxhash.h>
@@ -12,8 +12,8 @@
 constexpr size_t kHexDigits = 32;
 constexpr size_t kHalfDigits = kHexDigits / 2;
 
-// A length before each part keeps ("ab", "c") apart from ("a", "bc").
-void AppendPart(std::string_view part, std::string* input) {
+// The length prefix distinguishes ("ab", "c") from ("a", "bc").
+void AppendLengthPrefixed(std::string_view part, std::string* input) {
   input->append(std::to_string(part.size()));
   input->push_back(':');
   input->append(part);
@@ -37,9 +37,9 @@
 Digest128 ClaimKeyDigest(std::string_view account, std::string_view service,
                          std::string_view key) {
   std::string input;
-  AppendPart(account, &input);
-  AppendPart(service, &input);
-  AppendPart(key, &input);
+  AppendLengthPrefixed(account, &input);
+  AppendLengthPrefixed(service, &input);
+  AppendLengthPrefixed(key, &input);
   return DigestOf(input);
 }
 
