--- a/src/libs/routing/all_slots.cc
+++ b/src/libs/routing/all_slots.cc
@@ -1,4 +1,4 @@
-// Every entry may use every slot.
+// Allocates all slots to every entry.
 #include "routing/all_slots.h"
 
 #include "routing/demand_split.h"
@@ -15,7 +15,7 @@
 }
 
 double AllSlots::AttainableSlots(const SlotSharingInput& input) const {
-  return UnclaimedByOthers(input);
+  return SlotsLeftByOthers(input);
 }
 
 }  // namespace thornplank
--- a/src/libs/routing/retry_budget.cc
+++ b/src/libs/routing/retry_budget.cc
@@ -1,4 +1,4 @@
-// Token bucket of retries.
+// Token arithmetic of the retry budget.
 #include "routing/retry_budget.h"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace thornplank {
 namespace {
 
-// Enough for a lone failure on a quiet account.
+// Enough to retry an isolated failure of an account with few requests.
 constexpr double kInitialTokens = 3.0;
 constexpr double kCapacity = 20.0;
 
@@ -15,10 +15,10 @@
 RetryBudget::RetryBudget(double percent)
     : percent_(percent), tokens_(percent > 0 ? kInitialTokens : 0.0) {}
 
-void RetryBudget::AddFresh() {
+void RetryBudget::RecordFreshRequest() {
   tokens_ = std::min(kCapacity, tokens_ + percent_ / 100.0);
 }
 
-void RetryBudget::Take() { tokens_ = std::max(0.0, tokens_ - 1.0); }
+void RetryBudget::ConsumeToken() { tokens_ = std::max(0.0, tokens_ - 1.0); }
 
 }  // namespace thornplank
--- a/src/libs/routing/service_time.cc
+++ b/src/libs/routing/service_time.cc
@@ -1,4 +1,4 @@
-// Mean over the first samples, then exponentially weighted.
+// The mean is arithmetic over the first samples, then exponentially weighted.
 #include "routing/service_time.h"
 
 #include <cmath>
@@ -27,7 +27,7 @@
   return Duration(static_cast<Duration::rep>(mean_));
 }
 
-Duration ServiceTime::high() const {
+Duration ServiceTime::high_estimate() const {
   return Duration(
       static_cast<Duration::rep>(mean_ + kHighDeviations * deviation_));
 }
--- a/src/libs/scheduling/placement_search.cc
+++ b/src/libs/scheduling/placement_search.cc
@@ -13,11 +13,12 @@
   double cost = 0;
 };
 
+// The members of a gang that a rack can take, and the cost of that.
 struct RackOffer {
   int rack = 0;
   int members = 0;
   double cost = 0;
-  // Slots of the rack that stay unused.
+  // Slots of the rack that remain unused.
   int spare_slots = 0;
   Placement share;
 };
@@ -45,10 +46,10 @@
   return candidates;
 }
 
-// The share of at most `wanted` members that `rack` would take.
-RackOffer OfferOfRack(const ClusterModel& cluster, int rack, int wanted,
-                      const Shape& shape, const AcceleratorsByWorker& room,
-                      const PlacementCost& cost) {
+// The cheapest placement of at most `wanted` members in `rack`.
+RackOffer MakeRackOffer(const ClusterModel& cluster, int rack, int wanted,
+                        const Shape& shape, const AcceleratorsByWorker& room,
+                        const PlacementCost& cost) {
   std::vector<Candidate> candidates =
       CandidatesInRack(cluster, rack, shape, room, cost);
   std::sort(candidates.begin(), candidates.end(), CheaperWorker);
@@ -68,7 +69,7 @@
   return offer;
 }
 
-bool CheaperWholeOffer(const RackOffer& a, const RackOffer& b) {
+bool CheaperSingleRackOffer(const RackOffer& a, const RackOffer& b) {
   if (a.cost != b.cost) return a.cost < b.cost;
   if (a.spare_slots != b.spare_slots) return a.spare_slots < b.spare_slots;
   return a.rack < b.rack;
@@ -82,18 +83,18 @@
   return a.rack < b.rack;
 }
 
-// Fills racks from the cheapest on, whatever their number.
-std::optional<RackOffer> SpreadOffer(const ClusterModel& cluster,
-                                     std::vector<RackOffer> offers,
-                                     const Shape& shape,
-                                     const AcceleratorsByWorker& room,
-                                     const PlacementCost& cost) {
+// Fills racks in order of cost per member until all members are placed.
+std::optional<RackOffer> SpreadOverRacks(const ClusterModel& cluster,
+                                         std::vector<RackOffer> offers,
+                                         const Shape& shape,
+                                         const AcceleratorsByWorker& room,
+                                         const PlacementCost& cost) {
   std::sort(offers.begin(), offers.end(), CheaperPerMember);
   RackOffer spread;
   for (RackOffer& offer : offers) {
     const int missing = shape.members - spread.members;
     if (offer.members > missing) {
-      offer = OfferOfRack(cluster, offer.rack, missing, shape, room, cost);
+      offer = MakeRackOffer(cluster, offer.rack, missing, shape, room, cost);
     }
     spread.share.insert(spread.share.end(), offer.share.begin(),
                         offer.share.end());
@@ -104,25 +105,26 @@
   return std::nullopt;
 }
 
-std::vector<RackOffer> Offers(const ClusterModel& cluster, const Shape& shape,
-                              const AcceleratorsByWorker& room,
-                              const PlacementCost& cost) {
+std::vector<RackOffer> MakeRackOffers(const ClusterModel& cluster,
+                                      const Shape& shape,
+                                      const AcceleratorsByWorker& room,
+                                      const PlacementCost& cost) {
   std::vector<RackOffer> offers;
   for (int rack = 0; rack < cluster.rack_count(); ++rack) {
     RackOffer offer =
-        OfferOfRack(cluster, rack, shape.members, shape, room, cost);
+        MakeRackOffer(cluster, rack, shape.members, shape, room, cost);
     if (offer.members > 0) offers.push_back(std::move(offer));
   }
   return offers;
 }
 
-// The cheapest single rack that holds all of it.
-const RackOffer* CheapestWhole(const std::vector<RackOffer>& offers,
-                               int members) {
+// The cheapest offer of a single rack that holds all members, or nullptr.
+const RackOffer* CheapestSingleRackOffer(const std::vector<RackOffer>& offers,
+                                         int members) {
   const RackOffer* best = nullptr;
   for (const RackOffer& offer : offers) {
     if (offer.members < members) continue;
-    if (!best || CheaperWholeOffer(offer, *best)) best = &offer;
+    if (!best || CheaperSingleRackOffer(offer, *best)) best = &offer;
   }
   return best;
 }
@@ -143,15 +145,15 @@
   if (shape.members <= 0 || shape.accelerators_per_member <= 0) {
     return std::nullopt;
   }
-  std::vector<RackOffer> offers = Offers(cluster, shape, room, cost);
-  const RackOffer* whole = CheapestWhole(offers, shape.members);
+  std::vector<RackOffer> offers = MakeRackOffers(cluster, shape, room, cost);
+  const RackOffer* whole = CheapestSingleRackOffer(offers, shape.members);
   if (shape.adjacency == Adjacency::kRack) {
     return whole ? std::make_optional(whole->share) : std::nullopt;
   }
   // One member cannot be spread.
   if (whole && (whole->cost <= 0 || shape.members == 1)) return whole->share;
   const std::optional<RackOffer> spread =
-      SpreadOffer(cluster, offers, shape, room, cost);
+      SpreadOverRacks(cluster, offers, shape, room, cost);
   if (!spread) return std::nullopt;
   return whole && whole->cost <= spread->cost ? whole->share : spread->share;
 }
--- a/src/libs/scheduling/scheduler_core.h
+++ b/src/libs/scheduling/scheduler_core.h
@@ -1,5 +1,6 @@
-// Takes the events of JobScheduler apart and runs the steps of a decision in
-// their order: end and repair, place, reclaim, report.
+// Implements JobScheduler. Handles its events and runs the steps of a decision
+// in order: repair the placement of guarantees, place jobs, reclaim
+// accelerators, report shortfalls.
 #ifndef THORNPLANK_SCHEDULING_SCHEDULER_CORE_H_
 #define THORNPLANK_SCHEDULING_SCHEDULER_CORE_H_
 
@@ -25,7 +26,7 @@
   void SetWorkers(const std::vector<WorkerInfo>& workers, Time now);
   void SetGuarantees(const std::vector<AccountGuarantee>& accounts, Time now);
   void SetEvents(const std::vector<EventReservation>& events);
-  // Returns nullptr when the job was known.
+  // Returns nullptr if the job is already known.
   JobRecord* Submit(const JobSpec& spec, Duration saved_progress, Time now);
   void Cancel(const std::string& id, Time now);
   void Adopt(const AdoptedGang& found, Time now);
@@ -39,9 +40,11 @@
   void WorkerRecovered(WorkerIndex worker);
   void Tick(Time now);
 
-  // End an event: place, reclaim, report, and hand out the actions.
+  // To be called after each event: runs the steps of a decision and returns the
+  // actions of the event and the decision. DecideForJob does so after the
+  // submission of `job`.
   SchedulerActions Decide(Time now);
-  SchedulerActions DecideFor(JobRecord& job, Time now);
+  SchedulerActions DecideForJob(JobRecord& job, Time now);
   std::optional<Time> NextWake(Time now) const;
 
   SchedulerState& state() { return state_; }
@@ -62,23 +65,26 @@
   void StartGang(JobRecord& job, const std::vector<WorkerIndex>& workers,
                  const std::string& reason, Time now) override;
   // GangStopper
-  void CheckpointAndStop(Gang& gang, const std::string& why, Time now) override;
+  void CheckpointAndStop(Gang& gang, const std::string& reason,
+                         Time now) override;
 
  private:
-  void DeclareCells();
-  void SetLargeShapes();
-  // Takes the guarantee from gangs and plans whose cells are gone or lent.
-  void DemoteUncovered();
-  void CheckPossible(JobClass& job_class, Time now);
-  void FailImpossible(Time now);
-  void DrainLeaving(Time now);
-  void ReleaseRefusing(Time now);
-  void JudgeProbes(Time now);
+  void UpdateCellDemands();
+  void UpdateLargeShapes();
+  // Turns gangs into borrowers, and drops plans, whose cells are no longer
+  // declared or have been lent to an event.
+  void DemoteGangsWithoutCells();
+  void CheckFeasibility(JobClass& job_class, Time now);
+  void FailInfeasibleJobs(Time now);
+  void DrainLeavingWorkers(Time now);
+  void EndRefusalBackoffs(Time now);
+  void CompleteProbes(Time now);
   void ReleaseFromQuarantine(WorkerIndex worker);
   void ReportShortfalls();
-  void WithdrawReports();
-  void ReportOne(ReportShortfall::Subject subject, const std::string& name,
-                 const std::string& text);
+  void ClearStaleReports();
+  void ReportIfChanged(ReportShortfall::Subject subject,
+                       const std::string& name, const std::string& text);
+  // Describes the capacity that the event lacks; empty if it lacks none.
   std::string EventShortfall(const EventReservation& event) const;
   SchedulerActions TakeActions();
 
@@ -86,17 +92,22 @@
   GangLifecycle lifecycle_;
   Reclaimer reclaimer_;
   std::vector<WorkerInfo> workers_;
-  // Shortfalls that stand reported: subject, name -> text.
+  // Last reported text by subject and name; empty if there is no shortfall.
   std::map<std::pair<ReportShortfall::Subject, std::string>, std::string>
-      reported_;
-  // Whether one of them has a text.
-  bool reported_shortfall_ = false;
+      reported_shortfalls_;
+  // Whether a shortfall was reported and has not been withdrawn.
+  bool has_reported_shortfall_ = false;
+  // Time of the latest decision.
   Time last_event_;
+  // Number of the last gang started; part of gang ids.
   int64_t last_gang_ = 0;
+  // Whether Tick was called; nothing is placed before that.
   bool ticked_ = false;
-  // Something other than a new job changed since the last full round.
+  // Whether anything other than a new job changed since the last complete
+  // round.
   bool dirty_ = false;
-  // The workers or the cells changed since the witness was repaired.
+  // Whether the workers or the cells changed since the placement of guarantees
+  // was last repaired.
   bool repair_due_ = false;
 };
 
--- a/src/libs/scheduling/victim_selection.cc
+++ b/src/libs/scheduling/victim_selection.cc
@@ -5,9 +5,9 @@
 namespace thornplank {
 namespace {
 
-// Needed accelerators that stopping the candidate would free.
-int Unblocks(const VictimCandidate& candidate,
-             const std::map<WorkerIndex, int>& needed) {
+// Number of needed accelerators that stopping the candidate would free.
+int NeededAcceleratorsFreed(const VictimCandidate& candidate,
+                            const std::map<WorkerIndex, int>& needed) {
   int freed = 0;
   for (const auto& [worker, accelerators] : candidate.holds) {
     const auto need = needed.find(worker);
@@ -17,8 +17,10 @@
   return freed;
 }
 
-void Free(const VictimCandidate& candidate, int sign,
-          std::map<WorkerIndex, int>* needed) {
+// Subtracts the accelerators of the candidate from `needed`, or adds them back
+// if `sign` is -1.
+void SubtractHeld(const VictimCandidate& candidate, int sign,
+                  std::map<WorkerIndex, int>* needed) {
   for (const auto& [worker, accelerators] : candidate.holds) {
     const auto need = needed->find(worker);
     if (need != needed->end()) need->second -= sign * accelerators;
@@ -31,7 +33,7 @@
   const VictimCandidate* best = nullptr;
   double best_cost = 0;
   for (const VictimCandidate* candidate : candidates) {
-    const int freed = Unblocks(*candidate, needed);
+    const int freed = NeededAcceleratorsFreed(*candidate, needed);
     if (freed == 0) continue;
     const double cost = candidate->work_lost / freed;
     if (best && cost >= best_cost) continue;
@@ -41,9 +43,9 @@
   return best;
 }
 
-// Whether `victim` can stay although all the others of the choice leave.
-bool IsNeedless(const VictimCandidate& victim,
-                const std::map<WorkerIndex, int>& left) {
+// Whether stopping the other chosen victims is enough without `victim`.
+bool IsRedundant(const VictimCandidate& victim,
+                 const std::map<WorkerIndex, int>& left) {
   return std::all_of(
       victim.holds.begin(), victim.holds.end(), [&left](const auto& hold) {
         const auto need = left.find(hold.first);
@@ -59,22 +61,23 @@
   std::map<WorkerIndex, int> left = needed;
   std::vector<const VictimCandidate*> open;
   for (const VictimCandidate& candidate : candidates) {
-    if (Unblocks(candidate, left) > 0) open.push_back(&candidate);
+    if (NeededAcceleratorsFreed(candidate, left) > 0)
+      open.push_back(&candidate);
   }
   std::vector<const VictimCandidate*> chosen;
   while (const VictimCandidate* best = BestVictim(left, open)) {
     chosen.push_back(best);
-    Free(*best, 1, &left);
+    SubtractHeld(*best, 1, &left);
     open.erase(std::find(open.begin(), open.end(), best));
   }
   std::vector<std::string> victims;
-  // Costly ones are spared first.
+  // The most expensive victims are spared first.
   std::sort(chosen.begin(), chosen.end(), [](const auto* a, const auto* b) {
     return a->work_lost > b->work_lost;
   });
   for (const VictimCandidate* victim : chosen) {
-    if (IsNeedless(*victim, left)) {
-      Free(*victim, -1, &left);
+    if (IsRedundant(*victim, left)) {
+      SubtractHeld(*victim, -1, &left);
     } else {
       victims.push_back(victim->gang_id);
     }
--- a/tests/auto/claims/tst_claim_table.cc
+++ b/tests/auto/claims/tst_claim_table.cc
@@ -1,4 +1,4 @@
-// What one entry decides on a key, step by step over a short claim stream.
+// Decisions of ClaimTable on short, fixed claim streams.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -48,17 +48,17 @@
   return record;
 }
 
-ClaimRecord As(ClaimRecordKind kind, ClaimRecord record) {
+ClaimRecord WithKind(ClaimRecordKind kind, ClaimRecord record) {
   record.kind = kind;
   return record;
 }
 
-ClaimDecision BeginAt(ClaimTable* table, const std::string& claim_id,
-                      WallTime now = kStart) {
+ClaimDecision BeginClaimAt(ClaimTable* table, const std::string& claim_id,
+                           WallTime now = kStart) {
   return table->BeginClaim(RequestOf(claim_id), now, true);
 }
 
-// What was folded before, and what a new request of the key is then told.
+// Records applied before, and the decision on a new request of the key.
 struct HeldCase {
   const char* name;
   std::vector<ClaimRecord> records;
@@ -72,9 +72,9 @@
   const ClaimRecord before_restart = ClaimOf("e-1", kEastRestarted);
   const auto kReleased = ClaimRecordKind::kReleased;
   const auto kDone = ClaimRecordKind::kDone;
-  ClaimRecord forged = As(kReleased, west);
-  forged.holder = kEast;
-  ClaimRecord other_run = As(kReleased, west);
+  ClaimRecord foreign_release = WithKind(kReleased, west);
+  foreign_release.holder = kEast;
+  ClaimRecord other_run = WithKind(kReleased, west);
   other_run.holder.incarnation = "w2";
   const ClaimRecord second = ClaimOf("w-2", kWest);
 
@@ -85,7 +85,7 @@
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"live holder, done",
-       {west, As(kDone, west)},
+       {west, WithKind(kDone, west)},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"holder gone",
@@ -93,7 +93,7 @@
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kHolderGone},
       {"holder gone, done",
-       {gone, As(kDone, gone)},
+       {gone, WithKind(kDone, gone)},
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kAnswerNotHeld},
       {"holder restarted",
@@ -101,47 +101,47 @@
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kHolderGone},
       {"released",
-       {west, As(kReleased, west)},
+       {west, WithKind(kReleased, west)},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
       {"released twice",
-       {west, As(kReleased, west), As(kReleased, west)},
+       {west, WithKind(kReleased, west), WithKind(kReleased, west)},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
       {"released by another entry",
-       {west, forged},
+       {west, foreign_release},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
-      {"released by a later run of the holder",
+      {"released by a later incarnation of the holder",
        {west, other_run},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
-      {"released before the claim turned up",
-       {As(kReleased, west), west},
+      {"released before the claim arrives",
+       {WithKind(kReleased, west), west},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
-      {"released claim turns up again",
-       {west, As(kReleased, west), west},
+      {"released claim arrives again",
+       {west, WithKind(kReleased, west), west},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
       {"release of a claim that lost",
-       {gone, west, As(kReleased, west)},
+       {gone, west, WithKind(kReleased, west)},
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kHolderGone},
-      {"lost claim turns up again after the winner's release",
-       {gone, west, As(kReleased, gone), west},
+      {"lost claim arrives again after the winner's release",
+       {gone, west, WithKind(kReleased, gone), west},
        ClaimDecisionKind::kAppend,
        ClaimRefusal::kNone},
       {"claimed anew after a release",
-       {gone, As(kReleased, gone), second},
+       {gone, WithKind(kReleased, gone), second},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"late release of the first claim",
-       {gone, As(kReleased, gone), second, As(kReleased, gone)},
+       {gone, WithKind(kReleased, gone), second, WithKind(kReleased, gone)},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"done of another claim",
-       {gone, As(kDone, second)},
+       {gone, WithKind(kDone, second)},
        ClaimDecisionKind::kRefuse,
        ClaimRefusal::kHolderGone},
   };
@@ -149,7 +149,7 @@
     CAPTURE(c.name);
     ClaimTable table = MakeTable(kEast);
     for (const ClaimRecord& record : c.records) table.Apply(record, kStart);
-    const ClaimDecision decision = BeginAt(&table, "e-9");
+    const ClaimDecision decision = BeginClaimAt(&table, "e-9");
     CHECK(decision.kind == c.kind);
     CHECK(decision.refusal == c.refusal);
   }
@@ -158,14 +158,14 @@
 struct TimeCase {
   const char* name;
   Duration key_age;
-  // Oldest record known, before the present; nullopt: the whole stream.
-  std::optional<Duration> remembered;
+  // Age of the oldest known record; nullopt when the whole stream is known.
+  std::optional<Duration> known_history;
   bool caught_up;
   bool log_available;
   ClaimRefusal refusal;
 };
 
-TEST_CASE("keys outside of what is remembered") {
+TEST_CASE("keys outside the window or the known history") {
   const std::vector<TimeCase> cases = {
       {"fresh", seconds(0), std::nullopt, true, true, ClaimRefusal::kNone},
       {"just inside", minutes(15), std::nullopt, true, true,
@@ -176,12 +176,12 @@
        ClaimRefusal::kNone},
       {"too far ahead", -seconds(61), std::nullopt, true, true,
        ClaimRefusal::kKeyTimeAhead},
-      {"older than what is remembered", minutes(5), minutes(5), true, true,
+      {"older than the known history", minutes(5), minutes(5), true, true,
        ClaimRefusal::kKeyNotRemembered},
-      {"claims could be older than the key", minutes(5),
+      {"claims may be older than the known history", minutes(5),
        minutes(5) + seconds(89), true, true, ClaimRefusal::kKeyNotRemembered},
-      {"remembered", minutes(5), minutes(5) + seconds(91), true, true,
-       ClaimRefusal::kNone},
+      {"within the known history", minutes(5), minutes(5) + seconds(91), true,
+       true, ClaimRefusal::kNone},
       {"not caught up", seconds(0), std::nullopt, false, true,
        ClaimRefusal::kNotCaughtUp},
       {"log down", seconds(0), std::nullopt, true, false,
@@ -193,11 +193,11 @@
     settings.self = kEast;
     ClaimTable table(settings);
     if (c.caught_up) table.MarkCaughtUp();
-    if (c.remembered) {
+    if (c.known_history) {
       table.HandleGap(kStart);
-      ClaimRecord other = ClaimOf("w-1", kWest, kStart - *c.remembered);
+      ClaimRecord other = ClaimOf("w-1", kWest, kStart - *c.known_history);
       other.key = "other";
-      table.Apply(other, kStart - *c.remembered);
+      table.Apply(other, kStart - *c.known_history);
     }
     const ClaimDecision decision = table.BeginClaim(
         RequestOf("e-1", kStart - c.key_age), kStart, c.log_available);
@@ -208,8 +208,8 @@
 TEST_CASE("two entries claim the same key: the first in the log wins") {
   ClaimTable east = MakeTable(kEast);
   ClaimTable west = MakeTable(kWest);
-  const ClaimRecord first = BeginAt(&west, "w-1").record;
-  const ClaimRecord second = BeginAt(&east, "e-1").record;
+  const ClaimRecord first = BeginClaimAt(&west, "w-1").record;
+  const ClaimRecord second = BeginClaimAt(&east, "e-1").record;
   CHECK_FALSE(west.MaySend("w-1"));
 
   CHECK(west.Apply(first, kStart)->kind == ClaimEventKind::kWon);
@@ -219,34 +219,34 @@
 
   CHECK(west.MaySend("w-1"));
   CHECK_FALSE(east.MaySend("e-1"));
-  CHECK(BeginAt(&east, "e-2").kind == ClaimDecisionKind::kAskHolder);
+  CHECK(BeginClaimAt(&east, "e-2").kind == ClaimDecisionKind::kAskHolder);
 }
 
-TEST_CASE("a claim whose reply was lost is decided by reading it back") {
+TEST_CASE("a claim whose append got no reply is decided by reading the log") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   CHECK_FALSE(table.MaySend("e-1"));
   CHECK(table.Apply(claim, kStart)->kind == ClaimEventKind::kWon);
-  // The writer sent it again.
+  // A second delivery of the record changes nothing.
   CHECK_FALSE(table.Apply(claim, kStart));
   CHECK(table.MaySend("e-1"));
 }
 
-TEST_CASE("a claim given up before it was seen is never sent") {
+TEST_CASE("a claim released before it is read from the log is never sent") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   const auto release = table.Release("e-1");
   REQUIRE(release);
   CHECK_FALSE(table.Apply(claim, kStart));
   CHECK_FALSE(table.MaySend("e-1"));
-  CHECK(BeginAt(&table, "e-2").refusal == ClaimRefusal::kBeingReleased);
+  CHECK(BeginClaimAt(&table, "e-2").refusal == ClaimRefusal::kBeingReleased);
   table.Apply(*release, kStart);
-  CHECK(BeginAt(&table, "e-3").kind == ClaimDecisionKind::kAppend);
+  CHECK(BeginClaimAt(&table, "e-3").kind == ClaimDecisionKind::kAppend);
 }
 
 TEST_CASE("a paused holder may not send what it has released") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   table.Apply(claim, kStart);
   REQUIRE(table.MaySend("e-1"));
   const auto release = table.Release("e-1");
@@ -255,19 +255,19 @@
   CHECK_FALSE(table.MaySend("e-1"));
 }
 
-TEST_CASE("a paused holder keeps its claim from everybody else") {
+TEST_CASE("a claim of a paused, unreachable holder stays in force") {
   ClaimTable west = MakeTable(kWest);
   west.Apply(ClaimOf("e-1", kEast), kStart);
   west.SetReachableEntries({kWest});
-  CHECK(BeginAt(&west, "w-1", kStart + minutes(14)).refusal ==
+  CHECK(BeginClaimAt(&west, "w-1", kStart + minutes(14)).refusal ==
         ClaimRefusal::kHolderGone);
 }
 
 TEST_CASE("repeats at the holder") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   SUBCASE("still pending") {
-    CHECK(BeginAt(&table, "e-2").claim_id == "e-1");
+    CHECK(BeginClaimAt(&table, "e-2").claim_id == "e-1");
     const ClaimRequest other =
         RequestOf("e-3", kStart, DigestOf("another body"));
     CHECK(table.BeginClaim(other, kStart, true).refusal ==
@@ -275,21 +275,23 @@
   }
   SUBCASE("never appended") {
     table.ForgetUnappended("e-1");
-    CHECK(BeginAt(&table, "e-2").kind == ClaimDecisionKind::kAppend);
+    CHECK(BeginClaimAt(&table, "e-2").kind == ClaimDecisionKind::kAppend);
   }
   SUBCASE("won") {
     table.Apply(claim, kStart);
     SUBCASE("running") {
-      CHECK(BeginAt(&table, "e-2").kind == ClaimDecisionKind::kJoin);
+      CHECK(BeginClaimAt(&table, "e-2").kind == ClaimDecisionKind::kJoin);
     }
     SUBCASE("answered") {
       CHECK(table.Finish("e-1", 200)->kind == ClaimRecordKind::kDone);
-      CHECK(BeginAt(&table, "e-2").kind == ClaimDecisionKind::kAnsweredHere);
+      CHECK(BeginClaimAt(&table, "e-2").kind ==
+            ClaimDecisionKind::kAnsweredHere);
       CHECK_FALSE(table.MaySend("e-1"));
     }
     SUBCASE("unknown") {
       table.FinishUnknown("e-1");
-      CHECK(BeginAt(&table, "e-2").refusal == ClaimRefusal::kOutcomeUnknown);
+      CHECK(BeginClaimAt(&table, "e-2").refusal ==
+            ClaimRefusal::kOutcomeUnknown);
       CHECK_FALSE(table.Release("e-1"));
     }
     SUBCASE("another body") {
@@ -301,7 +303,7 @@
   }
 }
 
-TEST_CASE("keys are forgotten by the log's clock, after no claim can win") {
+TEST_CASE("keys expire by the log's clock when no claim on them can win") {
   ClaimTable table = MakeTable(kWest);
   table.Apply(ClaimOf("e-1", kEast), kStart);
   ClaimRecord other = ClaimOf("e-2", kEast, kStart + minutes(16));
@@ -310,16 +312,16 @@
   CHECK(retention == minutes(17));
   table.Apply(other, kStart + retention);
   CHECK(table.key_count() == 2);
-  // A claim that was stuck on its way for the whole window.
+  // A claim whose append was delayed for the whole window.
   table.Apply(ClaimOf("w-1", kWest), kStart + retention + seconds(1));
   CHECK(table.key_count() == 1);
 }
 
-TEST_CASE("a key claimed anew outlives the claim released before it") {
+TEST_CASE("a key claimed again does not expire with the released claim") {
   ClaimTable table = MakeTable(kWest);
   const ClaimRecord first = ClaimOf("e-1", kEast);
   table.Apply(first, kStart);
-  table.Apply(As(ClaimRecordKind::kReleased, first), kStart);
+  table.Apply(WithKind(ClaimRecordKind::kReleased, first), kStart);
   table.Apply(ClaimOf("e-2", kEast), kStart + minutes(10));
   ClaimRecord other = ClaimOf("e-3", kEast, kStart + minutes(16));
   other.key = "other";
@@ -327,18 +329,18 @@
   CHECK(table.key_count() == 2);
 }
 
-TEST_CASE("a stuck claim is lost by the log's clock") {
+TEST_CASE("a delayed claim is lost by the log's clock") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   const auto event = table.Apply(claim, kStart + minutes(16));
   REQUIRE(event);
   CHECK(event->kind == ClaimEventKind::kLost);
   CHECK(event->refusal == ClaimRefusal::kKeyExpired);
 }
 
-TEST_CASE("a gap that may hide an earlier claim takes the win away") {
+TEST_CASE("a claim does not win after a gap that may hide an earlier claim") {
   ClaimTable table = MakeTable(kEast);
-  const ClaimRecord claim = BeginAt(&table, "e-1").record;
+  const ClaimRecord claim = BeginClaimAt(&table, "e-1").record;
   table.HandleGap(kStart);
   const auto event = table.Apply(claim, kStart);
   REQUIRE(event);
@@ -366,10 +368,10 @@
         ClaimRefusal::kTableFull);
 }
 
-TEST_CASE("records survive their JSON form") {
+TEST_CASE("records are restored from their JSON form") {
   for (const auto kind : {ClaimRecordKind::kClaim, ClaimRecordKind::kReleased,
                           ClaimRecordKind::kDone}) {
-    ClaimRecord record = As(kind, ClaimOf("e-1", kEast));
+    ClaimRecord record = WithKind(kind, ClaimOf("e-1", kEast));
     record.status = 201;
     Error error;
     const auto read = ParseClaimRecord(ToJson(record), &error);
--- a/tests/auto/routing/tst_retry_policy.cc
+++ b/tests/auto/routing/tst_retry_policy.cc
@@ -1,4 +1,4 @@
-// Outcomes of attempts and what follows from them.
+// Next step after each outcome of an attempt, and the retry budget.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -22,16 +22,16 @@
   history.idempotent = idempotent;
   history.tries = tries;
   history.may_have_run = may_have_run;
-  history.budget = budget;
+  history.has_budget = budget;
   return history;
 }
 
 TEST_CASE("the next step after an attempt") {
   using Outcome = AttemptOutcome;
   AttemptHistory unwanted = History(true, 1, false);
-  unwanted.wanted = false;
+  unwanted.still_wanted = false;
   AttemptHistory alone = History(true, 1, false);
-  alone.alternative = false;
+  alone.has_alternative = false;
   AttemptHistory refused_often = History(true, 0, false);
   refused_often.refusals = 8;
   const Row rows[] = {
@@ -39,46 +39,47 @@
        NextStep::kDeliver},
       {"a failure of an idempotent request is retried", Outcome::kFailed,
        History(true, 1, false), NextStep::kRetry},
-      {"a failure of another one is delivered", Outcome::kFailed,
+      {"a failure of a non-idempotent request is delivered", Outcome::kFailed,
        History(false, 1, false), NextStep::kDeliver},
       {"a failure without budget is delivered", Outcome::kFailed,
        History(true, 1, false, false), NextStep::kDeliver},
       {"an unknown idempotent request is retried", Outcome::kUnknown,
        History(true, 1, false), NextStep::kRetry},
-      {"another unknown one is not", Outcome::kUnknown,
+      {"an unknown non-idempotent request is not retried", Outcome::kUnknown,
        History(false, 1, false), NextStep::kFinishUnknown},
-      {"the last try ends unknown", Outcome::kUnknown, History(true, 3, true),
-       NextStep::kFinishUnknown},
-      {"a refused request moves, idempotent or not", Outcome::kRefusedNotRun,
+      {"the last try ends as unknown", Outcome::kUnknown,
+       History(true, 3, true), NextStep::kFinishUnknown},
+      {"a refused non-idempotent request is retried", Outcome::kRefusedNotRun,
        History(false, 0, false), NextStep::kRetry},
-      {"a refusal moves without budget", Outcome::kRefusedNotRun,
+      {"a refused request is retried without budget", Outcome::kRefusedNotRun,
        History(false, 0, false, false), NextStep::kRetry},
-      {"moves are bounded", Outcome::kRefusedNotRun, refused_often,
-       NextStep::kFinishNotRun},
-      {"a request not sent moves, idempotent or not", Outcome::kNotSent,
+      {"retries after refusals are bounded", Outcome::kRefusedNotRun,
+       refused_often, NextStep::kFinishNotRun},
+      {"an unsent non-idempotent request is retried", Outcome::kNotSent,
        History(false, 1, false), NextStep::kRetry},
-      {"a request not sent costs budget", Outcome::kNotSent,
+      {"a retry of an unsent request needs budget", Outcome::kNotSent,
        History(false, 1, false, false), NextStep::kFinishNotRun},
-      {"what may have run is never 'not run'", Outcome::kNotSent,
+      {"a request that may have run never ends as 'not run'", Outcome::kNotSent,
        History(true, 3, true), NextStep::kFinishUnknown},
-      {"nor when refused at the end", Outcome::kRefusedNotRun,
+      {"a request that may have run and is refused at last",
+       Outcome::kRefusedNotRun,
        [] {
          AttemptHistory history = History(true, 1, true);
          history.refusals = 8;
          return history;
        }(),
        NextStep::kFinishUnknown},
-      {"a caller that is gone gets no retry", Outcome::kNotSent, unwanted,
+      {"no retry when the caller is gone", Outcome::kNotSent, unwanted,
        NextStep::kFinishNotRun},
       {"no other executor", Outcome::kUnknown, alone, NextStep::kFinishUnknown},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    CHECK(Decide(row.outcome, row.history) == row.expected);
+    CHECK(DecideNextStep(row.outcome, row.history) == row.expected);
   }
 }
 
-TEST_CASE("a budget allows its share of retries and no more") {
+TEST_CASE("a budget allows its percentage of retries and no more") {
   struct BudgetRow {
     double percent;
     int requests;
@@ -90,9 +91,9 @@
     RetryBudget budget(row.percent);
     int retries = 0;
     for (int i = 0; i < row.requests; ++i) {
-      budget.AddFresh();
+      budget.RecordFreshRequest();
       while (budget.available()) {
-        budget.Take();
+        budget.ConsumeToken();
         ++retries;
       }
     }
