--- a/tests/auto/claims/tst_claim_history.cc
+++ b/tests/auto/claims/tst_claim_history.cc
@@ -174,9 +174,11 @@
   // The deadline passes, or the request is known not to have been sent.
   void Abandon() {
     Entry& entry = PickEntry();
-    struct Attempt* attempt = PickAttempt(&entry, [](const struct Attempt& r) {
-      return r.phase == Phase::kPending || r.phase == Phase::kWon;
-    });
+    struct Attempt* attempt =
+        PickAttempt(&entry, [](const struct Attempt& candidate) {
+          return candidate.phase == Phase::kPending ||
+                 candidate.phase == Phase::kWon;
+        });
     if (attempt == nullptr) return;
     if (const auto release = entry.table.Release(attempt->claim_id)) {
       in_transit_.push_back(*release);
@@ -189,8 +191,9 @@
   // would.
   void Send() {
     Entry& entry = PickEntry();
-    struct Attempt* attempt =
-        PickAttempt(&entry, [](const struct Attempt& r) { return !r.sent; });
+    struct Attempt* attempt = PickAttempt(
+        &entry,
+        [](const struct Attempt& candidate) { return !candidate.sent; });
     if (attempt == nullptr || !entry.table.MaySend(attempt->claim_id)) return;
     attempt->sent = true;
     attempt->phase = Phase::kSent;
@@ -200,9 +203,10 @@
 
   void End() {
     Entry& entry = PickEntry();
-    struct Attempt* attempt = PickAttempt(&entry, [](const struct Attempt& r) {
-      return r.phase == Phase::kSent;
-    });
+    struct Attempt* attempt =
+        PickAttempt(&entry, [](const struct Attempt& candidate) {
+          return candidate.phase == Phase::kSent;
+        });
     if (attempt == nullptr) return;
     attempt->phase = Phase::kOver;
     if (RandomBelow(3) == 0) {
@@ -226,7 +230,7 @@
   int claims_ = 0;
 };
 
-TEST_CASE("a key's request is sent at most once, and never when \"not run\"") {
+TEST_CASE("a key's request is sent at most once, and never after \"not run\"") {
   int sent_keys = 0;
   for (int seed = 0; seed < kHistories; ++seed) {
     History history(seed);
--- a/tests/auto/claims/tst_claim_table.cc
+++ b/tests/auto/claims/tst_claim_table.cc
@@ -74,8 +74,8 @@
   const auto kDone = ClaimRecordKind::kDone;
   ClaimRecord foreign_release = WithKind(kReleased, west);
   foreign_release.holder = kEast;
-  ClaimRecord other_run = WithKind(kReleased, west);
-  other_run.holder.incarnation = "w2";
+  ClaimRecord later_incarnation = WithKind(kReleased, west);
+  later_incarnation.holder.incarnation = "w2";
   const ClaimRecord second = ClaimOf("w-2", kWest);
 
   const std::vector<HeldCase> cases = {
@@ -113,7 +113,7 @@
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"released by a later incarnation of the holder",
-       {west, other_run},
+       {west, later_incarnation},
        ClaimDecisionKind::kAskHolder,
        ClaimRefusal::kNone},
       {"released before the claim arrives",
--- a/tests/auto/routing/tst_executor_health.cc
+++ b/tests/auto/routing/tst_executor_health.cc
@@ -41,7 +41,7 @@
       {"black hole", "att", 0, true, true},
       {"deadlines too short", "ssssssssss", 0, true, false},
       {"unreachable", "nnn", 0.9, false, true},
-      {"refusals are no failures", "rrrrrrrrrr", 0, true, false},
+      {"refusals do not count as failures", "rrrrrrrrrr", 0, true, false},
       {"lost answers", "uuu", 0, true, true},
   };
   for (const Row& row : rows) {
