--- a/src/libs/scheduling/cell_layout.cc
+++ b/src/libs/scheduling/cell_layout.cc
@@ -27,7 +27,7 @@
 int CellLayout::Add(Cell cell) {
   cell.slots.assign(cell.shape.members, CellSlot());
   for (size_t i = 0; i < cells_.size(); ++i) {
-    if (!cells_[i].retired || cells_[i].allocations > 0) continue;
+    if (!cells_[i].retired || cells_[i].occupants > 0) continue;
     cells_[i] = std::move(cell);
     return static_cast<int>(i);
   }
@@ -36,20 +36,20 @@
 }
 
 void CellLayout::Retire(int cell) {
-  if (cells_[cell].allocations == 0) Unplace(cell);
+  if (cells_[cell].occupants == 0) Unplace(cell);
   cells_[cell].retired = true;
   Commit();
 }
 
 void CellLayout::AllocateSlot(int cell, int slot, int accelerators) {
   cells_[cell].slots[slot].used += accelerators;
-  ++cells_[cell].allocations;
+  ++cells_[cell].occupants;
 }
 
 void CellLayout::FreeSlot(int cell, int slot, int accelerators) {
   cells_[cell].slots[slot].used -= accelerators;
-  --cells_[cell].allocations;
-  if (cells_[cell].retired && cells_[cell].allocations == 0) Unplace(cell);
+  --cells_[cell].occupants;
+  if (cells_[cell].retired && cells_[cell].occupants == 0) Unplace(cell);
   Commit();
 }
 
@@ -62,7 +62,7 @@
 }
 
 bool CellLayout::IsMovable(const Cell& cell) const {
-  if (cell.allocations > 0 || cell.retired) return false;
+  if (cell.occupants > 0 || cell.retired) return false;
   return !cell.pinned || !IsUsable(cell);
 }
 
@@ -158,7 +158,7 @@
                               const AcceleratorsByWorker& room,
                               const PlacementCost& cost) {
   AcceleratorsByWorker left = room;
-  const auto take = [this, &left](int index) {
+  const auto subtract = [this, &left](int index) {
     for (const CellSlot& slot : cells_[index].slots) {
       left[slot.worker] -= cells_[index].shape.accelerators_per_member;
     }
@@ -174,7 +174,7 @@
     for (const int index : batch) {
       if (!cells_[index].is_unit()) PlaceRackCell(index, left, cost);
       if (!cells_[index].placed) return false;
-      take(index);
+      subtract(index);
     }
   }
   return true;
@@ -184,10 +184,10 @@
   for (size_t i = 0; i < cells_.size(); ++i) {
     if (!IsMovable(cells_[i]) || !cells_[i].placed) continue;
     const std::vector<CellSlot>& slots = cells_[i].slots;
-    const bool overfull = std::any_of(
+    const bool overcommitted = std::any_of(
         slots.begin(), slots.end(),
         [this](const CellSlot& slot) { return unreserved_[slot.worker] < 0; });
-    if (overfull) Unplace(static_cast<int>(i));
+    if (overcommitted) Unplace(static_cast<int>(i));
   }
 }
 
@@ -328,11 +328,11 @@
   Rollback();
   for (const int index : moving) Unplace(index);
   if (PlaceInOrder(moving, FreeOutsideUnmovableCells(), cost)) {
-    for (const int index : moving)
-      ++cells_[index].allocations;  // makes the cell unmovable
-    const bool settled = ResolveOvercommit(usable);
-    for (const int index : moving) --cells_[index].allocations;
-    if (settled) {
+    // The extra occupant keeps each cell in its new place.
+    for (const int index : moving) ++cells_[index].occupants;
+    const bool resolved = ResolveOvercommit(usable);
+    for (const int index : moving) --cells_[index].occupants;
+    if (resolved) {
       Commit();
       return;
     }
@@ -351,21 +351,21 @@
   const std::vector<int> usable = UsableCells();
   for (const int index : moving) Unplace(index);
   for (size_t i = 0; i < moving.size(); ++i) PlaceAt(moving[i], workers[i]);
-  for (const int index : moving)
-    ++cells_[index].allocations;  // makes the cell unmovable
-  bool settled = ResolveOvercommit(usable);
+  // The extra occupant keeps each cell in its new place.
+  for (const int index : moving) ++cells_[index].occupants;
+  bool resolved = ResolveOvercommit(usable);
   for (const int index : moving) {
-    --cells_[index].allocations;
+    --cells_[index].occupants;
     for (const CellSlot& slot : cells_[index].slots) {
-      settled = settled && unreserved_[slot.worker] >= 0;
+      resolved = resolved && unreserved_[slot.worker] >= 0;
     }
   }
-  if (settled) {
+  if (resolved) {
     Commit();
   } else {
     Rollback();
   }
-  return settled;
+  return resolved;
 }
 
 }  // namespace thornplank
--- a/src/libs/scheduling/cell_layout.h
+++ b/src/libs/scheduling/cell_layout.h
@@ -54,8 +54,9 @@
   // The declared shape if its adjacency is kRack, else one member of it.
   Shape shape;
   std::vector<CellSlot> slots;
-  // Members of gangs in the cell. It cannot be moved unless this is 0.
-  int allocations = 0;
+  // Gang members that are allocated a slot of the cell. While there are any,
+  // the cell cannot be moved.
+  int occupants = 0;
   // Invariant: every slot names a worker if `placed`, no slot does otherwise.
   // A cell with allocations may lie on a worker that is no longer usable.
   bool placed = false;
@@ -121,6 +122,8 @@
                      const PlacementCost& cost);
   void PlaceUnits(const std::vector<int>& units,
                   const AcceleratorsByWorker& room, const PlacementCost& cost);
+  // Places the unplaced cells `moving` on the accelerators in `room`. Returns
+  // false if one of them does not fit.
   bool PlaceInOrder(const std::vector<int>& moving,
                     const AcceleratorsByWorker& room,
                     const PlacementCost& cost);
--- a/src/libs/scheduling/gang.h
+++ b/src/libs/scheduling/gang.h
@@ -27,8 +27,8 @@
 };
 inline constexpr int kMemberStates = 6;
 
-// What happens to the job once the last lease of the gang is gone.
-enum class JobDisposition { kRequeue, kCancel, kFail, kFinish };
+// How a gang ends: what happens to its job once its last lease is gone.
+enum class GangEnd { kRequeue, kCancel, kFail, kFinish };
 
 struct MemberRecord {
   GangMember member;
@@ -72,7 +72,7 @@
   // kStarting, kRunning, kCheckpointing or kStopping.
   // Invariant: kRunning only while every member is confirmed or finished.
   JobPhase phase = JobPhase::kStarting;
-  JobDisposition disposition = JobDisposition::kRequeue;
+  GangEnd end = GangEnd::kRequeue;
   std::string end_reason;
   Time granted_at;
   // When the throttle was lifted, that is, when the gang began to run.
--- a/src/libs/scheduling/gang_lifecycle.cc
+++ b/src/libs/scheduling/gang_lifecycle.cc
@@ -55,8 +55,7 @@
   // The reason for the checkpoint or stop is not known to this coordinator:
   // stop the gang and place the job again.
   added.phase = JobPhase::kRunning;
-  Stop(added, "being stopped at takeover", JobDisposition::kRequeue, now,
-       actions);
+  Stop(added, "being stopped at takeover", GangEnd::kRequeue, now, actions);
 }
 
 void GangLifecycle::Checkpoint(Gang& gang, const std::string& reason,
@@ -64,7 +63,7 @@
                                SchedulerActions* actions) {
   if (gang.phase == JobPhase::kStarting) {
     // The gang has not run yet, so there is nothing to save.
-    Stop(gang, reason, JobDisposition::kRequeue, now, actions);
+    Stop(gang, reason, GangEnd::kRequeue, now, actions);
     return;
   }
   if (gang.phase != JobPhase::kRunning) return;
@@ -76,16 +75,14 @@
   actions->push_back(CheckpointGang{gang.job(), gang.id(), reason});
 }
 
-void GangLifecycle::Stop(Gang& gang, const std::string& reason,
-                         JobDisposition disposition, Time now,
-                         SchedulerActions* actions) {
+void GangLifecycle::Stop(Gang& gang, const std::string& reason, GangEnd end,
+                         Time now, SchedulerActions* actions) {
   (void)now;
-  if (disposition == JobDisposition::kCancel || !IsStopping(gang))
-    gang.disposition = disposition;
+  if (end == GangEnd::kCancel || !IsStopping(gang)) gang.end = end;
   if (IsStopping(gang)) return;
   gang.phase = JobPhase::kStopping;
   gang.end_reason = reason;
-  if (disposition != JobDisposition::kFinish) {
+  if (end != GangEnd::kFinish) {
     observer_.OnPhase(gang, JobPhase::kStopping, reason);
   }
   actions->push_back(StopGang{gang.job(), gang.id(), reason});
@@ -145,7 +142,7 @@
     observer_.OnMemberFailed(gang, record, refused, reason, now);
     const std::string stop_reason = (refused ? "refused by " : "failed on ") +
                                     record.member.worker + ": " + reason;
-    Stop(gang, stop_reason, JobDisposition::kRequeue, now, actions);
+    Stop(gang, stop_reason, GangEnd::kRequeue, now, actions);
   }
   RemoveIfAllGone(gang);
 }
@@ -157,7 +154,7 @@
   if (!gangs_.SetState(gang, member, MemberState::kGone, now)) return;
   if (!IsStopping(gang)) {
     Stop(gang, "lost its member on " + worker + ": " + reason,
-         JobDisposition::kRequeue, now, actions);
+         GangEnd::kRequeue, now, actions);
   }
   RemoveIfAllGone(gang);
 }
@@ -165,15 +162,12 @@
 void GangLifecycle::FinishIfAllFinished(Gang& gang, Time now,
                                         SchedulerActions* actions) {
   if (gang.count(MemberState::kFinished) != gang.size()) return;
-  if (gang.disposition == JobDisposition::kCancel ||
-      gang.disposition == JobDisposition::kFail)
-    return;
+  if (gang.end == GangEnd::kCancel || gang.end == GangEnd::kFail) return;
   const bool stop_sent = IsStopping(gang);
-  gang.disposition = JobDisposition::kFinish;
+  gang.end = GangEnd::kFinish;
   observer_.OnFinished(gang, now);
   if (stop_sent) return;
-  Stop(gang, "finished, leases released", JobDisposition::kFinish, now,
-       actions);
+  Stop(gang, "finished, leases released", GangEnd::kFinish, now, actions);
 }
 
 void GangLifecycle::CheckpointDone(Gang& gang, Time now,
@@ -181,7 +175,7 @@
   if (gang.phase != JobPhase::kCheckpointing) return;
   gang.checkpointed = true;
   observer_.OnCheckpointed(gang, now - gang.checkpoint_asked_at);
-  Stop(gang, gang.end_reason, JobDisposition::kRequeue, now, actions);
+  Stop(gang, gang.end_reason, GangEnd::kRequeue, now, actions);
 }
 
 void GangLifecycle::CompleteCheckpointIfAllSaved(Gang& gang, Time now,
@@ -269,7 +263,7 @@
       gang.SetLapseTime(i, lapses_at);
     }
     Stop(gang, "lost its member on " + name + ": worker cannot be reached",
-         JobDisposition::kRequeue, now, actions);
+         GangEnd::kRequeue, now, actions);
   }
 }
 
@@ -287,13 +281,13 @@
 
 void GangLifecycle::TickGang(Gang& gang, Time now, SchedulerActions* actions) {
   if (gang.phase == JobPhase::kStarting && gang.deadline <= now) {
-    Stop(gang, "not all members confirmed in time", JobDisposition::kRequeue,
-         now, actions);
+    Stop(gang, "not all members confirmed in time", GangEnd::kRequeue, now,
+         actions);
   }
   if (gang.phase == JobPhase::kCheckpointing && gang.deadline <= now) {
     observer_.OnCheckpointHung(gang);
     Stop(gang, gang.end_reason + "; checkpoint not done in time",
-         JobDisposition::kRequeue, now, actions);
+         GangEnd::kRequeue, now, actions);
   }
   const std::string id = gang.id();
   for (int i = 0; gangs_.Find(id) && i < gang.size(); ++i) {
--- a/src/libs/scheduling/gang_lifecycle.h
+++ b/src/libs/scheduling/gang_lifecycle.h
@@ -59,9 +59,9 @@
   void Checkpoint(Gang& gang, const std::string& reason, Duration deadline,
                   Time now, SchedulerActions* actions);
   // Does nothing if the gang is already being stopped, except that the
-  // disposition kCancel replaces the earlier one.
-  void Stop(Gang& gang, const std::string& reason, JobDisposition disposition,
-            Time now, SchedulerActions* actions);
+  // end kCancel replaces the earlier one.
+  void Stop(Gang& gang, const std::string& reason, GangEnd end, Time now,
+            SchedulerActions* actions);
 
   void MemberResult(Gang& gang, int member, MemberOutcome outcome,
                     const std::string& reason, Time now,
--- a/src/libs/scheduling/guarantee_placement.cc
+++ b/src/libs/scheduling/guarantee_placement.cc
@@ -16,7 +16,7 @@
 }
 
 // Whether only jobs of `event` may use the cell. `event` must not be empty.
-bool IsReservedForEvent(const Cell& cell, const std::string& event) {
+bool IsOnlyFor(const Cell& cell, const std::string& event) {
   if (cell.retired) return false;
   return cell.owner.event == event || cell.lent_to == event;
 }
@@ -62,8 +62,7 @@
     for (const bool in_use : {true, false}) {
       for (size_t i = 0; i < cells().size() && missing > 0; ++i) {
         const Cell& cell = cells()[i];
-        if (kept[i] || cell.retired || (cell.allocations > 0) != in_use)
-          continue;
+        if (kept[i] || cell.retired || (cell.occupants > 0) != in_use) continue;
         if (!(cell.owner == demand.owner)) continue;
         if (!(cell.declared == demand.guaranteed.shape)) continue;
         kept[i] = true;
@@ -123,7 +122,7 @@
     const Cell& cell = cells()[index];
     const int members = CountFreeMembers(cell, shape, assume_unused);
     if (members == 0) continue;
-    const bool in_use = cell.allocations > 0 && !assume_unused;
+    const bool in_use = cell.occupants > 0 && !assume_unused;
     const bool exact = !cell.is_unit() && !in_use && cell.shape == shape;
     if (exact) return std::vector<int>{index};
     options.push_back(
@@ -173,15 +172,14 @@
   if (!chosen) return std::nullopt;
   std::vector<int> moving;
   for (const int index : *chosen) {
-    if (cells()[index].allocations == 0 && !cells()[index].pinned) {
+    if (cells()[index].occupants == 0 && !cells()[index].pinned) {
       moving.push_back(index);
     }
   }
   if (!moving.empty()) layout_.Relocate(moving, cost);
-  CellAllocation allocation = AllocateSlots(*chosen, shape);
-  if (static_cast<int>(allocation.slots.size()) == shape.members)
-    return allocation;
-  Release(allocation);
+  CellAllocation result = AllocateSlots(*chosen, shape);
+  if (static_cast<int>(result.slots.size()) == shape.members) return result;
+  Release(result);
   return std::nullopt;
 }
 
@@ -231,7 +229,7 @@
   if (!IsSingleRack(cluster_, at)) return std::nullopt;
   for (const int index : CellsOf(owner)) {
     const Cell& cell = cells()[index];
-    if (cell.is_unit() || cell.allocations > 0) continue;
+    if (cell.is_unit() || cell.occupants > 0) continue;
     if (cell.shape.members != shape.members) continue;
     if (cell.shape.accelerators_per_member != shape.accelerators_per_member) {
       continue;
@@ -254,7 +252,7 @@
     for (const int index : CellsOf(owner)) {
       const Cell& cell = cells()[index];
       if (moving.size() == workers.size()) break;
-      if (!cell.is_unit() || cell.allocations > 0) continue;
+      if (!cell.is_unit() || cell.occupants > 0) continue;
       if (cell.shape.accelerators_per_member < shape.accelerators_per_member) {
         continue;
       }
@@ -311,7 +309,7 @@
     for (size_t i = 0; i < cells().size() && wanted > 0; ++i) {
       const Cell& cell = cells()[i];
       if (!matches(cell) || !cell.lent_to.empty()) continue;
-      if ((cell.allocations > 0) != in_use) continue;
+      if ((cell.occupants > 0) != in_use) continue;
       layout_.SetLentTo(static_cast<int>(i), event);
       --wanted;
     }
@@ -321,7 +319,7 @@
 void GuaranteePlacement::EndLoans(const std::string& event) {
   for (size_t i = 0; i < cells().size(); ++i) {
     const int index = static_cast<int>(i);
-    if (!IsReservedForEvent(cells()[i], event)) continue;
+    if (!IsOnlyFor(cells()[i], event)) continue;
     layout_.SetPinned(index, false);
     layout_.SetLentTo(index, "");
   }
@@ -332,8 +330,7 @@
   std::vector<int> moving;
   for (size_t i = 0; i < cells().size(); ++i) {
     const Cell& cell = cells()[i];
-    if (!IsReservedForEvent(cell, event) || cell.allocations > 0 || cell.pinned)
-      continue;
+    if (!IsOnlyFor(cell, event) || cell.occupants > 0 || cell.pinned) continue;
     moving.push_back(static_cast<int>(i));
   }
   std::stable_sort(moving.begin(), moving.end(), [this](int a, int b) {
@@ -360,7 +357,7 @@
     const std::string& event) const {
   AcceleratorsByWorker reserved(cluster_.size(), 0);
   for (const Cell& cell : cells()) {
-    if (!IsReservedForEvent(cell, event)) continue;
+    if (!IsOnlyFor(cell, event)) continue;
     for (const CellSlot& slot : cell.slots) {
       if (slot.worker == kNoWorker) continue;
       reserved[slot.worker] += cell.shape.accelerators_per_member - slot.used;
--- a/src/libs/scheduling/guarantee_placement.h
+++ b/src/libs/scheduling/guarantee_placement.h
@@ -107,8 +107,8 @@
                                               bool assume_unused) const;
   CellAllocation AllocateSlots(const std::vector<int>& cells,
                                const Shape& shape);
-  // A rack cell of the same size as `shape` without allocations, or nullopt.
-  // The workers `at` must lie in one rack.
+  // A rack cell of the same size as `shape` without allocations, or nullopt if
+  // there is none or the workers `at` lie in several racks.
   std::optional<int> FindExactRackCell(
       const CellOwner& owner, const Shape& shape,
       const std::vector<WorkerIndex>& at) const;
--- a/src/libs/scheduling/job_record.h
+++ b/src/libs/scheduling/job_record.h
@@ -61,8 +61,9 @@
   Priority priority = Priority::kNormal;
   // In the order of submission.
   std::vector<JobRecord*> waiting;
-  // Since when the class could not run even if all declared workers were empty,
-  // or is forbidden by the rules of its account; nullopt if it could.
+  // Since when the jobs have been infeasible: the declared workers could not
+  // hold them even when empty, or the rules of their account forbid them.
+  // nullopt while they are feasible.
   std::optional<Time> infeasible_since;
   std::string infeasible_reason;
 
--- a/src/libs/scheduling/job_scheduler.h
+++ b/src/libs/scheduling/job_scheduler.h
@@ -178,7 +178,8 @@
   std::optional<JobStatus> job(const std::string& id) const;
   // Workers that get no gang because of their failures, except as probes.
   std::vector<std::string> quarantined_workers() const;
-  // Accelerators not held by any lease on workers that may be used.
+  // Accelerators of usable workers that are neither held by a lease nor
+  // claimed.
   int free_accelerators() const;
   // The current placement of all guarantees.
   const GuaranteePlacement& guarantee_placement() const;
--- a/src/libs/scheduling/placement_round.cc
+++ b/src/libs/scheduling/placement_round.cc
@@ -207,11 +207,10 @@
   }
   for (const EventReservation& event : state_.calendar.events()) {
     const Time end = now_ + state_.RemainingTimeOf(job);
-    const Duration lead_time = state_.ReclaimLeadTime(job.spec.account);
+    const Duration lead_time = state_.LeadTime(job.spec.account);
     if (!EventCalendar::MustAvoid(event, now_, end, lead_time)) continue;
-    const AcceleratorsByWorker& reserved = ReservedForEvent(event.name);
-    for (WorkerIndex i = 0; i < state_.cluster.size(); ++i)
-      room[i] -= reserved[i];
+    const AcceleratorsByWorker& avoid = ReservedForEvent(event.name);
+    for (WorkerIndex i = 0; i < state_.cluster.size(); ++i) room[i] -= avoid[i];
   }
   const DisplacingCost cost(state_.cluster, state_.fragmentation,
                             displacement_cost_, job);
@@ -238,11 +237,11 @@
   AcceleratorsByWorker room = state_.cluster.FreeByWorker();
   const Time end = now_ + state_.RemainingTimeOf(job);
   for (const EventReservation& event : state_.calendar.events()) {
-    const Duration lead_time = state_.ReclaimLeadTime(job.spec.account);
+    const Duration lead_time = state_.LeadTime(job.spec.account);
     if (!EventCalendar::MustAvoid(event, now_, end, lead_time)) continue;
-    const AcceleratorsByWorker& reserved = ReservedForEvent(event.name);
+    const AcceleratorsByWorker& avoid = ReservedForEvent(event.name);
     for (size_t i = 0; i < room.size(); ++i) {
-      room[i] = std::max(0, room[i] - reserved[i]);
+      room[i] = std::max(0, room[i] - avoid[i]);
     }
   }
   if (!ignore_reservation && MustAvoidReservation(job, end)) {
@@ -262,17 +261,17 @@
 
 std::set<std::string> PlacementRound::ConstraintsOf(
     const JobRecord& job) const {
-  std::set<std::string> limits;
+  std::set<std::string> constraints;
   const Time end = now_ + state_.RemainingTimeOf(job);
-  if (MustAvoidReservation(job, end)) limits.insert("");
-  if (state_.calendar.events().empty()) return limits;
-  const Duration lead_time = state_.ReclaimLeadTime(job.spec.account);
+  if (MustAvoidReservation(job, end)) constraints.insert("");
+  if (state_.calendar.events().empty()) return constraints;
+  const Duration lead_time = state_.LeadTime(job.spec.account);
   for (const EventReservation& event : state_.calendar.events()) {
     if (EventCalendar::MustAvoid(event, now_, end, lead_time)) {
-      limits.insert(event.name);
+      constraints.insert(event.name);
     }
   }
-  return limits;
+  return constraints;
 }
 
 double PlacementRound::ScoreOf(const JobRecord& job) const {
@@ -309,7 +308,7 @@
   std::make_heap(entries.begin(), entries.end(), lower);
   // Classes, with their constraints, that did not fit. Free accelerators only
   // decrease during a round, so these need not be tried again.
-  std::set<std::pair<int, std::set<std::string>>> without_room;
+  std::set<std::pair<int, std::set<std::string>>> not_fitting;
   int started = 0;
   while (!entries.empty()) {
     if (started == kMaxStartsPerRound) return false;
@@ -317,11 +316,11 @@
     JobRecord& job = *entries.back().second;
     entries.pop_back();
     const auto key = std::make_pair(job.job_class, ConstraintsOf(job));
-    if (without_room.count(key) > 0) continue;
+    if (not_fitting.count(key) > 0) continue;
     if (TryBorrow(job)) {
       ++started;
     } else if (job.failed_on.empty()) {
-      without_room.insert(key);
+      not_fitting.insert(key);
     }
   }
   return true;
--- a/src/libs/scheduling/placement_round.h
+++ b/src/libs/scheduling/placement_round.h
@@ -40,7 +40,8 @@
   void StartReadyPlans();
 
  private:
-  // Whether the job waits without a plan and its earliest start has come.
+  // Whether the job has no plan, is not backing off after a refusal, and its
+  // event, if any, has started.
   bool MayStart(const JobRecord& job) const;
   bool MayBorrow(const JobClass& job_class) const;
 
--- a/src/libs/scheduling/reclaimer.cc
+++ b/src/libs/scheduling/reclaimer.cc
@@ -114,18 +114,16 @@
 
 void Reclaimer::ReclaimForEvent(const EventReservation& event,
                                 const ClusterSnapshot& snapshot, Time now) {
-  if (now < EventCalendar::ReclaimTime(event, state_.LongestReclaimLeadTime()))
-    return;
-  const AcceleratorsByWorker reserved =
+  if (now < EventCalendar::ReclaimTime(event, state_.LongestLeadTime())) return;
+  const AcceleratorsByWorker needs =
       state_.guarantee_placement.UnusedReservedFor(event.name);
   std::map<WorkerIndex, int> claimed =
       ClaimedAccelerators(PlanFilter::kGuaranteed);
   for (auto one = claimed.begin(); one != claimed.end();) {
-    one = reserved[one->first] > 0 ? std::next(one) : claimed.erase(one);
+    one = needs[one->first] > 0 ? std::next(one) : claimed.erase(one);
   }
   for (WorkerIndex i = 0; i < state_.cluster.size(); ++i) {
-    if (reserved[i] > 0 && state_.cluster.capacity(i) > 0)
-      claimed[i] += reserved[i];
+    if (needs[i] > 0 && state_.cluster.capacity(i) > 0) claimed[i] += needs[i];
   }
   const std::map<WorkerIndex, int> missing =
       AcceleratorsToReclaim(claimed, snapshot);
@@ -133,8 +131,8 @@
        SelectVictims(missing, Candidates(snapshot, true, now))) {
     Gang& gang = *state_.gangs.Find(id);
     // Gangs that are checkpointed faster run on until their own reclaim time.
-    if (now < EventCalendar::ReclaimTime(
-                  event, state_.ReclaimLeadTime(gang.account()))) {
+    if (now <
+        EventCalendar::ReclaimTime(event, state_.LeadTime(gang.account()))) {
       continue;
     }
     stopper_.CheckpointAndStop(gang, "cleared for event " + event.name, now);
@@ -143,8 +141,7 @@
 
 void Reclaimer::PrepareEvents(const ClusterSnapshot& snapshot, Time now) {
   for (const EventReservation& event : state_.calendar.events()) {
-    const Duration ahead =
-        state_.LongestReclaimLeadTime() + kEventPreparationTime;
+    const Duration ahead = state_.LongestLeadTime() + kEventPreparationTime;
     if (now < EventCalendar::ReclaimTime(event, ahead)) continue;
     for (const GuaranteedShape& shape : event.shapes) {
       state_.guarantee_placement.Lend(event.account, event.name, shape);
@@ -165,11 +162,10 @@
   for (const EventReservation& event : state_.calendar.events()) {
     consider(event.start);
     consider(EventCalendar::ReclaimTime(
-        event, state_.LongestReclaimLeadTime() + kEventPreparationTime));
+        event, state_.LongestLeadTime() + kEventPreparationTime));
     for (const auto& [account, accelerators] : state_.borrowed) {
       if (accelerators <= 0) continue;
-      consider(
-          EventCalendar::ReclaimTime(event, state_.ReclaimLeadTime(account)));
+      consider(EventCalendar::ReclaimTime(event, state_.LeadTime(account)));
     }
   }
   return next;
--- a/src/libs/scheduling/scheduler_actions.h
+++ b/src/libs/scheduling/scheduler_actions.h
@@ -16,7 +16,7 @@
   std::string job;
   std::string gang_id;
   std::vector<GangMember> members;
-  // Why the job was placed, for the log.
+  // Why the job was placed now and on these workers, for the log.
   std::string reason;
 };
 
--- a/src/libs/scheduling/scheduler_core.cc
+++ b/src/libs/scheduling/scheduler_core.cc
@@ -42,8 +42,7 @@
   JobRecord* job = state_.FindJob(id);
   if (!job || IsFinal(job->phase)) return;
   if (Gang* gang = state_.gangs.Find(job->gang_id)) {
-    lifecycle_.Stop(*gang, kCancelled, JobDisposition::kCancel, now,
-                    &state_.actions);
+    lifecycle_.Stop(*gang, kCancelled, GangEnd::kCancel, now, &state_.actions);
     return;
   }
   state_.RemoveWaiting(*job);
@@ -102,11 +101,10 @@
   lifecycle_.TakeOver(std::move(gang), phase, found.ran_for, now,
                       &state_.actions);
   if (cancelled) {
-    lifecycle_.Stop(taken, kCancelled, JobDisposition::kCancel, now,
-                    &state_.actions);
+    lifecycle_.Stop(taken, kCancelled, GangEnd::kCancel, now, &state_.actions);
   } else if (!whole) {
-    lifecycle_.Stop(taken, "found with part of its members",
-                    JobDisposition::kRequeue, now, &state_.actions);
+    lifecycle_.Stop(taken, "found with part of its members", GangEnd::kRequeue,
+                    now, &state_.actions);
   }
 }
 
@@ -262,7 +260,7 @@
   }
   if (job->gang_id != gang.id()) return;
   job->gang_id.clear();
-  if (gang.disposition == JobDisposition::kCancel) {
+  if (gang.end == GangEnd::kCancel) {
     state_.failure_tracker.ForgetJob(job->spec.id);
     state_.SetPhase(*job, JobPhase::kCancelled, kCancelled);
     return;
--- a/src/libs/scheduling/scheduler_maintenance.cc
+++ b/src/libs/scheduling/scheduler_maintenance.cc
@@ -11,7 +11,7 @@
 
 // Number of gangs of `shape` that the guarantee of the account covers. Cells
 // for as many can be lent to an event of the account.
-int GuaranteedCount(const AccountGuarantee& account, const Shape& shape) {
+int CountCovered(const AccountGuarantee& account, const Shape& shape) {
   int count = 0;
   for (const GuaranteedShape& own : account.shapes) {
     if (own.shape == shape) count += own.count;
@@ -77,7 +77,7 @@
   for (const EventReservation& event : state_.calendar.events()) {
     const AccountGuarantee& account = state_.Account(event.account);
     for (GuaranteedShape shape : event.shapes) {
-      shape.count -= GuaranteedCount(account, shape.shape);
+      shape.count -= CountCovered(account, shape.shape);
       if (shape.count > 0) {
         demands.push_back({{event.account, event.name}, shape});
       }
@@ -244,8 +244,7 @@
   std::string text =
       state_.guarantee_placement.Shortfall({event.account, event.name});
   for (const GuaranteedShape& shape : event.shapes) {
-    if (GuaranteedCount(state_.Account(event.account), shape.shape) == 0)
-      continue;
+    if (CountCovered(state_.Account(event.account), shape.shape) == 0) continue;
     const std::string own =
         state_.guarantee_placement.Shortfall({event.account, ""});
     if (own.empty()) break;
--- a/src/libs/scheduling/scheduler_state.cc
+++ b/src/libs/scheduling/scheduler_state.cc
@@ -147,7 +147,7 @@
                                           job->saved_run_time + ran);
 }
 
-Duration SchedulerState::ReclaimLeadTime(const std::string& account) const {
+Duration SchedulerState::LeadTime(const std::string& account) const {
   const double margin = 1 + options.checkpoint_margin;
   const Duration saving = std::chrono::duration_cast<Duration>(
       estimator.CheckpointTime(account) * margin);
@@ -157,10 +157,10 @@
   return (may_hang ? deadline : std::min(saving, deadline)) + kStopAllowance;
 }
 
-Duration SchedulerState::LongestReclaimLeadTime() const {
+Duration SchedulerState::LongestLeadTime() const {
   Duration longest = Duration::zero();
   for (const auto& [account, accelerators] : borrowed) {
-    if (accelerators > 0) longest = std::max(longest, ReclaimLeadTime(account));
+    if (accelerators > 0) longest = std::max(longest, LeadTime(account));
   }
   return longest;
 }
--- a/src/libs/scheduling/scheduler_state.h
+++ b/src/libs/scheduling/scheduler_state.h
@@ -46,9 +46,9 @@
   Time ExpectedEnd(const Gang& gang, Time now) const;
   // Expected time from the checkpoint request to a gang of the account until
   // its accelerators are free, including the safety margin.
-  Duration ReclaimLeadTime(const std::string& account) const;
+  Duration LeadTime(const std::string& account) const;
   // The longest lead time over all accounts that borrow now.
-  Duration LongestReclaimLeadTime() const;
+  Duration LongestLeadTime() const;
   // Work expected to be lost by stopping the gang now, in accelerator seconds.
   double WorkLost(const Gang& gang, Time now) const;
 
--- a/src/libs/scheduling/victim_selection.cc
+++ b/src/libs/scheduling/victim_selection.cc
@@ -6,8 +6,8 @@
 namespace {
 
 // Number of needed accelerators that stopping the candidate would free.
-int NeededAcceleratorsFreed(const VictimCandidate& candidate,
-                            const std::map<WorkerIndex, int>& needed) {
+int CountFreed(const VictimCandidate& candidate,
+               const std::map<WorkerIndex, int>& needed) {
   int freed = 0;
   for (const auto& [worker, accelerators] : candidate.holds) {
     const auto need = needed.find(worker);
@@ -33,7 +33,7 @@
   const VictimCandidate* best = nullptr;
   double best_cost = 0;
   for (const VictimCandidate* candidate : candidates) {
-    const int freed = NeededAcceleratorsFreed(*candidate, needed);
+    const int freed = CountFreed(*candidate, needed);
     if (freed == 0) continue;
     const double cost = candidate->work_lost / freed;
     if (best && cost >= best_cost) continue;
@@ -61,8 +61,7 @@
   std::map<WorkerIndex, int> left = needed;
   std::vector<const VictimCandidate*> open;
   for (const VictimCandidate& candidate : candidates) {
-    if (NeededAcceleratorsFreed(candidate, left) > 0)
-      open.push_back(&candidate);
+    if (CountFreed(candidate, left) > 0) open.push_back(&candidate);
   }
   std::vector<const VictimCandidate*> chosen;
   while (const VictimCandidate* best = BestVictim(left, open)) {
--- a/tests/auto/scheduling/virtual_cluster.cc
+++ b/tests/auto/scheduling/virtual_cluster.cc
@@ -207,36 +207,33 @@
 
 void VirtualCluster::ApplyOne(const GrantGang& action) {
   if (cancelled_.count(action.job) > 0) {
-    RecordViolation(action.job + " granted after its cancellation");
+    Violation(action.job + " granted after its cancellation");
   }
   if (!grants_.emplace(action.gang_id, action).second) {
-    RecordViolation("gang id used twice: " + action.gang_id);
+    Violation("gang id used twice: " + action.gang_id);
   }
   const Shape& shape = jobs_[action.job].shape;
   if (static_cast<int>(action.members.size()) != shape.members) {
-    RecordViolation("granted with a wrong number of members: " +
-                    action.gang_id);
+    Violation("granted with a wrong number of members: " + action.gang_id);
   }
   std::set<std::string> racks;
   for (const GangMember& member : action.members) {
     racks.insert(workers_[member.worker].info.rack);
-    if (!IsUsable(member.worker))
-      RecordViolation("granted on unusable worker " + member.worker);
+    if (!IsUsable(member.worker)) Violation("not usable: " + member.worker);
     messages_.push_back({Kind::kGrant, action.job, action.gang_id, member});
   }
   if (shape.adjacency == Adjacency::kRack && racks.size() > 1) {
-    RecordViolation("granted across racks: " + action.gang_id);
+    Violation("granted across racks: " + action.gang_id);
   }
 }
 
 void VirtualCluster::ApplyOne(const LiftThrottle& action) {
   if (cancelled_.count(action.job) > 0) {
-    RecordViolation(action.job + " started after its cancellation");
+    Violation(action.job + " started after its cancellation");
   }
   for (const GangMember& member : grants_[action.gang_id].members) {
     if (workers_[member.worker].leases.count(member.lease_id) == 0) {
-      RecordViolation("started while a member holds no lease: " +
-                      action.gang_id);
+      Violation("started while a member holds no lease: " + action.gang_id);
     }
   }
   running_.insert(action.gang_id);
@@ -262,7 +259,7 @@
 void VirtualCluster::ApplyOne(const PhaseChanged& action) {
   const auto known = phases_.find(action.job);
   if (known != phases_.end() && IsFinal(known->second)) {
-    RecordViolation("phase changed after a final phase: " + action.job);
+    Violation("phase changed after a final phase: " + action.job);
   }
   phases_[action.job] = action.phase;
 }
@@ -281,7 +278,7 @@
   }
 }
 
-void VirtualCluster::RecordViolation(const std::string& text) {
+void VirtualCluster::Violation(const std::string& text) {
   if (first_violation_.empty()) first_violation_ = text;
 }
 
@@ -322,8 +319,7 @@
   for (const auto& [id, spec] : jobs_) {
     const std::optional<JobStatus> status = scheduler_->job(id);
     if (!status || status->phase != JobPhase::kRunning) continue;
-    if (running_.count(status->gang_id) == 0)
-      return id + " runs although its throttle was not lifted";
+    if (running_.count(status->gang_id) == 0) return id + " runs throttled";
     for (const GangMember& member : status->members) {
       if (workers_.at(member.worker).leases.count(member.lease_id) == 0) {
         return id + " runs while a member holds no lease";
--- a/tests/auto/scheduling/virtual_cluster.h
+++ b/tests/auto/scheduling/virtual_cluster.h
@@ -81,7 +81,7 @@
   void ApplyOne(const ReportShortfall& action);
   void ApplyOne(const WorkerQuarantineChanged&) {}
   void Lapse();
-  void RecordViolation(const std::string& text);
+  void Violation(const std::string& text);
   int Held(const Worker& worker) const;
   bool IsUsable(const std::string& worker) const;
   std::vector<std::string> RunningGangs() const;
