--- a/src/libs/scheduling/fragmentation_score.cc
+++ b/src/libs/scheduling/fragmentation_score.cc
@@ -26,8 +26,8 @@
   const int size = shape.accelerators_per_member;
   if (shape.adjacency == Adjacency::kAnywhere) return 1.0 * slots * size;
   const int gangs = slots / shape.members;
-  const int rest = slots - gangs * shape.members;
-  return 1.0 * size * (gangs * shape.members + kPartialRackShare * rest);
+  const int remaining = slots - gangs * shape.members;
+  return 1.0 * size * (gangs * shape.members + kPartialRackShare * remaining);
 }
 
 double FragmentationScore::Loss(int rack, const Placement& share,
@@ -61,7 +61,7 @@
   int free = 0;
   for (const int one : room) free += std::max(0, one);
   if (free == 0 || shapes_.empty()) return 0;
-  double useless_share = 0;
+  double unusable_share = 0;
   for (const WeightedShape& weighted : shapes_) {
     const Shape& shape = weighted.shape;
     const int size = shape.accelerators_per_member;
@@ -76,10 +76,10 @@
       gangs += rack_slots / shape.members;
     }
     if (shape.adjacency == Adjacency::kAnywhere) gangs = slots / shape.members;
-    const double useful = 1.0 * gangs * shape.accelerators();
-    useless_share += weighted.weight * (1 - useful / free);
+    const double usable = 1.0 * gangs * shape.accelerators();
+    unusable_share += weighted.weight * (1 - usable / free);
   }
-  return useless_share;
+  return unusable_share;
 }
 
 }  // namespace thornplank
--- a/src/libs/scheduling/placement_costs.cc
+++ b/src/libs/scheduling/placement_costs.cc
@@ -55,17 +55,18 @@
 
 double BorrowingCost::WorkerCost(WorkerIndex worker) const {
   const int needed = job_.spec.shape.accelerators_per_member;
-  const int clear = std::max(0, room_[worker] - view_.unused_reserved[worker]);
-  return kReservedAcceleratorCost * std::max(0, needed - clear);
+  const int unreserved =
+      std::max(0, room_[worker] - view_.unused_reserved[worker]);
+  return kReservedAcceleratorCost * std::max(0, needed - unreserved);
 }
 
 double BorrowingCost::RackCost(int rack, const Placement& share,
                                int accelerators_per_member,
                                const AcceleratorsByWorker& room) const {
-  const std::chrono::duration<double> longer =
+  const std::chrono::duration<double> extension =
       expected_end_ - view_.rack_end_times[rack];
   return view_.fragmentation.Loss(rack, share, accelerators_per_member, room) +
-         kRackExtensionCostPerSecond * std::max(0.0, longer.count());
+         kRackExtensionCostPerSecond * std::max(0.0, extension.count());
 }
 
 }  // namespace thornplank
--- a/src/libs/scheduling/victim_selection.cc
+++ b/src/libs/scheduling/victim_selection.cc
@@ -45,12 +45,13 @@
 
 // Whether stopping the other chosen victims is enough without `victim`.
 bool IsRedundant(const VictimCandidate& victim,
-                 const std::map<WorkerIndex, int>& left) {
-  return std::all_of(
-      victim.holds.begin(), victim.holds.end(), [&left](const auto& hold) {
-        const auto need = left.find(hold.first);
-        return need == left.end() || need->second + hold.second <= 0;
-      });
+                 const std::map<WorkerIndex, int>& still_needed) {
+  return std::all_of(victim.holds.begin(), victim.holds.end(),
+                     [&still_needed](const auto& hold) {
+                       const auto need = still_needed.find(hold.first);
+                       return need == still_needed.end() ||
+                              need->second + hold.second <= 0;
+                     });
 }
 
 }  // namespace
@@ -58,16 +59,16 @@
 std::vector<std::string> SelectVictims(
     const std::map<WorkerIndex, int>& needed,
     const std::vector<VictimCandidate>& candidates) {
-  std::map<WorkerIndex, int> left = needed;
-  std::vector<const VictimCandidate*> open;
+  std::map<WorkerIndex, int> still_needed = needed;
+  std::vector<const VictimCandidate*> useful;
   for (const VictimCandidate& candidate : candidates) {
-    if (CountFreed(candidate, left) > 0) open.push_back(&candidate);
+    if (CountFreed(candidate, still_needed) > 0) useful.push_back(&candidate);
   }
   std::vector<const VictimCandidate*> chosen;
-  while (const VictimCandidate* best = BestVictim(left, open)) {
+  while (const VictimCandidate* best = BestVictim(still_needed, useful)) {
     chosen.push_back(best);
-    SubtractHeld(*best, 1, &left);
-    open.erase(std::find(open.begin(), open.end(), best));
+    SubtractHeld(*best, 1, &still_needed);
+    useful.erase(std::find(useful.begin(), useful.end(), best));
   }
   std::vector<std::string> victims;
   // The most expensive victims are spared first.
@@ -75,8 +76,8 @@
     return a->work_lost > b->work_lost;
   });
   for (const VictimCandidate* victim : chosen) {
-    if (IsRedundant(*victim, left)) {
-      SubtractHeld(*victim, -1, &left);
+    if (IsRedundant(*victim, still_needed)) {
+      SubtractHeld(*victim, -1, &still_needed);
     } else {
       victims.push_back(victim->gang_id);
     }
--- a/src/libs/state/job_snapshot.cc
+++ b/src/libs/state/job_snapshot.cc
@@ -148,16 +148,16 @@
     covers_ = part.covers;
     parts_.clear();
   }
-  const size_t wanted = static_cast<size_t>(part.parts);
+  const size_t part_count = static_cast<size_t>(part.parts);
   parts_.emplace(part.part, std::move(part));
-  if (parts_.size() != wanted) return std::nullopt;
-  std::vector<SnapshotPartRecord> whole;
-  whole.reserve(parts_.size());
-  for (auto& [number, record] : parts_) whole.push_back(std::move(record));
+  if (parts_.size() != part_count) return std::nullopt;
+  std::vector<SnapshotPartRecord> complete;
+  complete.reserve(parts_.size());
+  for (auto& [number, record] : parts_) complete.push_back(std::move(record));
   // The id is kept, so that a repeat of the last part does not restart the
   // snapshot.
   parts_.clear();
-  return whole;
+  return complete;
 }
 
 }  // namespace thornplank
--- a/src/libs/state/job_stream_fold.cc
+++ b/src/libs/state/job_stream_fold.cc
@@ -103,14 +103,14 @@
 }
 
 FoldChange JobStreamFold::AddSnapshotPart(const SnapshotPartRecord& part) {
-  const auto whole = collector_.Add(part);
-  if (!whole) return {};
+  const auto parts = collector_.Add(part);
+  if (!parts) return {};
   if (complete_) {
     newest_snapshot_end_ = std::max(newest_snapshot_end_, part.covers);
     return {};
   }
   if (part.covers < pending_from_) return {};
-  if (!InstallSnapshot(*whole)) return {};
+  if (!InstallSnapshot(*parts)) return {};
   newest_snapshot_end_ = std::max(newest_snapshot_end_, part.covers);
   return {Kind::kRestored, ""};
 }
--- a/tests/auto/scheduling/tst_large_jobs_and_events.cc
+++ b/tests/auto/scheduling/tst_large_jobs_and_events.cc
@@ -144,9 +144,9 @@
              At(1));
   CHECK(t.shortfalls["opening"].empty());
   t.CarryOut(t.scheduler.WorkerLost("w3", At(20), At(5)), At(5));
-  const bool told =
+  const bool reported =
       !t.shortfalls["opening"].empty() || !t.shortfalls["b"].empty();
-  CHECK(told);
+  CHECK(reported);
 }
 
 TEST_CASE("an event uses the guarantee of its account first") {
--- a/tests/auto/scheduling/virtual_cluster.cc
+++ b/tests/auto/scheduling/virtual_cluster.cc
@@ -350,9 +350,9 @@
       // The order of declaration gives the WorkerIndex.
       const std::string& name = names_[slot.worker];
       racks.insert(workers_.at(name).info.rack);
-      const bool good =
+      const bool healthy =
           std::count(quarantined.begin(), quarantined.end(), name) == 0;
-      usable = usable && IsUsable(name) && good;
+      usable = usable && IsUsable(name) && healthy;
       used[name] += cell.shape.accelerators_per_member;
     }
     if (cell.shape.adjacency == Adjacency::kRack && racks.size() > 1) {
@@ -367,9 +367,9 @@
   }
   for (const auto& [account, counts] : declared_and_placed) {
     const auto reported = shortfalls_.find(account);
-    const bool told =
+    const bool was_reported =
         reported != shortfalls_.end() && !reported->second.empty();
-    if (counts.first != counts.second && !told) {
+    if (counts.first != counts.second && !was_reported) {
       return account +
              " lacks a guaranteed shape and no shortfall was reported";
     }
