--- a/benchmarks/bench_routing.cc
+++ b/benchmarks/bench_routing.cc
@@ -118,9 +118,9 @@
 double DecisionTime(int executors, int accounts) {
   RequestRouter router(RouterOptions{});
   Time now{seconds(1)};
-  router.SetAccounts(MakeAccounts(accounts, 2), now);
+  router.SetAccountLimits(MakeAccounts(accounts, 2), now);
   router.SetExecutors(MakeExecutors(executors), now);
-  router.SetPeers("entry-0", {"entry-0", "entry-1", "entry-2"}, now);
+  router.SetLiveEntries("entry-0", {"entry-0", "entry-1", "entry-2"}, now);
   std::vector<SendAttempt> in_flight;
   in_flight.reserve(static_cast<size_t>(executors) * kSlots);
   std::mt19937_64 random(FLAGS_seed);
@@ -154,7 +154,8 @@
     AttemptResult result;
     result.outcome = AttemptOutcome::kAnswered;
     result.latency = milliseconds(20);
-    collect(router.Complete(attempt.request_id, attempt.executor, result, now));
+    collect(router.CompleteAttempt(attempt.request_id, attempt.executor, result,
+                                   now));
     submit(number++);
   }
   const auto elapsed = std::chrono::steady_clock::now() - begin;
--- a/src/libs/claims/answer_cache.h
+++ b/src/libs/claims/answer_cache.h
@@ -1,7 +1,9 @@
-// Answers to non-idempotent requests, held for repeats of their keys.
+// Cache of the answers to non-idempotent requests, for repeated requests with
+// the same idempotency key.
 //
-// Bounded by bytes and by age; the oldest answer goes first. Losing an answer
-// is harmless: the repeat is then told that the answer is no longer held.
+// Bounded by bytes and by age; the oldest answer is evicted first. Losing an
+// answer is safe: a repeated request is then refused because its answer is no
+// longer held. Not thread-safe.
 #ifndef THORNPLANK_CLAIMS_ANSWER_CACHE_H_
 #define THORNPLANK_CLAIMS_ANSWER_CACHE_H_
 
@@ -25,29 +27,30 @@
  public:
   explicit AnswerCache(AnswerCacheLimits limits);
 
-  // Holds the first answer of a key; an answer larger than all the room there
-  // is is not held.
+  // Stores the answer unless the key already has one or the answer alone
+  // exceeds max_bytes. Evicts answers that are too old or whose space is
+  // needed.
   void Put(const Digest128& key, UpstreamAnswer answer, Time now);
-  // nullopt when the answer is not held, or older than the limit.
+  // nullopt when the answer is not in the cache or older than max_age.
   std::optional<UpstreamAnswer> Find(const Digest128& key, Time now) const;
 
   size_t bytes() const { return bytes_; }
   size_t size() const { return answers_.size(); }
 
  private:
-  struct Slot {
+  struct CachedAnswer {
     UpstreamAnswer answer;
-    Time since;
+    Time stored_at;
   };
 
-  void DropOldest();
+  void EvictOldest();
 
   const AnswerCacheLimits limits_;
-  // Sum of CostOf over answers_; at most limits_.max_bytes.
+  // Total size of answers_, with overhead; at most limits_.max_bytes.
   size_t bytes_ = 0;
-  std::unordered_map<Digest128, Slot, Digest128Hash> answers_;
+  std::unordered_map<Digest128, CachedAnswer, Digest128Hash> answers_;
   // The keys of answers_, oldest first.
-  std::deque<Digest128> order_;
+  std::deque<Digest128> insertion_order_;
 };
 
 }  // namespace thornplank
--- a/src/libs/coordination/advice_desk.cc
+++ b/src/libs/coordination/advice_requester.cc
@@ -1,5 +1,5 @@
-// Questions and answers.
-#include "coordination/advice_desk.h"
+// Requests to the advisor and the handling of their answers.
+#include "coordination/advice_requester.h"
 
 #include <utility>
 
@@ -8,51 +8,53 @@
 namespace thornplank {
 namespace {
 
-// The service takes up one question of an instance after the other, and turns
-// away more than 32 in all; entries that lead one after the other share that.
-constexpr size_t kMostQuestions = 8;
-// Beyond the time that the questions before it and it itself take.
-constexpr Milliseconds kAnswerSlack{1000};
+// The advisor handles the requests of one instance sequentially and rejects
+// more than 32 in total. Successive leaders share that limit.
+constexpr size_t kMaxRequests = 8;
+// Added to the time that the advisor needs for the request and for those queued
+// before it.
+constexpr Milliseconds kResponseMargin{1000};
 
 Time Now() { return std::chrono::steady_clock::now(); }
 
-Milliseconds DurationOf(const AdviceTerms& terms, size_t workers) {
+Milliseconds DecisionTimeFor(const AdviceTerms& terms, size_t workers) {
   return terms.query_time +
          terms.time_per_worker * static_cast<int64_t>(workers);
 }
 
 }  // namespace
 
-AdviceDesk::AdviceDesk(Advisor* advisor, std::function<void()> on_change)
+AdviceRequester::AdviceRequester(Advisor* advisor,
+                                 std::function<void()> on_change)
     : advisor_(advisor), on_change_(std::move(on_change)) {}
 
-AdviceDesk::~AdviceDesk() { *alive_ = false; }
+AdviceRequester::~AdviceRequester() { *alive_ = false; }
 
-void AdviceDesk::Want(const StepRef& step, const AdviceTerms& terms,
-                      const std::vector<std::string>& candidates) {
-  if (advisor_ == nullptr || book_.pending_queries() >= kMostQuestions) return;
+void AdviceRequester::Request(const StepRef& step, const AdviceTerms& terms,
+                              const std::vector<std::string>& candidates) {
+  if (advisor_ == nullptr || book_.pending_queries() >= kMaxRequests) return;
   const Time now = Now();
   std::vector<std::string> question = book_.NextQuery(step, candidates, now);
   if (question.empty()) return;
   const Milliseconds timeout =
-      DurationOf(terms, question.size()) *
+      DecisionTimeFor(terms, question.size()) *
           static_cast<int64_t>(book_.pending_queries()) +
-      kAnswerSlack;
-  advisor_->Ask(
+      kResponseMargin;
+  advisor_->RequestAdvice(
       step, question, timeout,
       [this, alive = alive_, step, question, now](const Advice& advice) {
         if (*alive) OnAnswer(step, question, now, advice);
       });
 }
 
-void AdviceDesk::OnTicketRefused(const StepRef& step,
-                                 const std::string& worker) {
+void AdviceRequester::OnTicketRefused(const StepRef& step,
+                                      const std::string& worker) {
   book_.OnTicketRefused(step, worker);
 }
 
-void AdviceDesk::OnAnswer(const StepRef& step,
-                          const std::vector<std::string>& asked, Time sent,
-                          const Advice& advice) {
+void AdviceRequester::OnAnswer(const StepRef& step,
+                               const std::vector<std::string>& asked, Time sent,
+                               const Advice& advice) {
   const auto took =
       std::chrono::duration_cast<Milliseconds>(Now() - sent).count();
   if (!advice.answered) {
--- a/src/libs/coordination/metered_record_store.cc
+++ b/src/libs/coordination/metered_record_store.cc
@@ -1,4 +1,4 @@
-// thornplank_store_calls_total and thornplank_store_call_seconds.
+// Reports thornplank_store_calls_total and thornplank_store_call_seconds.
 #include "coordination/metered_record_store.h"
 
 #include <utility>
@@ -50,37 +50,37 @@
                                 Milliseconds timeout,
                                 std::function<void(const AppendResult&)> done) {
   store_.Append(request, timeout,
-                [this, begun = Now(),
+                [this, start_time = Now(),
                  done = std::move(done)](const AppendResult& result) {
-                  meter_.Note("append", ToLabel(result.outcome), begun);
+                  meter_.Note("append", ToLabel(result.outcome), start_time);
                   done(result);
                 });
 }
 
-// A read that may wait for records is long because nothing happens: it counts
-// as a call of another kind.
+// The duration of a long poll says nothing about the store, so it is counted as
+// another kind of call.
 void MeteredRecordStore::Read(const Partition& partition, int64_t from,
                               Milliseconds wait, Milliseconds timeout,
                               std::function<void(const ReadResult&)> done) {
   const char* call = wait.count() > 0 ? "follow" : "read";
   store_.Read(partition, from, wait, timeout,
-              [this, call, begun = Now(),
+              [this, call, start_time = Now(),
                done = std::move(done)](const ReadResult& result) {
-                meter_.Note(call, ToLabel(result.outcome), begun);
+                meter_.Note(call, ToLabel(result.outcome), start_time);
                 done(result);
               });
 }
 
-void MeteredRecordStore::Newest(const Partition& partition,
-                                const std::string& after_key,
-                                Milliseconds timeout,
-                                std::function<void(const NewestPage&)> done) {
-  store_.Newest(
-      partition, after_key, timeout,
-      [this, begun = Now(), done = std::move(done)](const NewestPage& page) {
-        meter_.Note("newest", page.ok ? "read" : "failed", begun);
-        done(page);
-      });
+void MeteredRecordStore::ReadNewest(
+    const Partition& partition, const std::string& after_key,
+    Milliseconds timeout, std::function<void(const NewestPage&)> done) {
+  store_.ReadNewest(partition, after_key, timeout,
+                    [this, start_time = Now(),
+                     done = std::move(done)](const NewestPage& page) {
+                      meter_.Note("newest", page.ok ? "read" : "failed",
+                                  start_time);
+                      done(page);
+                    });
 }
 
 }  // namespace thornplank
--- a/src/libs/coordination/metered_record_store.h
+++ b/src/libs/coordination/metered_record_store.h
@@ -1,4 +1,4 @@
-// Counts and times the calls to a record store.
+// Counts the calls to a record store and measures their duration.
 #ifndef THORNPLANK_COORDINATION_METERED_RECORD_STORE_H_
 #define THORNPLANK_COORDINATION_METERED_RECORD_STORE_H_
 
@@ -12,7 +12,7 @@
 
 class MeteredRecordStore : public RecordStore {
  public:
-  // Both outlive this object.
+  // Both must outlive this object.
   MeteredRecordStore(RecordStore& store, MetricsRegistry& metrics);
 
   void Append(const AppendRequest& request, Milliseconds timeout,
@@ -20,9 +20,9 @@
   void Read(const Partition& partition, int64_t from, Milliseconds wait,
             Milliseconds timeout,
             std::function<void(const ReadResult&)> done) override;
-  void Newest(const Partition& partition, const std::string& after_key,
-              Milliseconds timeout,
-              std::function<void(const NewestPage&)> done) override;
+  void ReadNewest(const Partition& partition, const std::string& after_key,
+                  Milliseconds timeout,
+                  std::function<void(const NewestPage&)> done) override;
 
  private:
   RecordStore& store_;
--- a/src/libs/coordination/stream_contact.cc
+++ b/src/libs/coordination/stream_reachability.cc
@@ -1,18 +1,18 @@
-// One line when contact is lost, one when it is back.
-#include "coordination/stream_contact.h"
+// Logs one event when reads start to fail and one when they succeed again.
+#include "coordination/stream_reachability.h"
 
 #include "logging/events/coordination_events.h"
 
 namespace thornplank {
 
-bool StreamContact::OnContact(int64_t next) {
+bool StreamReachability::OnReadSucceeded(int64_t next) {
   if (!lost_) return false;
   lost_ = false;
   LogEvent(events::kStoreBack, {{"stream", stream_}, {"next", next}});
   return true;
 }
 
-void StreamContact::OnFailure(const Error& error) {
+void StreamReachability::OnReadFailed(const Error& error) {
   if (lost_) return;
   lost_ = true;
   LogEvent(events::kStoreLost, error, {{"stream", stream_}});
--- a/src/libs/outlook/entry_client.cc
+++ b/src/libs/reachability/entry_client.cc
@@ -1,14 +1,14 @@
-// One GET a question.
-#include "outlook/entry_client.h"
+// GET requests to other entries.
+#include "reachability/entry_client.h"
 
 #include <utility>
 
 #include "base/json.h"
-#include "outlook/entry_questions.h"
+#include "reachability/store_age_route.h"
 
 namespace thornplank {
 
-void EntryClient::AskStoreAge(
+void EntryClient::FetchStoreAge(
     const std::string& address, Milliseconds timeout,
     std::function<void(std::optional<Milliseconds>)> done) {
   HttpRequest request;
--- a/src/libs/requests/request_manager.cc
+++ b/src/libs/requests/request_manager.cc
@@ -1,4 +1,4 @@
-// The interface of the carrier of requests; its inside is RequestManager::Impl.
+// Forwards the calls of RequestManager to RequestManager::Impl.
 #include "requests/request_manager.h"
 
 #include <utility>
@@ -60,6 +60,8 @@
 
 bool RequestManager::claims_ready() const { return impl_->claims_ready(); }
 
-int64_t RequestManager::claims_offset() const { return impl_->claims_offset(); }
+int64_t RequestManager::next_claims_offset() const {
+  return impl_->next_claims_offset();
+}
 
 }  // namespace thornplank
--- a/src/libs/routing/all_slots.cc
+++ b/src/libs/routing/all_slots.cc
@@ -1,11 +1,11 @@
-// Every entry may use every slot.
+// Allocates all slots to every entry.
 #include "routing/all_slots.h"
 
 #include "routing/demand_split.h"
 
 namespace thornplank {
 
-std::vector<int> AllSlots::Allocate(const ShareInput& input) const {
+std::vector<int> AllSlots::Allocate(const SlotSharingInput& input) const {
   std::vector<int> slots;
   slots.reserve(input.executors.size());
   for (const ExecutorSlots& executor : input.executors) {
@@ -14,8 +14,8 @@
   return slots;
 }
 
-double AllSlots::Potential(const ShareInput& input) const {
-  return UnclaimedByOthers(input);
+double AllSlots::AttainableSlots(const SlotSharingInput& input) const {
+  return SlotsLeftByOthers(input);
 }
 
 }  // namespace thornplank
--- a/src/libs/routing/static_share.h
+++ b/src/libs/routing/static_share.h
@@ -1,17 +1,18 @@
-// Every entry owns an equal, fixed part of the slots.
+// Policy under which every entry owns an equal, fixed range of the numbered
+// slots.
 #ifndef THORNPLANK_ROUTING_STATIC_SHARE_H_
 #define THORNPLANK_ROUTING_STATIC_SHARE_H_
 
 #include <vector>
 
-#include "routing/slot_share.h"
+#include "routing/slot_sharing_policy.h"
 
 namespace thornplank {
 
-class StaticShare : public SlotShare {
+class StaticShare : public SlotSharingPolicy {
  public:
-  std::vector<int> Allocate(const ShareInput& input) const override;
-  double Potential(const ShareInput& input) const override;
+  std::vector<int> Allocate(const SlotSharingInput& input) const override;
+  double AttainableSlots(const SlotSharingInput& input) const override;
 };
 
 }  // namespace thornplank
--- a/src/libs/scheduling/fragmentation_score.cc
+++ b/src/libs/scheduling/fragmentation_score.cc
@@ -5,9 +5,9 @@
 namespace thornplank {
 namespace {
 
-// A rack that cannot serve the shape now counts this share of its slots, so
-// that a rack which is closer to serving it is broken up later.
-constexpr double kPartialShare = 0.2;
+// Slots that do not make up a whole gang in a rack count with this weight, so
+// that racks that are close to holding a gang are fragmented last.
+constexpr double kPartialRackShare = 0.2;
 
 }  // namespace
 
@@ -21,17 +21,18 @@
   shapes_ = std::move(shapes);
 }
 
-double FragmentationScore::Served(const Shape& shape, int slots) const {
+double FragmentationScore::ServedAccelerators(const Shape& shape,
+                                              int slots) const {
   const int size = shape.accelerators_per_member;
   if (shape.adjacency == Adjacency::kAnywhere) return 1.0 * slots * size;
   const int gangs = slots / shape.members;
-  const int rest = slots - gangs * shape.members;
-  return 1.0 * size * (gangs * shape.members + kPartialShare * rest);
+  const int remaining = slots - gangs * shape.members;
+  return 1.0 * size * (gangs * shape.members + kPartialRackShare * remaining);
 }
 
 double FragmentationScore::Loss(int rack, const Placement& share,
                                 int accelerators_per_member,
-                                const Room& room) const {
+                                const AcceleratorsByWorker& room) const {
   double loss = 0;
   for (const WeightedShape& weighted : shapes_) {
     const int size = weighted.shape.accelerators_per_member;
@@ -48,17 +49,19 @@
       lost_slots += before / size - std::max(0, after) / size;
     }
     slots = std::max(slots, lost_slots);
-    loss += weighted.weight * (Served(weighted.shape, slots) -
-                               Served(weighted.shape, slots - lost_slots));
+    loss += weighted.weight *
+            (ServedAccelerators(weighted.shape, slots) -
+             ServedAccelerators(weighted.shape, slots - lost_slots));
   }
   return loss;
 }
 
-double FragmentationScore::Fragmentation(const Room& room) const {
+double FragmentationScore::Fragmentation(
+    const AcceleratorsByWorker& room) const {
   int free = 0;
   for (const int one : room) free += std::max(0, one);
   if (free == 0 || shapes_.empty()) return 0;
-  double useless_share = 0;
+  double unusable_share = 0;
   for (const WeightedShape& weighted : shapes_) {
     const Shape& shape = weighted.shape;
     const int size = shape.accelerators_per_member;
@@ -73,10 +76,10 @@
       gangs += rack_slots / shape.members;
     }
     if (shape.adjacency == Adjacency::kAnywhere) gangs = slots / shape.members;
-    const double useful = 1.0 * gangs * shape.accelerators();
-    useless_share += weighted.weight * (1 - useful / free);
+    const double usable = 1.0 * gangs * shape.accelerators();
+    unusable_share += weighted.weight * (1 - usable / free);
   }
-  return useless_share;
+  return unusable_share;
 }
 
 }  // namespace thornplank
--- a/src/libs/scheduling/gang_lifecycle.cc
+++ b/src/libs/scheduling/gang_lifecycle.cc
@@ -7,10 +7,10 @@
 namespace thornplank {
 namespace {
 
-bool IsEnding(const Gang& gang) { return gang.phase == JobPhase::kStopping; }
+bool IsStopping(const Gang& gang) { return gang.phase == JobPhase::kStopping; }
 
-// Whether a member in `state` should appear in its worker's lease table.
-bool MustBeListed(MemberState state) {
+// Whether the worker's lease table should contain a member in `state`.
+bool ShouldBeListed(MemberState state) {
   return state != MemberState::kPending && state != MemberState::kGone;
 }
 
@@ -47,44 +47,45 @@
   gang->phase = phase;
   Gang& added = gangs_.Add(std::move(gang));
   if (phase == JobPhase::kStarting) {
-    LiftThrottleIfWhole(added, now, actions);
+    LiftThrottleIfAllConfirmed(added, now, actions);
     return;
   }
   added.started_at = now - ran_for;
   if (phase == JobPhase::kRunning) return;
-  // What the checkpoint was asked for is not known here: stop and place anew.
+  // The reason for the checkpoint or stop is not known to this coordinator:
+  // stop the gang and place the job again.
   added.phase = JobPhase::kRunning;
   Stop(added, "being stopped at takeover", GangEnd::kRequeue, now, actions);
 }
 
-void GangLifecycle::Checkpoint(Gang& gang, const std::string& why,
+void GangLifecycle::Checkpoint(Gang& gang, const std::string& reason,
                                Duration deadline, Time now,
                                SchedulerActions* actions) {
   if (gang.phase == JobPhase::kStarting) {
-    // Nothing has run yet, so there is nothing to save.
-    Stop(gang, why, GangEnd::kRequeue, now, actions);
+    // The gang has not run yet, so there is nothing to save.
+    Stop(gang, reason, GangEnd::kRequeue, now, actions);
     return;
   }
   if (gang.phase != JobPhase::kRunning) return;
   gang.phase = JobPhase::kCheckpointing;
-  gang.end_reason = why;
+  gang.end_reason = reason;
   gang.checkpoint_asked_at = now;
   gang.deadline = now + deadline;
-  observer_.OnPhase(gang, JobPhase::kCheckpointing, why);
-  actions->push_back(CheckpointGang{gang.job(), gang.id(), why});
+  observer_.OnPhase(gang, JobPhase::kCheckpointing, reason);
+  actions->push_back(CheckpointGang{gang.job(), gang.id(), reason});
 }
 
-void GangLifecycle::Stop(Gang& gang, const std::string& why, GangEnd end,
+void GangLifecycle::Stop(Gang& gang, const std::string& reason, GangEnd end,
                          Time now, SchedulerActions* actions) {
   (void)now;
-  if (end == GangEnd::kCancel || !IsEnding(gang)) gang.end = end;
-  if (IsEnding(gang)) return;
+  if (end == GangEnd::kCancel || !IsStopping(gang)) gang.end = end;
+  if (IsStopping(gang)) return;
   gang.phase = JobPhase::kStopping;
-  gang.end_reason = why;
+  gang.end_reason = reason;
   if (end != GangEnd::kFinish) {
-    observer_.OnPhase(gang, JobPhase::kStopping, why);
+    observer_.OnPhase(gang, JobPhase::kStopping, reason);
   }
-  actions->push_back(StopGang{gang.job(), gang.id(), why});
+  actions->push_back(StopGang{gang.job(), gang.id(), reason});
 }
 
 void GangLifecycle::MemberResult(Gang& gang, int member, MemberOutcome outcome,
@@ -104,7 +105,7 @@
     case MemberOutcome::kFinished:
       gangs_.SetState(gang, member, MemberState::kFinished, now);
       FinishIfAllFinished(gang, now, actions);
-      CheckpointedIfAll(gang, now, actions);
+      CompleteCheckpointIfAllSaved(gang, now, actions);
       return;
     case MemberOutcome::kGone:
       MemberGone(gang, member, reason, now, actions);
@@ -116,11 +117,11 @@
                                     SchedulerActions* actions) {
   if (gang.members()[member].state != MemberState::kPending) return;
   gangs_.SetState(gang, member, MemberState::kConfirmed, now);
-  LiftThrottleIfWhole(gang, now, actions);
+  LiftThrottleIfAllConfirmed(gang, now, actions);
 }
 
-void GangLifecycle::LiftThrottleIfWhole(Gang& gang, Time now,
-                                        SchedulerActions* actions) {
+void GangLifecycle::LiftThrottleIfAllConfirmed(Gang& gang, Time now,
+                                               SchedulerActions* actions) {
   if (gang.phase != JobPhase::kStarting) return;
   if (gang.count(MemberState::kConfirmed) != gang.size()) return;
   gang.phase = JobPhase::kRunning;
@@ -134,16 +135,16 @@
                                  SchedulerActions* actions) {
   const MemberRecord record = gang.members()[member];
   if (record.state == MemberState::kFailed) return;
-  // A refused grant holds nothing; a failed task holds its lease until stopped.
+  // A refused member holds no lease; a failed one holds it until stopped.
   const MemberState state = refused ? MemberState::kGone : MemberState::kFailed;
   gangs_.SetState(gang, member, state, now);
-  if (!IsEnding(gang)) {
+  if (!IsStopping(gang)) {
     observer_.OnMemberFailed(gang, record, refused, reason, now);
-    const std::string why = (refused ? "refused by " : "failed on ") +
-                            record.member.worker + ": " + reason;
-    Stop(gang, why, GangEnd::kRequeue, now, actions);
+    const std::string stop_reason = (refused ? "refused by " : "failed on ") +
+                                    record.member.worker + ": " + reason;
+    Stop(gang, stop_reason, GangEnd::kRequeue, now, actions);
   }
-  EndIfAllGone(gang);
+  RemoveIfAllGone(gang);
 }
 
 void GangLifecycle::MemberGone(Gang& gang, int member,
@@ -151,18 +152,18 @@
                                SchedulerActions* actions) {
   const std::string worker = gang.members()[member].member.worker;
   if (!gangs_.SetState(gang, member, MemberState::kGone, now)) return;
-  if (!IsEnding(gang)) {
+  if (!IsStopping(gang)) {
     Stop(gang, "lost its member on " + worker + ": " + reason,
          GangEnd::kRequeue, now, actions);
   }
-  EndIfAllGone(gang);
+  RemoveIfAllGone(gang);
 }
 
 void GangLifecycle::FinishIfAllFinished(Gang& gang, Time now,
                                         SchedulerActions* actions) {
   if (gang.count(MemberState::kFinished) != gang.size()) return;
   if (gang.end == GangEnd::kCancel || gang.end == GangEnd::kFail) return;
-  const bool stop_sent = IsEnding(gang);
+  const bool stop_sent = IsStopping(gang);
   gang.end = GangEnd::kFinish;
   observer_.OnFinished(gang, now);
   if (stop_sent) return;
@@ -177,8 +178,8 @@
   Stop(gang, gang.end_reason, GangEnd::kRequeue, now, actions);
 }
 
-void GangLifecycle::CheckpointedIfAll(Gang& gang, Time now,
-                                      SchedulerActions* actions) {
+void GangLifecycle::CompleteCheckpointIfAllSaved(Gang& gang, Time now,
+                                                 SchedulerActions* actions) {
   const int saved = gang.count(MemberState::kCheckpointed) +
                     gang.count(MemberState::kFinished);
   if (saved == gang.size()) CheckpointDone(gang, now, actions);
@@ -198,7 +199,7 @@
       if (known == MemberState::kCheckpointed) return;
       gangs_.SetState(gang, member, MemberState::kCheckpointed, now);
       gang.SetSavedProgress(member, lease.progress);
-      CheckpointedIfAll(gang, now, actions);
+      CompleteCheckpointIfAllSaved(gang, now, actions);
       return;
     case LeaseState::kFinished:
       if (known == MemberState::kFinished) return;
@@ -208,30 +209,32 @@
       MemberFailed(gang, member, false, lease.reason, now, actions);
       return;
     case LeaseState::kGone:
-      if (!MustBeListed(known)) return;
+      if (!ShouldBeListed(known)) return;
       MemberGone(gang, member, "not known to the worker", now, actions);
       return;
   }
 }
 
-int GangLifecycle::Report(WorkerIndex worker, const std::string& worker_name,
-                          const std::vector<LeaseReport>& leases, Time asked_at,
-                          Time now, SchedulerActions* actions) {
-  int unknown_held = 0;
+int GangLifecycle::ApplyWorkerReport(WorkerIndex worker,
+                                     const std::string& worker_name,
+                                     const std::vector<LeaseReport>& leases,
+                                     Time asked_at, Time now,
+                                     SchedulerActions* actions) {
+  int untracked_held = 0;
   std::unordered_set<std::string> listed;
   for (const LeaseReport& lease : leases) {
     const auto [gang, member] = gangs_.FindLease(lease.lease_id);
     if (gang && gang->members()[member].state != MemberState::kGone) {
       listed.insert(lease.lease_id);
-      // A lease that was confirmed after the question was sent may be missing
-      // from an answer that overtook the grant.
+      // A lease that was confirmed after the request was sent may be missing
+      // from a reply that was made before the grant reached the worker.
       const bool overtaken = lease.state == LeaseState::kGone &&
                              gang->members()[member].confirmed_at >= asked_at;
       if (!overtaken) ApplyLeaseState(*gang, member, lease, now, actions);
       continue;
     }
     if (lease.state == LeaseState::kGone) continue;
-    unknown_held += lease.accelerators;
+    untracked_held += lease.accelerators;
     actions->push_back(
         StopLease{worker_name, lease.lease_id, "not held by any current gang"});
   }
@@ -239,14 +242,14 @@
     Gang* gang = gangs_.Find(id);
     for (int i = 0; gang && i < gang->size(); ++i) {
       const MemberRecord& record = gang->members()[i];
-      if (record.worker != worker || !MustBeListed(record.state)) continue;
+      if (record.worker != worker || !ShouldBeListed(record.state)) continue;
       if (record.confirmed_at >= asked_at) continue;
       if (listed.count(record.member.lease_id) > 0) continue;
       MemberGone(*gang, i, "not known to the worker", now, actions);
-      gang = gangs_.Find(id);  // it may have ended
+      gang = gangs_.Find(id);  // nullptr if the gang ended
     }
   }
-  return unknown_held;
+  return untracked_held;
 }
 
 void GangLifecycle::WorkerLost(WorkerIndex worker, Time lapses_at, Time now,
@@ -257,14 +260,14 @@
     for (int i = 0; i < gang.size(); ++i) {
       if (gang.members()[i].worker != worker) continue;
       name = gang.members()[i].member.worker;
-      gang.SetLapse(i, lapses_at);
+      gang.SetLapseTime(i, lapses_at);
     }
     Stop(gang, "lost its member on " + name + ": worker cannot be reached",
          GangEnd::kRequeue, now, actions);
   }
 }
 
-void GangLifecycle::EndIfAllGone(Gang& gang) {
+void GangLifecycle::RemoveIfAllGone(Gang& gang) {
   if (gang.count(MemberState::kGone) != gang.size()) return;
   observer_.OnEnded(gang);
   gangs_.Remove(gang.id());
--- a/src/libs/scheduling/reclaimer.h
+++ b/src/libs/scheduling/reclaimer.h
@@ -1,5 +1,5 @@
-// Moves borrowers off: for plans that wait for their accelerators, and for
-// events before their fixed start.
+// Stops borrowers whose accelerators are needed: by plans that wait for them,
+// and by events before their fixed start.
 #ifndef THORNPLANK_SCHEDULING_RECLAIMER_H_
 #define THORNPLANK_SCHEDULING_RECLAIMER_H_
 
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "scheduling/cluster_survey.h"
+#include "scheduling/cluster_snapshot.h"
 #include "scheduling/scheduler_state.h"
 #include "scheduling/victim_selection.h"
 
@@ -16,29 +16,33 @@
 
 class Reclaimer {
  public:
-  // Both outlive the object.
+  // Both must outlive the object.
   Reclaimer(SchedulerState& state, GangStopper& stopper);
 
-  // Starts the leaving of whatever borrower still stands in the way.
+  // Requests the stop of every borrower that has to give way now.
   void Run(Time now);
-  // Lends cells to the events that come near and settles them where the
-  // least work is lost.
-  void PrepareEvents(const ClusterSurvey& survey, Time now);
-  // When the next event has to be looked at; nullopt when none is ahead.
+  // Lends cells to events that start soon and pins them where the least work of
+  // borrowers is lost.
+  void PrepareEvents(const ClusterSnapshot& snapshot, Time now);
+  // When an event next requires an action; nullopt if no event is ahead.
   std::optional<Time> NextDue(Time now) const;
 
  private:
-  // Which plans' claims are served.
-  enum class Claims { kGuaranteed, kAll };
-
-  void ServeClaims(Claims claims, const ClusterSurvey& survey, Time now);
-  void ClearForEvent(const EventReservation& event, const ClusterSurvey& survey,
-                     Time now);
-  // Claimed accelerators per worker beyond what is free or coming free.
-  std::map<WorkerIndex, int> Missing(const std::map<WorkerIndex, int>& claimed,
-                                     const ClusterSurvey& survey) const;
-  std::map<WorkerIndex, int> ClaimedBy(Claims claims) const;
-  std::vector<VictimCandidate> Candidates(const ClusterSurvey& survey,
+  // The plans for which accelerators are reclaimed: those under a guarantee, or
+  // all.
+  enum class PlanFilter { kGuaranteed, kAll };
+
+  void ReclaimForPlans(PlanFilter claims, const ClusterSnapshot& snapshot,
+                       Time now);
+  void ReclaimForEvent(const EventReservation& event,
+                       const ClusterSnapshot& snapshot, Time now);
+  // For each worker in `claimed`, the claimed accelerators minus those that are
+  // free or held by gangs that are being stopped. May be negative.
+  std::map<WorkerIndex, int> AcceleratorsToReclaim(
+      const std::map<WorkerIndex, int>& claimed,
+      const ClusterSnapshot& snapshot) const;
+  std::map<WorkerIndex, int> ClaimedAccelerators(PlanFilter claims) const;
+  std::vector<VictimCandidate> Candidates(const ClusterSnapshot& snapshot,
                                           bool urgent_too, Time now) const;
 
   SchedulerState& state_;
--- a/tests/auto/coordination/tst_job_board.cc
+++ b/tests/auto/coordination/tst_job_board.cc
@@ -1,4 +1,4 @@
-// The fold of the shared stream.
+// Tests of the state that the board derives from its records.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 JobDefinition Definition() { return MakeJob(kJob, {MakeStep(2, 1)}); }
 
-TEST_CASE("the order of records decides, and an end stays") {
+TEST_CASE("a published end is final, whatever records follow it") {
   const WallTime now = FromUnixMilliseconds(5000);
   const KeyedRecord submitted = JobBoard::Submission(Definition());
   const KeyedRecord cancelled = JobBoard::Cancellation(kJob);
@@ -36,10 +36,10 @@
       {"cancelled too late",
        {submitted, completed, cancelled},
        JobState::kCompleted},
-      {"a repeat that comes late",
+      {"a late duplicate of the submission",
        {submitted, completed, submitted},
        JobState::kCompleted},
-      {"an older state that comes late",
+      {"a late record of an older state",
        {submitted, completed, running},
        JobState::kCompleted},
       {"state before its submission",
@@ -57,25 +57,25 @@
   }
 }
 
-TEST_CASE("entries are known until their record is dropped") {
+TEST_CASE("an entry is known until its record is dropped") {
   const EntryRecord first{"127.0.0.1:1", FromUnixMilliseconds(5000)};
   const EntryRecord moved{"127.0.0.1:2", FromUnixMilliseconds(6000)};
   struct Row {
     const char* name;
     std::vector<KeyedRecord> records;
-    // Of instance "a"; "" when it is not known.
+    // Of instance "a"; "" if it is not known.
     std::string address;
   };
   const std::vector<Row> rows = {
       {"never written", {JobBoard::Entry("b", first)}, ""},
       {"written", {JobBoard::Entry("a", first)}, "127.0.0.1:1"},
-      {"at another address since",
+      {"written again with another address",
        {JobBoard::Entry("a", first), JobBoard::Entry("a", moved)},
        "127.0.0.1:2"},
       {"dropped",
        {JobBoard::Entry("a", first), JobBoard::Entry("a", std::nullopt)},
        ""},
-      {"of another writer", {{"ea", "no record of ours", 0}}, ""},
+      {"not readable", {{"ea", "no record of ours", 0}}, ""},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("a job that nobody submitted is not shown") {
+TEST_CASE("a job without a submission is not found") {
   JobBoard board;
   board.Apply(JobBoard::Cancellation(kJob));
   CHECK(board.Find(kJob) == nullptr);
@@ -109,13 +109,14 @@
 TEST_CASE("a dropped job is forgotten") {
   JobBoard board;
   board.Apply(JobBoard::Submission(Definition()));
-  for (const KeyedRecord& record : JobBoard::Drop(kJob, *board.Find(kJob))) {
+  for (const KeyedRecord& record :
+       JobBoard::Tombstones(kJob, *board.Find(kJob))) {
     board.Apply(record);
   }
   CHECK(board.jobs().empty());
 }
 
-TEST_CASE("why a job failed is kept beside its state, and goes with it") {
+TEST_CASE("the reason of a failed job is kept and dropped with its state") {
   JobBoard board;
   board.Apply(JobBoard::Submission(Definition()));
   board.Apply(JobBoard::Failure(kJob, "why"));
@@ -123,13 +124,14 @@
   REQUIRE(board.Find(kJob) != nullptr);
   CHECK(board.Find(kJob)->state() == JobState::kFailed);
   CHECK(board.Find(kJob)->failure == "why");
-  for (const KeyedRecord& record : JobBoard::Drop(kJob, *board.Find(kJob))) {
+  for (const KeyedRecord& record :
+       JobBoard::Tombstones(kJob, *board.Find(kJob))) {
     CHECK_FALSE(record.value.has_value());
     board.Apply(record);
   }
   CHECK(board.jobs().empty());
   // A job that has not failed has no such record to drop.
-  CHECK(JobBoard::Drop(kJob, BoardJob()).size() == 3);
+  CHECK(JobBoard::Tombstones(kJob, BoardJob()).size() == 3);
 }
 
 TEST_CASE("an older leader's record changes nothing") {
@@ -143,13 +145,13 @@
   CHECK(board.leader().released);
 }
 
-TEST_CASE("progress lies behind all other keys and changes no board") {
+TEST_CASE("keys of progress sort after all others and don't change the board") {
   const ProgressBlockRef block{{"0123456789abcdef", 2, 7}, 3};
   const KeyedRecord progress = JobBoard::Progress(block, "any bytes");
-  CHECK(JobBoard::BlockOf(progress.key) == block);
+  CHECK(JobBoard::ParseProgressKey(progress.key) == block);
   CHECK(progress.value == "any bytes");
   CHECK_FALSE(JobBoard::Progress(block, std::nullopt).value.has_value());
-  CHECK(progress.key > JobBoard::BeforeProgress());
+  CHECK(progress.key > JobBoard::ProgressKeyPrefix());
   JobBoard board;
   CHECK(board.Apply(progress).kind == BoardChange::Kind::kNone);
   CHECK(board.jobs().empty());
@@ -161,23 +163,24 @@
       JobBoard::Cancellation("ffffffffffffffff"),
       JobBoard::State("ffffffffffffffff", JobState::kRunning, WallTime()),
       JobBoard::Leader({"a", 3, false})};
-  for (const KeyedRecord& record : JobBoard::Drop("ffffffffffffffff", failed)) {
+  for (const KeyedRecord& record :
+       JobBoard::Tombstones("ffffffffffffffff", failed)) {
     others.push_back(record);
   }
   for (const KeyedRecord& record : others) {
     CAPTURE(record.key);
-    CHECK(record.key < JobBoard::BeforeProgress());
-    CHECK_FALSE(JobBoard::BlockOf(record.key).has_value());
+    CHECK(record.key < JobBoard::ProgressKeyPrefix());
+    CHECK_FALSE(JobBoard::ParseProgressKey(record.key).has_value());
   }
   for (const char* key : {"", "t", "t0123456789abcdef", "0123456789abcdef.0.0",
                           "t0123456789abcdef.0.0#", "t0123456789abcdef.0.0#x",
                           "t0123456789abcdef.0.0#-1"}) {
     CAPTURE(key);
-    CHECK_FALSE(JobBoard::BlockOf(key).has_value());
+    CHECK_FALSE(JobBoard::ParseProgressKey(key).has_value());
   }
 }
 
-TEST_CASE("records that cannot be read are passed over") {
+TEST_CASE("records that cannot be read are ignored") {
   JobBoard board;
   for (const char* key : {"j", "", "jx", "sx", "leader", "zz"}) {
     CAPTURE(key);
--- a/tests/auto/coordination/tst_record_pace.cc
+++ b/tests/auto/coordination/tst_progress_write_limiter.cc
@@ -1,22 +1,22 @@
-// How often the progress of tasks is recorded.
+// Tests of how often the progress of tasks is written.
 #include <doctest/doctest.h>
 
 #include <cstdint>
 #include <vector>
 
 #include "../workload/workload_fixtures.h"
-#include "coordination/record_pace.h"
+#include "coordination/progress_write_limiter.h"
 
 namespace thornplank::testing {
 namespace {
 
-// 350 workers ended 50 tasks a second, one by one: half of the store's calls
-// were the leader's records of these ends.
-TEST_CASE("ends that come one by one are recorded together") {
+// Guards against one write for each end: with 350 workers that end 50 tasks a
+// second, one by one, these writes were half of all calls to the store.
+TEST_CASE("ends that come one by one are written together") {
   struct Row {
     const char* name;
     int64_t apart_ms;
-    // Each comes with a start.
+    // Whether each end comes with a start.
     bool starts;
     int most_records;
     int least_records;
@@ -29,7 +29,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    RecordPace pace(Milliseconds(100));
+    ProgressWriteLimiter pace(Milliseconds(100));
     int records = 0;
     for (int64_t now = 0; now < 10000; now += row.apart_ms) {
       if (!pace.IsDue(row.starts, At(now))) continue;
@@ -41,8 +41,8 @@
   }
 }
 
-TEST_CASE("a start is recorded at once, whatever was recorded a moment ago") {
-  RecordPace pace(Milliseconds(100));
+TEST_CASE("a start is written at once, however recent the last write is") {
+  ProgressWriteLimiter pace(Milliseconds(100));
   CHECK(pace.IsDue(/*starts_wait=*/false, At(0)));
   pace.OnRecorded(At(0));
   CHECK_FALSE(pace.IsDue(/*starts_wait=*/false, At(10)));
--- a/tests/auto/routing/tst_request_router.cc
+++ b/tests/auto/routing/tst_request_router.cc
@@ -1,4 +1,5 @@
-// The router's life of a request: admission, sending, retries, finishing.
+// Lifecycle of a request in the router: admission, sending, retries, final
+// action.
 #include "routing/request_router.h"
 
 #include <doctest/doctest.h>
@@ -12,23 +13,23 @@
 namespace thornplank {
 namespace {
 
+using routing_test::ActionsOfType;
 using routing_test::At;
 using routing_test::MakeAccount;
 using routing_test::MakeExecutors;
 using routing_test::MakeRequest;
 using routing_test::MakeResult;
-using routing_test::Only;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A router for one entry with account "a".
+// A router of a single entry, by default with the account "a".
 struct Fixture {
   explicit Fixture(int executors, int slots = 8,
                    std::vector<AccountLimits> accounts = {MakeAccount("a")})
       : router(Options()) {
-    router.SetAccounts(accounts, At(0));
+    router.SetAccountLimits(accounts, At(0));
     router.SetExecutors(MakeExecutors(executors, slots), At(0));
-    router.SetPeers("entry-1", {"entry-1"}, At(0));
+    router.SetLiveEntries("entry-1", {"entry-1"}, At(0));
   }
 
   static RouterOptions Options() {
@@ -41,49 +42,49 @@
 };
 
 TEST_CASE(
-    "a request is sent to the own failure domain and its answer ends it") {
+    "a request is sent within the failure domain and its answer ends it") {
   Fixture fixture(8);
-  const auto sends = Only<SendAttempt>(
+  const auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(1000)), At(0)));
   REQUIRE(sends.size() == 1);
   CHECK(sends[0].attempt == 1);
   CHECK((sends[0].executor == "executor-101" ||
          sends[0].executor == "executor-105"));
-  const RoutingActions done = fixture.router.Complete(
+  const RoutingActions done = fixture.router.CompleteAttempt(
       "r", sends[0].executor, MakeResult(AttemptOutcome::kAnswered), At(10));
   REQUIRE(done.size() == 1);
   CHECK(std::get<FinishAnswered>(done[0]).request_id == "r");
   CHECK(fixture.router.demand().accounts.empty());
 }
 
-TEST_CASE("an outcome that fits no attempt in flight is ignored") {
+TEST_CASE("an outcome without a matching attempt in flight is ignored") {
   Fixture fixture(2);
-  const auto sends = Only<SendAttempt>(
+  const auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(1000)), At(0)));
   const std::string other =
       sends[0].executor == "executor-100" ? "executor-101" : "executor-100";
   const AttemptResult answered = MakeResult(AttemptOutcome::kAnswered);
-  CHECK(fixture.router.Complete("r", other, answered, At(5)).empty());
-  CHECK(fixture.router.Complete("x", other, answered, At(5)).empty());
+  CHECK(fixture.router.CompleteAttempt("r", other, answered, At(5)).empty());
+  CHECK(fixture.router.CompleteAttempt("x", other, answered, At(5)).empty());
   CHECK(fixture.router.Submit(MakeRequest("r", "a", At(1000)), At(5)).empty());
-  CHECK(
-      fixture.router.Complete("r", sends[0].executor, answered, At(6)).size() ==
-      1);
-  CHECK(
-      fixture.router.Complete("r", sends[0].executor, answered, At(7)).empty());
+  CHECK(fixture.router.CompleteAttempt("r", sends[0].executor, answered, At(6))
+            .size() == 1);
+  CHECK(fixture.router.CompleteAttempt("r", sends[0].executor, answered, At(7))
+            .empty());
 }
 
-TEST_CASE("what cannot run is refused at once") {
+TEST_CASE("requests that cannot run are refused at once") {
   Fixture fixture(1, 1, {MakeAccount("a"), [] {
                            AccountLimits limits = MakeAccount("closed");
                            limits.borrowing = false;
                            return limits;
                          }()});
-  // One answer of 100 ms teaches the service time.
-  auto sends = Only<SendAttempt>(
+  // One answer after 100 ms sets the estimated service time.
+  auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("first", "a", At(9000)), At(0)));
-  fixture.router.Complete("first", sends[0].executor,
-                          MakeResult(AttemptOutcome::kAnswered, 100), At(100));
+  fixture.router.CompleteAttempt("first", sends[0].executor,
+                                 MakeResult(AttemptOutcome::kAnswered, 100),
+                                 At(100));
   fixture.router.Submit(MakeRequest("running", "a", At(9000)), At(100));
   for (int i = 0; i < 20; ++i) {
     fixture.router.Submit(
@@ -111,16 +112,16 @@
   }
 }
 
-TEST_CASE("Retry-After spreads the return and grows with the backlog") {
+TEST_CASE("Retry-After has jitter and grows with the backlog") {
   const auto widest = [](int queued) {
     AccountLimits limits = MakeAccount("a");
     limits.max_queued = queued;
     Fixture fixture(1, 1, {limits});
-    auto sends = Only<SendAttempt>(
+    auto sends = ActionsOfType<SendAttempt>(
         fixture.router.Submit(MakeRequest("first", "a", At(600000)), At(0)));
-    fixture.router.Complete("first", sends[0].executor,
-                            MakeResult(AttemptOutcome::kAnswered, 100),
-                            At(100));
+    fixture.router.CompleteAttempt("first", sends[0].executor,
+                                   MakeResult(AttemptOutcome::kAnswered, 100),
+                                   At(100));
     for (int i = 0; i <= queued; ++i) {
       fixture.router.Submit(
           MakeRequest("q" + std::to_string(i), "a", At(600000)), At(100));
@@ -140,14 +141,14 @@
   CHECK(widest(200) > widest(20));
 }
 
-TEST_CASE("a request in flight at its deadline ends as unknown, once") {
+TEST_CASE("a request in flight at its deadline ends once, as unknown") {
   Fixture fixture(2);
-  const auto sends = Only<SendAttempt>(
+  const auto sends = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(100), false), At(0)));
-  CHECK(fixture.router.NextWake() <= At(100));
+  CHECK(fixture.router.NextTickTime() <= At(100));
   const RoutingActions ended = fixture.router.Tick(At(100));
-  CHECK(Only<FinishUnknown>(ended).size() == 1);
-  const RoutingActions late = fixture.router.Complete(
+  CHECK(ActionsOfType<FinishUnknown>(ended).size() == 1);
+  const RoutingActions late = fixture.router.CompleteAttempt(
       "r", sends[0].executor, MakeResult(AttemptOutcome::kAnswered, 105),
       At(105));
   REQUIRE(late.size() == 1);
@@ -159,23 +160,26 @@
   fixture.router.Submit(MakeRequest("running", "a", At(9000)), At(0));
   SUBCASE("when its caller is gone") {
     fixture.router.Submit(MakeRequest("r", "a", At(9000)), At(0));
-    CHECK(Only<FinishNotRun>(fixture.router.Cancel("r", At(1))).size() == 1);
+    CHECK(
+        ActionsOfType<FinishNotRun>(fixture.router.Cancel("r", At(1))).size() ==
+        1);
     CHECK(fixture.router.Cancel("r", At(2)).empty());
   }
   SUBCASE("when its deadline comes") {
     fixture.router.Submit(MakeRequest("r", "a", At(50)), At(0));
-    CHECK(Only<FinishNotRun>(fixture.router.Tick(At(50))).size() == 1);
+    CHECK(ActionsOfType<FinishNotRun>(fixture.router.Tick(At(50))).size() == 1);
   }
   CHECK(fixture.router.demand().accounts[0].queued == 0);
 }
 
-TEST_CASE("borrowing leaves the last slot to an active guaranteed account") {
+TEST_CASE(
+    "the last slot is reserved for an active account below its guarantee") {
   RequestRouter router(RouterOptions{});
-  router.SetAccounts({MakeAccount("a", 4), MakeAccount("b")}, At(0));
+  router.SetAccountLimits({MakeAccount("a", 4), MakeAccount("b")}, At(0));
   router.SetExecutors(MakeExecutors(2, 8), At(0));
-  router.SetPeers("entry-1", {}, At(0));
+  router.SetLiveEntries("entry-1", {}, At(0));
   const auto sent = [&router](const std::string& id, const char* account) {
-    return Only<SendAttempt>(
+    return ActionsOfType<SendAttempt>(
                router.Submit(MakeRequest(id, account, At(9000)), At(1)))
         .size();
   };
@@ -217,12 +221,13 @@
         RoutingActions more;
         if (const auto* send = std::get_if<SendAttempt>(&action)) {
           ++attempts;
-          more = fixture.router.Complete(send->request_id, send->executor,
-                                         MakeResult(row.outcome, 1), now);
+          more =
+              fixture.router.CompleteAttempt(send->request_id, send->executor,
+                                             MakeResult(row.outcome, 1), now);
         }
         if (const auto* probe = std::get_if<ProbeExecutor>(&action)) {
-          more = fixture.router.ProbeResult(probe->executor,
-                                            MakeResult(row.outcome, 1), now);
+          more = fixture.router.HandleProbeResult(
+              probe->executor, MakeResult(row.outcome, 1), now);
         }
         finals += std::holds_alternative<FinishAnswered>(action) ||
                   std::holds_alternative<FinishNotRun>(action) ||
@@ -236,12 +241,12 @@
   }
 }
 
-TEST_CASE("a retry goes to another executor even when that is farther") {
+TEST_CASE("a retry goes to another executor, even in another failure domain") {
   Fixture fixture(2);
-  const auto first = Only<SendAttempt>(
+  const auto first = ActionsOfType<SendAttempt>(
       fixture.router.Submit(MakeRequest("r", "a", At(5000)), At(0)));
   CHECK(first.at(0).executor == "executor-101");
-  const auto second = Only<SendAttempt>(fixture.router.Complete(
+  const auto second = ActionsOfType<SendAttempt>(fixture.router.CompleteAttempt(
       "r", "executor-101", MakeResult(AttemptOutcome::kFailed), At(10)));
   CHECK(second.at(0).executor == "executor-100");
   CHECK(second.at(0).attempt == 2);
--- a/tests/auto/routing/tst_router_properties.cc
+++ b/tests/auto/routing/tst_router_properties.cc
@@ -1,7 +1,8 @@
-// What holds for the router under any order of events.
+// Property test: invariants of the router under any order of events.
 //
-// Random events drive a router while a model beside it keeps what the outside
-// world knows: attempts in flight, final actions, signs of leaving.
+// Random events are passed to a router, and its actions are checked against a
+// model of the externally visible state: attempts in flight, final actions, and
+// notices that executors are leaving.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -36,12 +37,12 @@
 
 using Allocation = std::map<std::string, int>;
 
-// Notes what the router was allowed.
-class RecordingShare : public SlotShare {
+// Records the slots that the policy allocated to the router.
+class RecordingShare : public SlotSharingPolicy {
  public:
   explicit RecordingShare(Allocation* allocation) : allocation_(allocation) {}
 
-  std::vector<int> Allocate(const ShareInput& input) const override {
+  std::vector<int> Allocate(const SlotSharingInput& input) const override {
     const std::vector<int> slots = share_.Allocate(input);
     allocation_->clear();
     for (size_t i = 0; i < slots.size(); ++i) {
@@ -49,8 +50,8 @@
     }
     return slots;
   }
-  double Potential(const ShareInput& input) const override {
-    return share_.Potential(input);
+  double AttainableSlots(const SlotSharingInput& input) const override {
+    return share_.AttainableSlots(input);
   }
 
  private:
@@ -71,9 +72,9 @@
 
   std::map<std::string, Request> requests;
   std::map<std::string, int> load;
-  std::set<std::string> said_leaving;
+  std::set<std::string> announced_leaving;
   std::set<std::string> listed_leaving;
-  std::set<std::string> out;
+  std::set<std::string> ejected;
   std::vector<std::string> probes;
 };
 
@@ -82,10 +83,11 @@
   Driver()
       : router_(RouterOptions{},
                 std::make_unique<RecordingShare>(&allocation_)) {
-    Carry(router_.SetAccounts({MakeAccount("a", 4), MakeAccount("b")}, now_));
+    Execute(router_.SetAccountLimits({MakeAccount("a", 4), MakeAccount("b")},
+                                     now_));
     executors_ = MakeExecutors(kExecutors, kSlots);
-    Carry(router_.SetExecutors(executors_, now_));
-    Carry(router_.SetPeers("entry-1", {"entry-1", "entry-2"}, now_));
+    Execute(router_.SetExecutors(executors_, now_));
+    Execute(router_.SetLiveEntries("entry-1", {"entry-1", "entry-2"}, now_));
   }
 
   void Step(int kind, int argument) {
@@ -98,27 +100,27 @@
       CancelOne(argument);
     } else if (kind < 88) {
       now_ += milliseconds(argument % 400);
-      Carry(router_.Tick(now_));
-      // A wake that is due at once would make the carrier spin.
-      RC_ASSERT(router_.NextWake().value_or(Time::max()) > now_);
+      Execute(router_.Tick(now_));
+      // A tick that is due at once would make the dispatcher spin.
+      RC_ASSERT(router_.NextTickTime().value_or(Time::max()) > now_);
     } else if (kind < 91) {
       ToggleLeaving(argument);
     } else if (kind < 95) {
       PeerDemand demand;
       demand.entry = "entry-2";
       demand.accounts = {{"claims", "a", argument % 50, 0}};
-      Carry(router_.SetPeerDemand(demand, now_));
+      Execute(router_.SetPeerDemand(demand, now_));
     } else {
       AnswerProbe(argument);
     }
   }
 
-  // Every request must come to its end when the attempts do.
+  // Completes all attempts and checks that every request got one final action.
   void Finish() {
     for (int round = 0; round < 2000 && CompleteOne(0); ++round) {
     }
     now_ += milliseconds(10000);
-    Carry(router_.Tick(now_));
+    Execute(router_.Tick(now_));
     for (const auto& [id, request] : model_.requests) {
       RC_ASSERT(request.finals == 1);
     }
@@ -141,7 +143,7 @@
       RC_ASSERT(actions.size() == 1u);
       RC_ASSERT(std::holds_alternative<FinishNotRun>(actions[0]));
     }
-    Carry(actions);
+    Execute(actions);
   }
 
   bool CompleteOne(int argument) {
@@ -171,10 +173,10 @@
       request.may_have_run = true;
     }
     if (leaving) {
-      model_.said_leaving.insert(executor);
+      model_.announced_leaving.insert(executor);
     }
-    Carry(router_.Complete(id, executor,
-                           MakeResult(outcome, argument % 50, leaving), now_));
+    Execute(router_.CompleteAttempt(
+        id, executor, MakeResult(outcome, argument % 50, leaving), now_));
     return true;
   }
 
@@ -183,7 +185,7 @@
       return;
     }
     const size_t index = static_cast<size_t>(argument) % model_.requests.size();
-    Carry(router_.Cancel("r" + std::to_string(index), now_));
+    Execute(router_.Cancel("r" + std::to_string(index), now_));
   }
 
   void ToggleLeaving(int argument) {
@@ -195,7 +197,7 @@
     } else {
       model_.listed_leaving.erase(info.name);
     }
-    Carry(router_.SetExecutors(executors_, now_));
+    Execute(router_.SetExecutors(executors_, now_));
   }
 
   void AnswerProbe(int argument) {
@@ -206,9 +208,9 @@
     model_.probes.pop_back();
     const bool leaving = argument % 3 == 0;
     if (leaving) {
-      model_.said_leaving.insert(executor);
+      model_.announced_leaving.insert(executor);
     }
-    Carry(router_.ProbeResult(
+    Execute(router_.HandleProbeResult(
         executor,
         MakeResult(argument % 2 == 0 ? AttemptOutcome::kAnswered
                                      : AttemptOutcome::kUnknown,
@@ -216,32 +218,33 @@
         now_));
   }
 
-  void Carry(const RoutingActions& actions) {
+  void Execute(const RoutingActions& actions) {
     for (const RoutingAction& action : actions) {
-      if (const auto* taken_out = std::get_if<ExecutorTakenOut>(&action)) {
-        model_.out.insert(taken_out->executor);
-      } else if (const auto* back = std::get_if<ExecutorBack>(&action)) {
-        // Back from its own sign of leaving, or else from being out.
-        if (model_.said_leaving.erase(back->executor) == 0) {
-          model_.out.erase(back->executor);
+      if (const auto* ejected = std::get_if<ExecutorEjected>(&action)) {
+        model_.ejected.insert(ejected->executor);
+      } else if (const auto* reinstated =
+                     std::get_if<ExecutorReinstated>(&action)) {
+        // Ends the state that the executor announced, or else its ejection.
+        if (model_.announced_leaving.erase(reinstated->executor) == 0) {
+          model_.ejected.erase(reinstated->executor);
         }
       } else if (const auto* probe = std::get_if<ProbeExecutor>(&action)) {
         model_.probes.push_back(probe->executor);
       } else if (const auto* send = std::get_if<SendAttempt>(&action)) {
         Send(*send);
       } else if (const auto* answered = std::get_if<FinishAnswered>(&action)) {
-        Final(answered->request_id);
+        RecordFinalAction(answered->request_id);
       } else if (const auto* not_run = std::get_if<FinishNotRun>(&action)) {
-        Final(not_run->request_id);
+        RecordFinalAction(not_run->request_id);
         RC_ASSERT(!model_.requests[not_run->request_id].may_have_run);
         RC_ASSERT(model_.requests[not_run->request_id].in_flight_at.empty());
       } else if (const auto* unknown = std::get_if<FinishUnknown>(&action)) {
-        Final(unknown->request_id);
+        RecordFinalAction(unknown->request_id);
       }
     }
   }
 
-  void Final(const std::string& id) {
+  void RecordFinalAction(const std::string& id) {
     RC_ASSERT(++model_.requests[id].finals == 1);
   }
 
@@ -254,9 +257,9 @@
     RC_ASSERT(send.attempt == ++request.attempts);
     RC_ASSERT(request.attempts <= kMaxAttempts);
     RC_ASSERT(send.attempt_deadline <= request.deadline);
-    RC_ASSERT(model_.said_leaving.count(send.executor) == 0u);
+    RC_ASSERT(model_.announced_leaving.count(send.executor) == 0u);
     RC_ASSERT(model_.listed_leaving.count(send.executor) == 0u);
-    RC_ASSERT(model_.out.count(send.executor) == 0u);
+    RC_ASSERT(model_.ejected.count(send.executor) == 0u);
     RC_ASSERT(model_.load[send.executor] < allocation_[send.executor]);
     ++model_.load[send.executor];
     request.in_flight_at = send.executor;
--- a/tests/auto/routing/tst_slot_share.cc
+++ b/tests/auto/routing/tst_slot_sharing_policy.cc
@@ -1,5 +1,5 @@
-// Ways of sharing slots between entries.
-#include "routing/slot_share.h"
+// Policies that divide slots among entries.
+#include "routing/slot_sharing_policy.h"
 
 #include <doctest/doctest.h>
 
@@ -22,9 +22,9 @@
 constexpr int kExecutors = 50;
 constexpr int kTotal = 400;
 
-ShareInput MakeInput(std::vector<AccountLimits> accounts,
-                     std::vector<std::vector<double>> demand) {
-  ShareInput input;
+SlotSharingInput MakeInput(std::vector<AccountLimits> accounts,
+                           std::vector<std::vector<double>> demand) {
+  SlotSharingInput input;
   for (const ExecutorInfo& info : MakeExecutors(kExecutors)) {
     input.executors.push_back({info.name, info.failure_domain, info.slots});
   }
@@ -38,13 +38,13 @@
   return std::accumulate(slots.begin(), slots.end(), 0);
 }
 
-std::vector<int> AllocateFor(const SlotShare& share, ShareInput input,
-                             size_t entry) {
-  input.own_entry = entry;
+std::vector<int> AllocateFor(const SlotSharingPolicy& share,
+                             SlotSharingInput input, size_t entry) {
+  input.own_entry_index = entry;
   return share.Allocate(input);
 }
 
-TEST_CASE("ranges of all entries together are all slots, each once") {
+TEST_CASE("the ranges of all entries cover each slot exactly once") {
   struct Row {
     std::string name;
     std::vector<std::vector<double>> demand;
@@ -57,11 +57,12 @@
   };
   const StaticShare fixed;
   const DemandShare by_demand;
-  for (const SlotShare* share : {static_cast<const SlotShare*>(&fixed),
-                                 static_cast<const SlotShare*>(&by_demand)}) {
+  for (const SlotSharingPolicy* share :
+       {static_cast<const SlotSharingPolicy*>(&fixed),
+        static_cast<const SlotSharingPolicy*>(&by_demand)}) {
     for (const Row& row : rows) {
       CAPTURE(row.name);
-      const ShareInput input = MakeInput({MakeAccount("a")}, row.demand);
+      const SlotSharingInput input = MakeInput({MakeAccount("a")}, row.demand);
       std::vector<int> used(kExecutors, 0);
       for (size_t entry = 0; entry < row.demand.size(); ++entry) {
         const std::vector<int> slots = AllocateFor(*share, input, entry);
@@ -74,7 +75,7 @@
   }
 }
 
-TEST_CASE("slots go where the demand is") {
+TEST_CASE("slots are allocated by demand") {
   struct Row {
     std::string name;
     std::vector<AccountLimits> accounts;
@@ -86,37 +87,37 @@
   AccountLimits closed = MakeAccount("b", 50);
   closed.borrowing = false;
   const Row rows[] = {
-      {"a burst at one entry gets all that nobody uses",
+      {"a burst at one entry gets all unused slots",
        {MakeAccount("a")},
        {{5000}, {0}, {0}, {0}},
        0,
        400,
        400},
-      {"an idle entry keeps a little for its first request",
+      {"an idle entry keeps slots for its first request",
        {MakeAccount("a")},
        {{5000}, {0}, {0}, {0}},
        2,
        2,
        2},
-      {"a guarantee at one entry stands against a flood at another",
+      {"a guarantee at one entry holds during a flood at another",
        {MakeAccount("a"), MakeAccount("b", 50)},
        {{10000, 0}, {0, 50}},
        1,
        50,
        50},
-      {"weights divide what no guarantee claims",
+      {"weights divide the slots beyond the guarantees",
        {MakeAccount("a"), MakeAccount("b", 0, 3.0)},
        {{10000, 0}, {0, 10000}},
        1,
        300,
        300},
-      {"without borrowing there is no more than the guarantee",
+      {"without borrowing an account gets no more than its guarantee",
        {MakeAccount("a"), closed},
        {{10000, 0}, {0, 10000}},
        1,
        50,
        50},
-      {"guarantees that do not fit are cut in proportion",
+      {"guarantees larger than the slots are reduced in proportion",
        {MakeAccount("a", 600), MakeAccount("b", 200)},
        {{1000, 0}, {0, 1000}},
        1,
@@ -133,8 +134,8 @@
   }
 }
 
-TEST_CASE("even a small share touches many executors and all domains") {
-  ShareInput input =
+TEST_CASE("a small share spans many executors and all failure domains") {
+  SlotSharingInput input =
       MakeInput({MakeAccount("a")}, {{3920}, {80}});  // 392 and 8 slots
   const std::vector<int> slots = AllocateFor(DemandShare(), input, 1);
   std::set<std::string> domains;
@@ -148,16 +149,16 @@
   CHECK(domains.size() == 4);
 }
 
-TEST_CASE("the potential of an entry is what the others do not claim") {
-  const ShareInput input =
+TEST_CASE("an entry can attain the slots beyond the others' demand") {
+  const SlotSharingInput input =
       MakeInput({MakeAccount("a")}, {{10}, {100}, {50}, {0}});
-  CHECK(DemandShare().Potential(input) == doctest::Approx(kTotal - 150));
-  CHECK(AllSlots().Potential(input) == doctest::Approx(kTotal - 150));
-  CHECK(StaticShare().Potential(input) == doctest::Approx(kTotal / 4.0));
+  CHECK(DemandShare().AttainableSlots(input) == doctest::Approx(kTotal - 150));
+  CHECK(AllSlots().AttainableSlots(input) == doctest::Approx(kTotal - 150));
+  CHECK(StaticShare().AttainableSlots(input) == doctest::Approx(kTotal / 4.0));
   CHECK(Sum(AllSlots().Allocate(input)) == kTotal);
 }
 
-TEST_CASE("an executor's connections are divided over the entries") {
+TEST_CASE("an executor's connections are divided among the entries") {
   struct Row {
     size_t entries;
     int limit;
--- a/tests/auto/state/tst_coordinator_election.cc
+++ b/tests/auto/state/tst_coordinator_election.cc
@@ -1,4 +1,4 @@
-// When an entry claims the next epoch.
+// Tests of when an entry claims the next coordinator epoch.
 #include <doctest/doctest.h>
 
 #include "state/coordinator_election.h"
@@ -18,14 +18,14 @@
   const char* name;
   CoordinatorEpoch epoch;
   std::set<std::string> live;
-  // When entry "a" must claim at the latest; -1 for never.
+  // Latest time at which entry "a" must claim, in milliseconds; -1 for never.
   int claims_by_ms;
 };
 
-TEST_CASE("claims follow the state of the holder") {
+TEST_CASE("an entry claims if the holder is dead or has resigned") {
   const std::vector<HolderCase> cases = {
       {"no epoch yet", {}, {"a", "b"}, 700},
-      {"the holder lives", {1, "b", "b-1"}, {"a", "b"}, -1},
+      {"the holder is alive", {1, "b", "b-1"}, {"a", "b"}, -1},
       {"the holder is dead", {1, "b", "b-1"}, {"a", "c"}, 3000},
       {"the holder resigned", {1, "b", "b-1", true}, {"a", "b"}, 700},
       {"this process holds it", {1, "a", "a-1"}, {"a", "b"}, -1},
@@ -37,11 +37,11 @@
   for (const HolderCase& one : cases) {
     CAPTURE(one.name);
     CoordinatorElection election = MakeElection("a");
-    election.LiveEntries(one.live, kStart);
-    election.EpochChanged(one.epoch, kStart);
+    election.SetLiveEntries(one.live, kStart);
+    election.SetEpoch(one.epoch, kStart);
     int claimed_at = -1;
     for (int ms = 0; ms <= 10000 && claimed_at < 0; ms += 50) {
-      const auto number = election.Claim(kStart + milliseconds(ms));
+      const auto number = election.ClaimIfDue(kStart + milliseconds(ms));
       if (!number) continue;
       CHECK(*number == one.epoch.number + 1);
       claimed_at = ms;
@@ -51,28 +51,28 @@
   }
 }
 
-TEST_CASE("live entries claim one after the other") {
+TEST_CASE("live entries claim at different times") {
   const std::set<std::string> live = {"a", "b", "c", "d"};
   std::set<Time> due;
   for (const std::string& name : live) {
     CoordinatorElection election = MakeElection(name);
-    election.LiveEntries(live, kStart);
-    election.EpochChanged({}, kStart);
+    election.SetLiveEntries(live, kStart);
+    election.SetEpoch({}, kStart);
     REQUIRE(election.NextWake());
     due.insert(*election.NextWake());
   }
   CHECK(due.size() == live.size());
 }
 
-TEST_CASE("a new epoch is left alone for its tenure") {
+TEST_CASE("a new epoch is not challenged during its minimum tenure") {
   CoordinatorElection election = MakeElection("a");
-  election.LiveEntries({"a"}, kStart);
-  election.EpochChanged({1, "b", "b-1"}, kStart);
-  CHECK_FALSE(election.Claim(kStart + milliseconds(2999)));
-  CHECK(election.Claim(kStart + milliseconds(3000)));
-  // The claim is not repeated at once, though its fate is unknown.
-  CHECK_FALSE(election.Claim(kStart + milliseconds(3100)));
-  CHECK(election.Claim(kStart + milliseconds(5500)));
+  election.SetLiveEntries({"a"}, kStart);
+  election.SetEpoch({1, "b", "b-1"}, kStart);
+  CHECK_FALSE(election.ClaimIfDue(kStart + milliseconds(2999)));
+  CHECK(election.ClaimIfDue(kStart + milliseconds(3000)));
+  // A claim with unknown outcome is repeated only after the claim interval.
+  CHECK_FALSE(election.ClaimIfDue(kStart + milliseconds(3100)));
+  CHECK(election.ClaimIfDue(kStart + milliseconds(5500)));
 }
 
 }  // namespace
