--- a/src/libs/workload/worker_tracker.cc
+++ b/src/libs/workload/worker_tracker.cc
@@ -1,4 +1,4 @@
-// Evidence on runs and leases of one worker.
+// Evaluates the evidence on runs and leases of one worker.
 #include "workload/worker_tracker.h"
 
 #include <algorithm>
@@ -8,33 +8,34 @@
 namespace thornplank {
 namespace {
 
-// A worker's steady clock may run this much slower than ours (published).
-constexpr double kSlowestClock = 0.98;
-// Covers a late timer on the worker and the time that a kill takes there.
+// The minimum rate of a worker's steady clock relative to ours (published).
+constexpr double kMinClockRate = 0.98;
+// Covers a late timer on the worker and the time to kill a run there.
 constexpr Milliseconds kLeaseSlack{600};
-constexpr int kWholeWork = 100;
-// With less done, a rate is too coarse to go by.
-constexpr int kTellingPercent = 3;
-
-// What it had saved was told when a report showed it. Of a gang another member
-// may have told of a later checkpoint since, which holds for this one too.
-RunEndReport Settled(const TrackedRun& run, RunEnd end, Time now) {
-  RunEndReport settled;
-  settled.task = run.task;
-  settled.run = run.run;
-  settled.end = end;
-  settled.began = run.began;
-  settled.kept = run.kept("", now);
-  return settled;
-}
-
-RunEnd ToRunEnd(LifeEnd end) {
+constexpr int kDonePercent = 100;
+// With less progress, a rate is too coarse to use.
+constexpr int kMinPercentForRate = 3;
+
+// The end carries no checkpoint: that of the run was recorded when a report
+// showed it. For a gang, a later checkpoint of another member may have been
+// recorded since, which is valid for this run too.
+RunEndReport MakeRunEnd(const TrackedRun& run, RunEnd end, Time now) {
+  RunEndReport run_end;
+  run_end.task = run.task;
+  run_end.run = run.run;
+  run_end.end = end;
+  run_end.began = run.began;
+  run_end.saved_work = run.saved_work("", now);
+  return run_end;
+}
+
+RunEnd ToRunEnd(IncarnationEnd end) {
   switch (end) {
-    case LifeEnd::kLeft:
+    case IncarnationEnd::kLeft:
       return RunEnd::kWorkerLeft;
-    case LifeEnd::kCrashed:
+    case IncarnationEnd::kCrashed:
       return RunEnd::kWorkerCrashed;
-    case LifeEnd::kSilent:
+    case IncarnationEnd::kSilent:
       return RunEnd::kWorkerSilent;
   }
   return RunEnd::kLost;
@@ -42,29 +43,33 @@
 
 }  // namespace
 
-Duration TrackedRun::unsaved(Time now) const {
+Duration TrackedRun::unsaved_work(Time now) const {
   if (began == Time{} || profile.checkpointable) return Duration::zero();
   return now - began;
 }
 
-bool TrackedRun::is_proven(Time now) const {
-  if (reported != Time{}) return true;
+bool TrackedRun::has_proven_start(Time now) const {
+  if (last_report != Time{}) return true;
   return stage == RunStage::kRunning && now - began >= kStartPhase;
 }
 
-Duration TrackedRun::kept(const std::string& made, Time now) const {
+Duration TrackedRun::saved_work(const std::string& end_checkpoint,
+                                Time now) const {
   if (began == Time{}) return Duration::zero();
-  // Made by the end itself, which comes as soon as it is there.
-  const bool made_now = !made.empty() && made != checkpoint;
-  if (made_now) return now - began;
-  return saved == Time{} ? Duration::zero() : saved - began;
+  // The checkpoint was made when the run ended, and the end is reported at
+  // once.
+  const bool made_at_end =
+      !end_checkpoint.empty() && end_checkpoint != checkpoint;
+  if (made_at_end) return now - began;
+  return checkpoint_seen_at == Time{} ? Duration::zero()
+                                      : checkpoint_seen_at - began;
 }
 
 double TrackedRun::rate() const {
   const int done = percent - baseline_percent;
-  if (!baseline || done < kTellingPercent) return 0;
+  if (!baseline || done < kMinPercentForRate) return 0;
   const double seconds =
-      std::chrono::duration<double>(progressed - *baseline).count();
+      std::chrono::duration<double>(last_progress - *baseline).count();
   return seconds > 0 ? done / seconds : 0;
 }
 
@@ -72,22 +77,23 @@
   const double speed = rate();
   if (stage != RunStage::kRunning || speed <= 0) return Duration::max();
   const auto left = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>((kWholeWork - percent) / speed));
-  return std::max(left - (now - progressed), Duration::zero());
+      std::chrono::duration<double>((kDonePercent - percent) / speed));
+  return std::max(left - (now - last_progress), Duration::zero());
 }
 
 WorkerTracker::WorkerTracker(WorkerRegistration registration)
     : registration_(std::move(registration)) {}
 
 void WorkerTracker::Update(WorkerRegistration registration, Time now) {
-  const std::optional<WallTime>& born = registration.birth.born;
-  const bool is_news = born && born != registration_.birth.born;
-  // Until a report tells, nothing is known of the life that has begun.
-  if (is_news && life_.born() && born != life_.born()) synchronized_ = false;
+  const std::optional<WallTime>& start = registration.incarnation_start.time;
+  const bool is_new = start && start != registration_.incarnation_start.time;
+  // Until its first report, nothing is known of the incarnation that has begun.
+  if (is_new && incarnation_.start() && start != incarnation_.start())
+    synchronized_ = false;
   registration_ = std::move(registration);
   missing_since_.reset();
-  leaves_.reset();
-  if (registration_.draining) leaves_ = now + registration_.drain_left;
+  departure_.reset();
+  if (registration_.draining) departure_ = now + registration_.drain_remaining;
 }
 
 void WorkerTracker::SetSpeed(double speed, Time now) {
@@ -105,7 +111,7 @@
   tracked.task = task;
   tracked.run = run;
   tracked.profile = std::move(profile);
-  tracked.since = now;
+  tracked.stage_since = now;
   used_ += tracked.profile.need;
   runs_[task] = std::move(tracked);
 }
@@ -123,17 +129,17 @@
   return it == runs_.end() ? nullptr : &it->second;
 }
 
-Milliseconds WorkerTracker::LongestLease(Milliseconds term) {
+Milliseconds WorkerTracker::MaxLeaseDuration(Milliseconds term) {
   return Milliseconds(static_cast<int64_t>(static_cast<double>(term.count()) /
-                                           kSlowestClock)) +
+                                           kMinClockRate)) +
          kLeaseSlack;
 }
 
-Milliseconds WorkerTracker::DeadlineIn(Milliseconds term, Time now) {
+Milliseconds WorkerTracker::IssueDeadline(Milliseconds term, Time now) {
   const auto elapsed =
-      std::chrono::duration_cast<Milliseconds>(now - clock_heard_);
+      std::chrono::duration_cast<Milliseconds>(now - clock_read_at_);
   lease_bound_ =
-      std::max(lease_bound_, clock_heard_ + LongestLease(term + elapsed));
+      std::max(lease_bound_, clock_read_at_ + MaxLeaseDuration(term + elapsed));
   return clock_ + elapsed + term;
 }
 
@@ -143,8 +149,8 @@
   if (tracked == nullptr || tracked->run != run) return;
   tracked->stage = RunStage::kSending;
   tracked->order_deadline = deadline;
-  tracked->sent = now;
-  tracked->since = now;
+  tracked->order_sent = now;
+  tracked->stage_since = now;
 }
 
 std::vector<RunEndReport> WorkerTracker::OnStartAnswer(const TaskRef& task,
@@ -158,29 +164,29 @@
     case StartOutcome::kAccepted:
       if (tracked.stage == RunStage::kRunning) return {};
       tracked.stage = RunStage::kRunning;
-      tracked.since = now;
+      tracked.stage_since = now;
       tracked.began = now;
-      tracked.progressed = now;
+      tracked.last_progress = now;
       if (!tracked.resumed) tracked.baseline = now;
       return {};
     case StartOutcome::kNoAnswer:
       trust_.OnSilence(now);
       if (tracked.stage == RunStage::kSending) {
         tracked.stage = RunStage::kUnknown;
-        tracked.since = now;
+        tracked.stage_since = now;
       }
       return {};
-    case StartOutcome::kOtherLife:
-      return OnGone(LifeEnd::kCrashed, now);
+    case StartOutcome::kOtherIncarnation:
+      return OnIncarnationEnded(IncarnationEnd::kCrashed, now);
     case StartOutcome::kRefused:
     case StartOutcome::kTicketRefused:
     case StartOutcome::kFenced:
       break;
   }
   if (tracked.stage == RunStage::kRunning) return {};
-  std::vector<RunEndReport> settled = {Settled(tracked, RunEnd::kLost, now)};
+  std::vector<RunEndReport> ends = {MakeRunEnd(tracked, RunEnd::kLost, now)};
   Erase(it);
-  return settled;
+  return ends;
 }
 
 void WorkerTracker::OnStopAnswer(const TaskRef& task, int run,
@@ -191,50 +197,52 @@
   if (acknowledged) tracked->stop_acknowledged = now;
 }
 
-bool WorkerTracker::IsOfFormerLife(const WorkerStatusReport& report,
-                                   Time sent) const {
-  return life_.Judge(report.birth.born, sent) == WorkerLife::Verdict::kFormer;
+bool WorkerTracker::IsFromPastIncarnation(const WorkerStatusReport& report,
+                                          Time sent) const {
+  return incarnation_.Classify(report.incarnation_start.time, sent) ==
+         WorkerIncarnation::Verdict::kPast;
 }
 
 bool WorkerTracker::OutlivesRestart(const TrackedRun& run,
                                     const WorkerStatusReport& report,
                                     Time sent) const {
-  const auto is_it = [&run](const auto& told) {
-    return told.task == run.task && told.run == run.run;
+  const auto is_same_run = [&run](const auto& listed) {
+    return listed.task == run.task && listed.run == run.run;
   };
-  const bool told =
-      std::any_of(report.running.begin(), report.running.end(), is_it) ||
-      std::any_of(report.ended.begin(), report.ended.end(), is_it);
-  if (told) return true;
+  const bool listed =
+      std::any_of(report.running.begin(), report.running.end(), is_same_run) ||
+      std::any_of(report.ended.begin(), report.ended.end(), is_same_run);
+  if (listed) return true;
   switch (run.stage) {
     case RunStage::kRecording:
     case RunStage::kSending:
     case RunStage::kUnknown:
       return true;
     case RunStage::kRunning:
-      // The new life may have taken the order after it wrote the report.
-      return run.since > sent;
+      // The new incarnation may have accepted the order after it wrote the
+      // report.
+      return run.stage_since > sent;
     case RunStage::kInherited:
       return false;
   }
   return false;
 }
 
-std::vector<RunEndReport> WorkerTracker::BeginLife(
+std::vector<RunEndReport> WorkerTracker::BeginIncarnation(
     const WorkerStatusReport& report, Time sent, Time now) {
-  const RunEnd end = RunEndFor(LifeEnd::kCrashed, now);
+  const RunEnd end = RunEndFor(IncarnationEnd::kCrashed, now);
   std::vector<RunEndReport> ended;
   for (auto it = runs_.begin(); it != runs_.end();) {
     const auto run = it++;
     if (OutlivesRestart(run->second, report, sent)) {
-      // The deadline was one on the clock of the life before.
+      // The deadline referred to the clock of the previous incarnation.
       run->second.order_deadline = Milliseconds::max();
       continue;
     }
-    ended.push_back(LostWithLife(run->second, end, now));
+    ended.push_back(LostWithIncarnation(run->second, end, now));
     Erase(run);
   }
-  ++life_number_;
+  ++incarnation_number_;
   clock_ = Milliseconds::zero();
   processed_ends_ = 0;
   recorded_ends_ = 0;
@@ -245,14 +253,16 @@
 std::vector<RunEndReport> WorkerTracker::OnReport(
     const WorkerStatusReport& report, Time sent, Time now,
     std::vector<RunReport>* unexpected) {
-  const WorkerLife::Verdict life = life_.Judge(report.birth.born, sent);
-  if (life == WorkerLife::Verdict::kFormer) return {};
+  const WorkerIncarnation::Verdict verdict =
+      incarnation_.Classify(report.incarnation_start.time, sent);
+  if (verdict == WorkerIncarnation::Verdict::kPast) return {};
   std::vector<RunEndReport> ended;
-  if (life == WorkerLife::Verdict::kNext) ended = BeginLife(report, sent, now);
-  life_.Note(report.birth.born, now);
+  if (verdict == WorkerIncarnation::Verdict::kNext)
+    ended = BeginIncarnation(report, sent, now);
+  incarnation_.Record(report.incarnation_start.time, now);
   if (report.clock >= clock_) {
     clock_ = report.clock;
-    clock_heard_ = now;
+    clock_read_at_ = now;
   }
   failed_reports_ = 0;
   silent_since_.reset();
@@ -262,11 +272,11 @@
     if (end.number <= processed_ends_) continue;
     processed_ends_ = end.number;
     ended.push_back(end);
-    ended.back().life = life_number_;
+    ended.back().incarnation = incarnation_number_;
     const auto it = runs_.find(end.task);
     if (it == runs_.end() || it->second.run > end.run) continue;
     ended.back().began = it->second.began;
-    ended.back().kept = it->second.kept(end.checkpoint, now);
+    ended.back().saved_work = it->second.saved_work(end.checkpoint, now);
     Erase(it);
   }
   for (const RunReport& running : report.running) {
@@ -276,29 +286,29 @@
       unexpected->push_back(running);
       continue;
     }
-    Progress(tracked, running, now);
+    UpdateProgress(tracked, running, now);
   }
   synchronized_ = true;
   for (auto it = runs_.begin(); it != runs_.end();) {
     const auto run = it++;
     if (present.count(run->first) > 0) continue;
     if (!IsSettledByAbsence(run->second, sent, report.clock)) continue;
-    ended.push_back(Settled(run->second, RunEnd::kLost, now));
+    ended.push_back(MakeRunEnd(run->second, RunEnd::kLost, now));
     Erase(run);
   }
   return ended;
 }
 
-void WorkerTracker::Progress(TrackedRun* run, const RunReport& report,
-                             Time now) {
+void WorkerTracker::UpdateProgress(TrackedRun* run, const RunReport& report,
+                                   Time now) {
   if (run->stage != RunStage::kRunning) {
     run->stage = RunStage::kRunning;
-    run->since = now;
+    run->stage_since = now;
     run->began = now;
-    run->progressed = now;
+    run->last_progress = now;
   }
-  if (report.percent != run->percent) run->progressed = now;
-  run->reported = now;
+  if (report.percent != run->percent) run->last_progress = now;
+  run->last_report = now;
   run->percent = report.percent;
   run->load = report.load;
   if (!run->baseline) {
@@ -307,7 +317,7 @@
   }
   const bool resumes_from_it = run->resumed && run->checkpoint.empty();
   const bool is_new = report.checkpoint != run->checkpoint && !resumes_from_it;
-  if (is_new) run->saved = now;
+  if (is_new) run->checkpoint_seen_at = now;
   run->checkpoint = report.checkpoint;
 }
 
@@ -318,7 +328,7 @@
     case RunStage::kInherited:
       return true;
     case RunStage::kRunning:
-      return run.since <= sent;
+      return run.stage_since <= sent;
     case RunStage::kUnknown:
       return clock > run.order_deadline;
     case RunStage::kRecording:
@@ -328,62 +338,66 @@
   return false;
 }
 
-void WorkerTracker::OnNoReport(Time now) {
+void WorkerTracker::OnReportFailed(Time now) {
   ++failed_reports_;
   trust_.OnSilence(now);
   if (!silent_since_) silent_since_ = now;
 }
 
-WorkerBelief WorkerTracker::belief(Time now) const {
-  if (!synchronized()) return WorkerBelief::kNotHeardYet;
-  if (!reachable()) return WorkerBelief::kSilent;
-  if (missing()) return WorkerBelief::kNotListed;
-  if (registration_.draining) return WorkerBelief::kLeaving;
-  if (domain_closed_) return WorkerBelief::kDomainClosed;
-  return trust_.Quarantined(now) ? WorkerBelief::kQuarantined
-                                 : WorkerBelief::kUsable;
+WorkerAvailability WorkerTracker::availability(Time now) const {
+  if (!synchronized()) return WorkerAvailability::kNoReportYet;
+  if (!reachable()) return WorkerAvailability::kSilent;
+  if (missing()) return WorkerAvailability::kNotListed;
+  if (registration_.draining) return WorkerAvailability::kLeaving;
+  if (domain_closed_) return WorkerAvailability::kDomainClosed;
+  return trust_.IsQuarantined(now) ? WorkerAvailability::kQuarantined
+                                   : WorkerAvailability::kUsable;
 }
 
-RunEnd WorkerTracker::RunEndFor(LifeEnd end, Time now) const {
-  const bool left = end == LifeEnd::kCrashed && leaves_ && now >= *leaves_;
-  return ToRunEnd(left ? LifeEnd::kLeft : end);
+RunEnd WorkerTracker::RunEndFor(IncarnationEnd end, Time now) const {
+  const bool left =
+      end == IncarnationEnd::kCrashed && departure_ && now >= *departure_;
+  return ToRunEnd(left ? IncarnationEnd::kLeft : end);
 }
 
-// An order without an answer was not taken by a worker that was silent before
-// it went out, nor by one that was never silent: the next life refused it.
+// An unanswered order was not accepted by a worker that was silent before it
+// was sent, nor by one that was never silent: in that case the next incarnation
+// refused it.
 bool WorkerTracker::MayHaveBegun(const TrackedRun& run) const {
   if (run.stage == RunStage::kRecording) return false;
   const bool known = run.began != Time{} || run.stage == RunStage::kInherited;
-  return known || (silent_since_ && *silent_since_ >= run.sent);
+  return known || (silent_since_ && *silent_since_ >= run.order_sent);
 }
 
-RunEndReport WorkerTracker::LostWithLife(const TrackedRun& run, RunEnd end,
-                                         Time now) const {
+RunEndReport WorkerTracker::LostWithIncarnation(const TrackedRun& run,
+                                                RunEnd end, Time now) const {
   RunEndReport lost =
-      Settled(run, MayHaveBegun(run) ? end : RunEnd::kLost, now);
-  if (run.began != Time{}) lost.borne = silent_since_.value_or(now) - run.began;
+      MakeRunEnd(run, MayHaveBegun(run) ? end : RunEnd::kLost, now);
+  if (run.began != Time{})
+    lost.survived = silent_since_.value_or(now) - run.began;
   return lost;
 }
 
-std::vector<RunEndReport> WorkerTracker::OnGone(LifeEnd end, Time now) {
+std::vector<RunEndReport> WorkerTracker::OnIncarnationEnded(IncarnationEnd end,
+                                                            Time now) {
   const RunEnd run_end = RunEndFor(end, now);
   std::vector<RunEndReport> ended;
   ended.reserve(runs_.size());
   for (const auto& [task, run] : runs_) {
-    ended.push_back(LostWithLife(run, run_end, now));
+    ended.push_back(LostWithIncarnation(run, run_end, now));
   }
   runs_.clear();
   used_ = Resources();
   return ended;
 }
 
-void WorkerTracker::OnEndsRecorded(int life, int64_t number) {
-  if (life != life_number_) return;
+void WorkerTracker::OnEndsRecorded(int incarnation, int64_t number) {
+  if (incarnation != incarnation_number_) return;
   recorded_ends_ = std::max(recorded_ends_, std::min(number, processed_ends_));
 }
 
-void WorkerTracker::AllowLease(Milliseconds term, Time now) {
-  lease_bound_ = std::max(lease_bound_, now + LongestLease(term));
+void WorkerTracker::ExtendLeaseBound(Milliseconds term, Time now) {
+  lease_bound_ = std::max(lease_bound_, now + MaxLeaseDuration(term));
 }
 
 std::string_view ToText(RunStage stage) {
@@ -402,21 +416,21 @@
   return "unknown";
 }
 
-std::string_view ToText(WorkerBelief belief) {
-  switch (belief) {
-    case WorkerBelief::kUsable:
+std::string_view ToText(WorkerAvailability availability) {
+  switch (availability) {
+    case WorkerAvailability::kUsable:
       return "usable";
-    case WorkerBelief::kNotHeardYet:
+    case WorkerAvailability::kNoReportYet:
       return "not heard yet";
-    case WorkerBelief::kSilent:
+    case WorkerAvailability::kSilent:
       return "silent";
-    case WorkerBelief::kNotListed:
+    case WorkerAvailability::kNotListed:
       return "not listed";
-    case WorkerBelief::kLeaving:
+    case WorkerAvailability::kLeaving:
       return "leaving";
-    case WorkerBelief::kDomainClosed:
+    case WorkerAvailability::kDomainClosed:
       return "domain closed";
-    case WorkerBelief::kQuarantined:
+    case WorkerAvailability::kQuarantined:
       return "quarantined";
   }
   return "unknown";
--- a/tests/auto/coordination/tst_worker_fleet.cc
+++ b/tests/auto/coordination/tst_worker_fleet.cc
@@ -94,7 +94,7 @@
       {"refused", StartOutcome::kRefused, true, true, 0},
       {"no answer", StartOutcome::kNoAnswer, false, true, 0},
       {"fenced", StartOutcome::kFenced, true, true, 1},
-      {"another life", StartOutcome::kOtherLife, true, false, 0},
+      {"another life", StartOutcome::kOtherIncarnation, true, false, 0},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -130,11 +130,11 @@
     Fixture fixture;
     fixture.calls.pace_outcome = row.answer;
     RunProfile filler;
-    filler.fills = true;
+    filler.is_filler = true;
     fixture.fleet.Add("w1", kTask, 1, filler, Fixture::Now());
     RunProfile server;
     server.long_running = true;
-    server.tail_target = Milliseconds(100);
+    server.tail_latency_target = Milliseconds(100);
     fixture.fleet.Add("w1", serving, 1, server, Fixture::Now());
     fixture.calls.report.running = {{kTask, 1, "", 10, 2000},
                                     {serving, 1, "", 100, row.tail}};
@@ -294,7 +294,7 @@
     CAPTURE(row.name);
     WorkerBounds bounds;
     bounds.longest_lease = row.longest_lease;
-    bounds.stop = row.stop;
+    bounds.stop_bound = row.stop;
     Fixture fixture(bounds);
     // The clock of the worker starts at zero with its first report.
     const Time begin = Fixture::Now();
--- a/tests/auto/users_platform/tst_wire_formats.cc
+++ b/tests/auto/users_platform/tst_wire_formats.cc
@@ -84,11 +84,12 @@
         nullptr);
     REQUIRE(report.has_value());
     REQUIRE(worker.has_value());
-    for (const BirthMark& birth : {report->birth, worker->birth}) {
-      CHECK(birth.fault == row.fault);
-      CHECK(birth.born.has_value() == (row.born > 0));
-      if (!birth.born) continue;
-      CHECK(ToUnixMilliseconds(*birth.born) == row.born);
+    for (const IncarnationStart& birth :
+         {report->incarnation_start, worker->incarnation_start}) {
+      CHECK(birth.error == row.fault);
+      CHECK(birth.time.has_value() == (row.born > 0));
+      if (!birth.time) continue;
+      CHECK(ToUnixMilliseconds(*birth.time) == row.born);
     }
   }
 }
@@ -145,7 +146,7 @@
   REQUIRE(worker.has_value());
   CHECK(worker->id == "i-1");
   CHECK(worker->draining);
-  CHECK(worker->drain_left == Milliseconds(1500));
+  CHECK(worker->drain_remaining == Milliseconds(1500));
   CHECK(worker->rack == "r1-3");
   CHECK(worker->capacity.accelerators == 8);
 }
@@ -327,8 +328,8 @@
   CHECK_FALSE(configuration->queues[0].policy.advice.has_value());
   const auto& terms = configuration->queues[1].policy.advice;
   REQUIRE(terms.has_value());
-  CHECK(terms->decision == Milliseconds(40));
-  CHECK(terms->each == Milliseconds(2));
+  CHECK(terms->query_time == Milliseconds(40));
+  CHECK(terms->time_per_worker == Milliseconds(2));
   CHECK(terms->validity == Milliseconds(3000));
 }
 
