--- a/src/libs/scheduling/gang.h
+++ b/src/libs/scheduling/gang.h
@@ -77,7 +77,7 @@
   Time granted_at;
   // When the throttle was lifted, that is, when the gang began to run.
   std::optional<Time> started_at;
-  Time checkpoint_asked_at;
+  Time checkpoint_requested_at;
   // kStarting: the gang is stopped if a member is not confirmed by then.
   // kCheckpointing: the gang is stopped then even if the checkpoint is not
   // done.
--- a/src/libs/scheduling/gang_lifecycle.cc
+++ b/src/libs/scheduling/gang_lifecycle.cc
@@ -69,7 +69,7 @@
   if (gang.phase != JobPhase::kRunning) return;
   gang.phase = JobPhase::kCheckpointing;
   gang.end_reason = reason;
-  gang.checkpoint_asked_at = now;
+  gang.checkpoint_requested_at = now;
   gang.deadline = now + deadline;
   observer_.OnPhase(gang, JobPhase::kCheckpointing, reason);
   actions->push_back(CheckpointGang{gang.job(), gang.id(), reason});
@@ -174,7 +174,7 @@
                                    SchedulerActions* actions) {
   if (gang.phase != JobPhase::kCheckpointing) return;
   gang.checkpointed = true;
-  observer_.OnCheckpointed(gang, now - gang.checkpoint_asked_at);
+  observer_.OnCheckpointed(gang, now - gang.checkpoint_requested_at);
   Stop(gang, gang.end_reason, GangEnd::kRequeue, now, actions);
 }
 
@@ -218,7 +218,7 @@
 int GangLifecycle::ApplyWorkerReport(WorkerIndex worker,
                                      const std::string& worker_name,
                                      const std::vector<LeaseReport>& leases,
-                                     Time asked_at, Time now,
+                                     Time requested_at, Time now,
                                      SchedulerActions* actions) {
   int untracked_held = 0;
   std::unordered_set<std::string> listed;
@@ -228,8 +228,9 @@
       listed.insert(lease.lease_id);
       // A lease that was confirmed after the request was sent may be missing
       // from a reply that was made before the grant reached the worker.
-      const bool overtaken = lease.state == LeaseState::kGone &&
-                             gang->members()[member].confirmed_at >= asked_at;
+      const bool overtaken =
+          lease.state == LeaseState::kGone &&
+          gang->members()[member].confirmed_at >= requested_at;
       if (!overtaken) ApplyLeaseState(*gang, member, lease, now, actions);
       continue;
     }
@@ -243,7 +244,7 @@
     for (int i = 0; gang && i < gang->size(); ++i) {
       const MemberRecord& record = gang->members()[i];
       if (record.worker != worker || !ShouldBeListed(record.state)) continue;
-      if (record.confirmed_at >= asked_at) continue;
+      if (record.confirmed_at >= requested_at) continue;
       if (listed.count(record.member.lease_id) > 0) continue;
       MemberGone(*gang, i, "not known to the worker", now, actions);
       gang = gangs_.Find(id);  // nullptr if the gang ended
--- a/src/libs/scheduling/gang_lifecycle.h
+++ b/src/libs/scheduling/gang_lifecycle.h
@@ -68,10 +68,10 @@
                     SchedulerActions* actions);
   void CheckpointDone(Gang& gang, Time now, SchedulerActions* actions);
   // Applies the lease table that `worker` sent in reply to a request of
-  // `asked_at`. Returns the accelerators held by leases of no current gang.
+  // `requested_at`. Returns the accelerators held by leases of no current gang.
   int ApplyWorkerReport(WorkerIndex worker, const std::string& worker_name,
-                        const std::vector<LeaseReport>& leases, Time asked_at,
-                        Time now, SchedulerActions* actions);
+                        const std::vector<LeaseReport>& leases,
+                        Time requested_at, Time now, SchedulerActions* actions);
   // The worker is unreachable; its leases lapse at `lapses_at`.
   void WorkerLost(WorkerIndex worker, Time lapses_at, Time now,
                   SchedulerActions* actions);
--- a/src/libs/scheduling/job_scheduler.cc
+++ b/src/libs/scheduling/job_scheduler.cc
@@ -53,10 +53,10 @@
 
 SchedulerActions JobScheduler::WorkerReported(
     const std::string& worker, const std::vector<LeaseReport>& leases,
-    Time asked_at, Time now) {
+    Time requested_at, Time now) {
   const WorkerIndex index = impl_->state().cluster.Find(worker);
   if (index == kNoWorker) return {};
-  impl_->WorkerReported(index, leases, asked_at, now);
+  impl_->WorkerReported(index, leases, requested_at, now);
   return impl_->Decide(now);
 }
 
--- a/src/libs/scheduling/job_scheduler.h
+++ b/src/libs/scheduling/job_scheduler.h
@@ -148,11 +148,12 @@
   // missing.
   SchedulerActions Adopt(const AdoptedGang& gang, Time now);
 
-  // The lease table that `worker` returned to a request sent at `asked_at`. A
-  // lease that was confirmed before `asked_at` and is missing from it is gone.
+  // The lease table that `worker` returned to a request sent at `requested_at`.
+  // A lease that was confirmed before `requested_at` and is missing from it is
+  // gone.
   SchedulerActions WorkerReported(const std::string& worker,
                                   const std::vector<LeaseReport>& leases,
-                                  Time asked_at, Time now);
+                                  Time requested_at, Time now);
   // Ignored if `gang_id` is not the job's current attempt.
   SchedulerActions MemberResult(const std::string& job,
                                 const std::string& gang_id,
--- a/src/libs/scheduling/placement_search.cc
+++ b/src/libs/scheduling/placement_search.cc
@@ -146,16 +146,16 @@
     return std::nullopt;
   }
   std::vector<RackOffer> offers = MakeRackOffers(cluster, shape, room, cost);
-  const RackOffer* whole = CheapestSingleRackOffer(offers, shape.members);
+  const RackOffer* single = CheapestSingleRackOffer(offers, shape.members);
   if (shape.adjacency == Adjacency::kRack) {
-    return whole ? std::make_optional(whole->share) : std::nullopt;
+    return single ? std::make_optional(single->share) : std::nullopt;
   }
   // One member cannot be spread.
-  if (whole && (whole->cost <= 0 || shape.members == 1)) return whole->share;
+  if (single && (single->cost <= 0 || shape.members == 1)) return single->share;
   const std::optional<RackOffer> spread =
       SpreadOverRacks(cluster, offers, shape, room, cost);
   if (!spread) return std::nullopt;
-  return whole && whole->cost <= spread->cost ? whole->share : spread->share;
+  return single && single->cost <= spread->cost ? single->share : spread->share;
 }
 
 bool Fits(const ClusterModel& cluster, const Shape& shape,
--- a/src/libs/scheduling/scheduler_core.cc
+++ b/src/libs/scheduling/scheduler_core.cc
@@ -81,40 +81,42 @@
   job->gang_id = found.gang_id;
   ++job->attempts;
   const bool cancelled = found.phase == JobPhase::kCancelled;
-  const bool whole =
+  const bool complete =
       static_cast<int>(members.size()) == job->spec.shape.members;
   job->phase = cancelled ? JobPhase::kRunning : found.phase;
-  if (whole && !cancelled) {
+  if (complete && !cancelled) {
     job->allocation = state_.guarantee_placement.AllocateAt(
         {job->spec.account, ""}, job->spec.shape, workers);
   }
   // The throttle of a gang with missing members must not be lifted. In phase
   // kRunning, adopting the gang does not lift it.
-  const JobPhase phase = whole && !cancelled ? found.phase : JobPhase::kRunning;
-  if (whole && found.saved_progress) {
+  const JobPhase phase =
+      complete && !cancelled ? found.phase : JobPhase::kRunning;
+  if (complete && found.saved_progress) {
     job->saved_run_time += *found.saved_progress;
     job->saved_progress += *found.saved_progress;
   }
   auto gang = std::make_unique<Gang>(found.gang_id, found.job,
                                      job->spec.account, std::move(members));
-  Gang& taken = *gang;
+  Gang& adopted = *gang;
   lifecycle_.TakeOver(std::move(gang), phase, found.ran_for, now,
                       &state_.actions);
   if (cancelled) {
-    lifecycle_.Stop(taken, kCancelled, GangEnd::kCancel, now, &state_.actions);
-  } else if (!whole) {
-    lifecycle_.Stop(taken, "found with part of its members", GangEnd::kRequeue,
-                    now, &state_.actions);
+    lifecycle_.Stop(adopted, kCancelled, GangEnd::kCancel, now,
+                    &state_.actions);
+  } else if (!complete) {
+    lifecycle_.Stop(adopted, "found with part of its members",
+                    GangEnd::kRequeue, now, &state_.actions);
   }
 }
 
 void SchedulerCore::WorkerReported(WorkerIndex worker,
                                    const std::vector<LeaseReport>& leases,
-                                   Time asked_at, Time now) {
+                                   Time requested_at, Time now) {
   const int before = state_.cluster.unheld(worker);
   const int untracked_held =
       lifecycle_.ApplyWorkerReport(worker, state_.cluster.info(worker).name,
-                                   leases, asked_at, now, &state_.actions);
+                                   leases, requested_at, now, &state_.actions);
   state_.cluster.SetUntrackedHeld(worker, untracked_held);
   if (state_.cluster.unheld(worker) > before) dirty_ = true;
 }
@@ -221,7 +223,7 @@
   if (!job || !gang.started_at) return;
   const std::optional<Duration> progress = gang.MinSavedProgress();
   job->saved_run_time +=
-      progress.value_or(gang.checkpoint_asked_at - *gang.started_at);
+      progress.value_or(gang.checkpoint_requested_at - *gang.started_at);
   job->saved_progress += progress.value_or(Duration::zero());
 }
 
--- a/src/libs/scheduling/scheduler_core.h
+++ b/src/libs/scheduling/scheduler_core.h
@@ -31,7 +31,7 @@
   void Cancel(const std::string& id, Time now);
   void Adopt(const AdoptedGang& found, Time now);
   void WorkerReported(WorkerIndex worker,
-                      const std::vector<LeaseReport>& leases, Time asked_at,
+                      const std::vector<LeaseReport>& leases, Time requested_at,
                       Time now);
   void MemberResult(Gang& gang, int member, MemberOutcome outcome,
                     const std::string& reason, Time now);
--- a/src/libs/scheduling/scheduler_maintenance.cc
+++ b/src/libs/scheduling/scheduler_maintenance.cc
@@ -257,9 +257,9 @@
 void SchedulerCore::ReportShortfalls() {
   using Subject = ReportShortfall::Subject;
   ClearStaleReports();
-  const bool whole = state_.guarantee_placement.IsComplete();
-  if (whole && !has_reported_shortfall_) return;
-  has_reported_shortfall_ = !whole;
+  const bool complete = state_.guarantee_placement.IsComplete();
+  if (complete && !has_reported_shortfall_) return;
+  has_reported_shortfall_ = !complete;
   for (const auto& entry : state_.accounts) {
     if (entry.second.shapes.empty()) continue;
     ReportIfChanged(Subject::kAccount, entry.first,
--- a/tests/auto/scheduling/scheduling_fixtures.h
+++ b/tests/auto/scheduling/scheduling_fixtures.h
@@ -64,7 +64,7 @@
 }
 
 // Reports `outcome` for every member of `grant`. Returns all resulting actions.
-inline SchedulerActions ConfirmAll(
+inline SchedulerActions ReportMembers(
     JobScheduler& scheduler, const GrantGang& grant, Time now,
     MemberOutcome outcome = MemberOutcome::kConfirmed) {
   SchedulerActions all;
--- a/tests/auto/scheduling/tst_gang_lifecycle.cc
+++ b/tests/auto/scheduling/tst_gang_lifecycle.cc
@@ -79,7 +79,7 @@
   t.Result(1, MemberOutcome::kGone, 3);
   t.scheduler.Tick(At(9));
   REQUIRE(t.scheduler.job("j")->gang_id != first.gang_id);
-  CHECK(ConfirmAll(t.scheduler, first, At(10)).empty());
+  CHECK(ReportMembers(t.scheduler, first, At(10)).empty());
   CHECK(t.phase() == JobPhase::kStarting);
 }
 
@@ -93,7 +93,7 @@
 
 TEST_CASE("a lost worker's lease counts as held until it lapses") {
   GrantedGang t;
-  ConfirmAll(t.scheduler, t.grant, At(2));
+  ReportMembers(t.scheduler, t.grant, At(2));
   const SchedulerActions lost =
       t.scheduler.WorkerLost(t.grant.members[0].worker, At(20), At(3));
   CHECK(ActionsOfType<StopGang>(lost).size() == 1);
@@ -125,7 +125,7 @@
     "a lease report requested before the grant was confirmed does not make "
     "the member count as lost") {
   GrantedGang t;
-  ConfirmAll(t.scheduler, t.grant, At(5));
+  ReportMembers(t.scheduler, t.grant, At(5));
   const std::string worker = t.grant.members[0].worker;
   t.scheduler.WorkerReported(worker, {}, At(4), At(6));
   CHECK(t.phase() == JobPhase::kRunning);
@@ -135,7 +135,7 @@
 
 TEST_CASE("a job finishes once all members have finished") {
   GrantedGang t;
-  ConfirmAll(t.scheduler, t.grant, At(5));
+  ReportMembers(t.scheduler, t.grant, At(5));
   t.Result(0, MemberOutcome::kFinished, 50);
   CHECK(t.phase() == JobPhase::kRunning);
   const SchedulerActions done = t.Result(1, MemberOutcome::kFinished, 60);
--- a/tests/auto/scheduling/tst_large_jobs_and_events.cc
+++ b/tests/auto/scheduling/tst_large_jobs_and_events.cc
@@ -30,10 +30,10 @@
       if (const auto* grant = std::get_if<GrantGang>(&action)) {
         grants[grant->job] = *grant;
         ++attempts[grant->job];
-        more = ConfirmAll(scheduler, *grant, now);
+        more = ReportMembers(scheduler, *grant, now);
       } else if (const auto* stop = std::get_if<StopGang>(&action)) {
-        more =
-            ConfirmAll(scheduler, grants[stop->job], now, MemberOutcome::kGone);
+        more = ReportMembers(scheduler, grants[stop->job], now,
+                             MemberOutcome::kGone);
       } else if (const auto* save = std::get_if<CheckpointGang>(&action)) {
         if (!checkpoints_hang) {
           more = scheduler.CheckpointDone(save->job, save->gang_id, now);
@@ -49,7 +49,7 @@
   }
   void Tick(int second) { CarryOut(scheduler.Tick(At(second)), At(second)); }
   void End(const std::string& job, int second, MemberOutcome outcome) {
-    CarryOut(ConfirmAll(scheduler, grants[job], At(second), outcome),
+    CarryOut(ReportMembers(scheduler, grants[job], At(second), outcome),
              At(second));
   }
   bool Runs(const std::string& job) const {
@@ -92,8 +92,8 @@
     t.Tick(second);
     if (t.Runs("large")) started = second;
   }
-  // The wait bound of 60 s, and 40 s for the first start of the reservation and
-  // each of its 3 allowed delays.
+  // The wait bound of 60 s, then 40 s, the longest run time of a small job, for
+  // the first start of the reservation and for each of its 3 allowed delays.
   CHECK(started > 0);
   CHECK(started <= 60 + 4 * 40);
 }
--- a/tests/auto/state/tst_job_snapshot.cc
+++ b/tests/auto/state/tst_job_snapshot.cc
@@ -25,15 +25,17 @@
 };
 
 TruncatedLog TruncateWithSnapshot(int64_t covers, int64_t first) {
-  const std::vector<LogRecord> whole = SampleLog();
-  const JobStreamFold until = FoldAll(
-      {whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(covers)});
+  const std::vector<LogRecord> full_log = SampleLog();
+  const JobStreamFold until =
+      FoldAll({full_log.begin(),
+               full_log.begin() + static_cast<std::ptrdiff_t>(covers)});
   std::vector<JobStreamRecord> parts;
   for (const auto& part : until.MakeSnapshot("snap", 1)) parts.push_back(part);
   TruncatedLog cut{
-      {whole.begin() + static_cast<std::ptrdiff_t>(first), whole.end()}, first};
+      {full_log.begin() + static_cast<std::ptrdiff_t>(first), full_log.end()},
+      first};
   for (const LogRecord& record :
-       ToLog(parts, static_cast<int64_t>(whole.size()))) {
+       ToLog(parts, static_cast<int64_t>(full_log.size()))) {
     cut.log.push_back(record);
   }
   return cut;
@@ -53,7 +55,7 @@
       {"the log contains records that the snapshot covers", 7, 3, true},
       {"records after the snapshot are missing", 3, 5, false},
   };
-  const Json whole = StateOf(FoldAll(SampleLog()));
+  const Json expected = StateOf(FoldAll(SampleLog()));
   for (const TruncationCase& one : cases) {
     CAPTURE(one.name);
     const TruncatedLog cut = TruncateWithSnapshot(one.covers, one.first);
@@ -62,7 +64,7 @@
     CHECK_FALSE(fold.complete());
     for (const LogRecord& record : cut.log) fold.Fold(record);
     CHECK(fold.complete() == one.complete);
-    if (one.complete) CHECK(StateOf(fold) == whole);
+    if (one.complete) CHECK(StateOf(fold) == expected);
   }
 }
 
