--- a/benchmarks/bench_recovery.cc
+++ b/benchmarks/bench_recovery.cc
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "state/job_stream_fold.h"
+#include "state/job_stream_state.h"
 
 namespace thornplank {
 namespace {
@@ -53,19 +53,19 @@
   return texts;
 }
 
-std::unique_ptr<JobStreamFold> FoldTexts(const Texts& texts, int64_t offset) {
-  auto fold = std::make_unique<JobStreamFold>(JobRetention{});
+std::unique_ptr<JobStreamState> FoldTexts(const Texts& texts, int64_t offset) {
+  auto fold = std::make_unique<JobStreamState>(JobRetention{});
   fold->SkipLostRecords(offset);
   for (const std::string& text : texts) {
     const std::optional<Json> data = ParseJson(text);
     if (!data) continue;
-    fold->Fold({offset, {}, "r" + std::to_string(offset), *data});
+    fold->Apply({offset, {}, "r" + std::to_string(offset), *data});
     ++offset;
   }
   return fold;
 }
 
-Texts SnapshotOf(const JobStreamFold& fold) {
+Texts SnapshotOf(const JobStreamState& fold) {
   Texts texts;
   for (const auto& part : fold.MakeSnapshot("s", kJobsPerPart)) {
     Add(part, &texts);
--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -109,7 +109,7 @@
   Handle(executor_.CallDone(call, report, refusal, reason, now), now);
 }
 
-void Coordinator::Advance(const JobStreamFold& fold, Time now,
+void Coordinator::Advance(const JobStreamState& fold, Time now,
                           WallTime wall_now) {
   if (!planning_) {
     if (!TakeoverDone(now)) return;
@@ -149,7 +149,7 @@
                      });
 }
 
-void Coordinator::TakeOver(const JobStreamFold& fold, Time now,
+void Coordinator::TakeOver(const JobStreamState& fold, Time now,
                            WallTime wall_now) {
   planning_ = true;
   Carry(scheduler_.SetWorkers(inputs_.workers, now), now);
@@ -219,7 +219,7 @@
 // A worker that has not answered may still run what the stream placed there:
 // its members count as found, and are lost only when the worker is. A gang that
 // was being started must not be lifted on that guess: it is stopped.
-void Coordinator::AddUnheardMembers(const JobStreamFold& fold, Time now,
+void Coordinator::AddUnheardMembers(const JobStreamState& fold, Time now,
                                     std::map<std::string, AdoptedGang>* gangs) {
   for (const auto& [id, entry] : fold.jobs().jobs()) {
     if (IsFinal(entry.phase) || entry.gang_id.empty()) continue;
@@ -247,7 +247,7 @@
 
 // The workers know better than the stream whether a gang was started; the
 // stream knows better what its job was to become.
-void Coordinator::SettlePhase(const JobStreamFold& fold, WallTime wall_now,
+void Coordinator::SettlePhase(const JobStreamState& fold, WallTime wall_now,
                               AdoptedGang* gang) const {
   const JobEntry* entry = fold.jobs().Find(gang->job);
   if (entry == nullptr) return;
--- a/src/libs/jobs/coordinator.h
+++ b/src/libs/jobs/coordinator.h
@@ -21,7 +21,7 @@
 #include "jobs/job_manager_settings.h"
 #include "jobs/worker_call.h"
 #include "scheduling/job_scheduler.h"
-#include "state/job_stream_fold.h"
+#include "state/job_stream_state.h"
 
 namespace thornplank {
 
@@ -51,7 +51,7 @@
   // Ends the takeover when every worker was heard or the time is up, from the
   // fold as it stands; then places what fits. `wall_now` belongs to the same
   // moment as `now`.
-  void Advance(const JobStreamFold& fold, Time now, WallTime wall_now);
+  void Advance(const JobStreamState& fold, Time now, WallTime wall_now);
 
   // What to send now, each once.
   std::vector<WorkerCall> TakeCalls(Time now);
@@ -76,11 +76,11 @@
   };
 
   bool TakeoverDone(Time now) const;
-  void TakeOver(const JobStreamFold& fold, Time now, WallTime wall_now);
+  void TakeOver(const JobStreamState& fold, Time now, WallTime wall_now);
   std::map<std::string, AdoptedGang> FindGangs(Time now);
-  void AddUnheardMembers(const JobStreamFold& fold, Time now,
+  void AddUnheardMembers(const JobStreamState& fold, Time now,
                          std::map<std::string, AdoptedGang>* gangs);
-  void SettlePhase(const JobStreamFold& fold, WallTime wall_now,
+  void SettlePhase(const JobStreamState& fold, WallTime wall_now,
                    AdoptedGang* gang) const;
   std::optional<Duration> UncountedProgress(const JobEntry& entry,
                                             const AdoptedGang& gang) const;
--- a/src/libs/jobs/job_manager_access.cc
+++ b/src/libs/jobs/job_manager_access.cc
@@ -250,7 +250,8 @@
     const bool restored = fold_.Restore(parts);
     from_peer_ = fold_.complete();
     if (!restored) return true;
-    HandleChange({FoldChange::Kind::kRestored, ""}, Clock::now(), &answers);
+    HandleChange({JobStreamChange::Kind::kRestored, ""}, Clock::now(),
+                 &answers);
   }
   for (const auto& answer : answers) answer();
   return true;
--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -173,7 +173,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     const Time now = Clock::now();
     if (IsOwnRecord(record.id)) log_health_.OnOwnRecord(now);
-    HandleChange(fold_.Fold(record), now, &answers);
+    HandleChange(fold_.Apply(record), now, &answers);
   }
   for (const auto& answer : answers) answer();
   SchedulePump();
@@ -186,28 +186,28 @@
   if (!fold_.complete() && coordinator_) StepDown("records were lost unread");
 }
 
-void JobManager::Impl::HandleChange(const FoldChange& change, Time now,
+void JobManager::Impl::HandleChange(const JobStreamChange& change, Time now,
                                     JobWaiters::Answers* answers) {
   switch (change.kind) {
-    case FoldChange::Kind::kNone:
+    case JobStreamChange::Kind::kNone:
       return;
-    case FoldChange::Kind::kSubmitted:
+    case JobStreamChange::Kind::kSubmitted:
       held_.erase(change.job);
       if (coordinator_) {
         coordinator_->Submit(*fold_.jobs().Find(change.job), now);
       }
       break;
-    case FoldChange::Kind::kCancelled:
+    case JobStreamChange::Kind::kCancelled:
       if (coordinator_) coordinator_->Cancel(change.job, now);
       break;
-    case FoldChange::Kind::kPlaced:
-    case FoldChange::Kind::kPhase:
+    case JobStreamChange::Kind::kPlaced:
+    case JobStreamChange::Kind::kPhase:
       break;
-    case FoldChange::Kind::kEpoch:
-    case FoldChange::Kind::kResigned:
+    case JobStreamChange::Kind::kEpoch:
+    case JobStreamChange::Kind::kResigned:
       EpochMoved(now);
       return;
-    case FoldChange::Kind::kRestored:
+    case JobStreamChange::Kind::kRestored:
       // Whatever was planned with is out of date.
       if (coordinator_) StepDown("the fold was replaced");
       EpochMoved(now);
--- a/src/libs/jobs/job_manager_impl.h
+++ b/src/libs/jobs/job_manager_impl.h
@@ -87,7 +87,7 @@
 
   void OnRecord(const LogRecord& record);
   void OnGap(int64_t from, int64_t first_kept);
-  void HandleChange(const FoldChange& change, Time now,
+  void HandleChange(const JobStreamChange& change, Time now,
                     JobWaiters::Answers* answers);
   void EpochMoved(Time now);
   void StepDown(const std::string& why);
@@ -149,7 +149,7 @@
   // Guards everything below. Nothing is sent, and no callback runs, with it
   // held.
   mutable std::mutex mutex_;
-  JobStreamFold fold_;
+  JobStreamState fold_;
   CoordinatorElection election_;
   // Set exactly while this entry holds the newest epoch it knows of and has
   // not stepped down from it.
--- a/src/libs/state/job_stream_fold.cc
+++ b/src/libs/state/job_stream_state.cc
@@ -1,5 +1,5 @@
 // Folds the job stream in log order.
-#include "state/job_stream_fold.h"
+#include "state/job_stream_state.h"
 
 #include <algorithm>
 #include <optional>
@@ -7,7 +7,7 @@
 
 namespace thornplank {
 
-using Kind = FoldChange::Kind;
+using Kind = JobStreamChange::Kind;
 
 namespace {
 
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-JobStreamFold::JobStreamFold(JobRetention retention)
+JobStreamState::JobStreamState(JobRetention retention)
     : retention_(retention), jobs_(retention) {}
 
-FoldChange JobStreamFold::Fold(const LogRecord& record) {
+JobStreamChange JobStreamState::Apply(const LogRecord& record) {
   if (record.offset < next_offset_) return {};
   next_offset_ = record.offset + 1;
   if (!RememberId(record.id)) return {};
@@ -31,10 +31,10 @@
     return {};
   }
   if (!typed) return {};
-  return Apply(record, *typed);
+  return ApplyTyped(record, *typed);
 }
 
-void JobStreamFold::SkipLostRecords(int64_t first_kept) {
+void JobStreamState::SkipLostRecords(int64_t first_kept) {
   if (first_kept <= next_offset_) return;
   complete_ = false;
   pending_records_.clear();
@@ -43,7 +43,7 @@
   collector_.Clear();
 }
 
-bool JobStreamFold::Restore(const std::vector<SnapshotPartRecord>& parts) {
+bool JobStreamState::Restore(const std::vector<SnapshotPartRecord>& parts) {
   if (parts.empty()) return false;
   const int64_t covers = parts.front().covers;
   if (complete_ && covers <= next_offset_) return false;
@@ -53,14 +53,14 @@
   return true;
 }
 
-std::vector<SnapshotPartRecord> JobStreamFold::MakeSnapshot(
+std::vector<SnapshotPartRecord> JobStreamState::MakeSnapshot(
     const std::string& snapshot_id, size_t jobs_per_part) const {
   if (!complete_) return {};
   return MakeJobSnapshot(snapshot_id, next_offset_, jobs_, epochs_,
                          jobs_per_part);
 }
 
-bool JobStreamFold::RememberId(const std::string& id) {
+bool JobStreamState::RememberId(const std::string& id) {
   if (!ids_.insert(id).second) return false;
   id_order_.push_back(id);
   if (id_order_.size() > kMaxRememberedIds) {
@@ -70,10 +70,10 @@
   return true;
 }
 
-FoldChange JobStreamFold::Apply(const LogRecord& record,
-                                const JobStreamRecord& typed) {
+JobStreamChange JobStreamState::ApplyTyped(const LogRecord& record,
+                                           const JobStreamRecord& typed) {
   const auto change = [](bool changed, Kind kind, const std::string& job) {
-    return changed ? FoldChange{kind, job} : FoldChange{};
+    return changed ? JobStreamChange{kind, job} : JobStreamChange{};
   };
   if (const auto* submitted = std::get_if<SubmittedRecord>(&typed)) {
     return change(jobs_.Submit(*submitted, record.offset, record.time),
@@ -102,7 +102,8 @@
   return {};
 }
 
-FoldChange JobStreamFold::AddSnapshotPart(const SnapshotPartRecord& part) {
+JobStreamChange JobStreamState::AddSnapshotPart(
+    const SnapshotPartRecord& part) {
   const auto parts = collector_.Add(part);
   if (!parts) return {};
   if (complete_) {
@@ -115,7 +116,7 @@
   return {Kind::kRestored, ""};
 }
 
-bool JobStreamFold::InstallSnapshot(
+bool JobStreamState::InstallSnapshot(
     const std::vector<SnapshotPartRecord>& parts) {
   JobTable jobs(retention_);
   EpochTable epochs;
@@ -129,7 +130,7 @@
   for (const LogRecord& record : tail) {
     if (record.offset < covers) continue;
     const std::optional<JobStreamRecord> typed = DecodeJobRecord(record.data);
-    if (typed) Apply(record, *typed);
+    if (typed) ApplyTyped(record, *typed);
   }
   return true;
 }
--- a/src/libs/state/job_stream_fold.h
+++ b/src/libs/state/job_stream_state.h
@@ -10,8 +10,8 @@
 // repetition. The tables themselves ignore repeats of records that their
 // writers had folded before writing, so that snapshots need not contain the
 // ids.
-#ifndef THORNPLANK_STATE_JOB_STREAM_FOLD_H_
-#define THORNPLANK_STATE_JOB_STREAM_FOLD_H_
+#ifndef THORNPLANK_STATE_JOB_STREAM_STATE_H_
+#define THORNPLANK_STATE_JOB_STREAM_STATE_H_
 
 #include <cstdint>
 #include <deque>
@@ -27,7 +27,7 @@
 namespace thornplank {
 
 // The change made by one record.
-struct FoldChange {
+struct JobStreamChange {
   enum class Kind {
     // No change: the record is a repeat, of unknown type, out of date, or was
     // buffered.
@@ -46,13 +46,13 @@
   std::string job;
 };
 
-class JobStreamFold {
+class JobStreamState {
  public:
-  explicit JobStreamFold(JobRetention retention);
+  explicit JobStreamState(JobRetention retention);
 
   // Records must come in the order of their offsets. A record with an offset
   // below next_offset() is ignored as a repeat.
-  FoldChange Fold(const LogRecord& record);
+  JobStreamChange Apply(const LogRecord& record);
   // To be called when the records before `first_kept` are gone from the log and
   // were not all read. The fold is incomplete after that.
   void SkipLostRecords(int64_t first_kept);
@@ -78,8 +78,9 @@
  private:
   // Returns false if the id is already remembered.
   bool RememberId(const std::string& id);
-  FoldChange Apply(const LogRecord& record, const JobStreamRecord& typed);
-  FoldChange AddSnapshotPart(const SnapshotPartRecord& part);
+  JobStreamChange ApplyTyped(const LogRecord& record,
+                             const JobStreamRecord& typed);
+  JobStreamChange AddSnapshotPart(const SnapshotPartRecord& part);
   bool InstallSnapshot(const std::vector<SnapshotPartRecord>& parts);
 
   JobRetention retention_;
@@ -101,4 +102,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_STATE_JOB_STREAM_FOLD_H_
+#endif  // THORNPLANK_STATE_JOB_STREAM_STATE_H_
--- a/tests/auto/jobs/tst_coordinator.cc
+++ b/tests/auto/jobs/tst_coordinator.cc
@@ -38,12 +38,12 @@
     entry.time = FromUnixMilliseconds(wall_ms);
     entry.id = std::to_string(entry.offset);
     entry.data = EncodeJobRecord(record);
-    const FoldChange change = fold.Fold(entry);
+    const JobStreamChange change = fold.Apply(entry);
     if (!coordinator) return;
-    if (change.kind == FoldChange::Kind::kSubmitted) {
+    if (change.kind == JobStreamChange::Kind::kSubmitted) {
       coordinator->Submit(*fold.jobs().Find(change.job), now);
     }
-    if (change.kind == FoldChange::Kind::kCancelled) {
+    if (change.kind == JobStreamChange::Kind::kCancelled) {
       coordinator->Cancel(change.job, now);
     }
   }
@@ -79,7 +79,7 @@
 
   PlanningInputs inputs;
   FakeWorkers fake;
-  JobStreamFold fold;
+  JobStreamState fold;
   std::unique_ptr<Coordinator> coordinator;
   Time now{std::chrono::hours(1)};
   int64_t wall_ms = 1000000;
--- a/tests/auto/state/fold_harness.h
+++ b/tests/auto/state/job_stream_fixtures.h
@@ -1,11 +1,11 @@
 // Builds records and streams of jobs for tests of their fold.
-#ifndef THORNPLANK_TESTS_STATE_FOLD_HARNESS_H_
-#define THORNPLANK_TESTS_STATE_FOLD_HARNESS_H_
+#ifndef THORNPLANK_TESTS_STATE_JOB_STREAM_FIXTURES_H_
+#define THORNPLANK_TESTS_STATE_JOB_STREAM_FIXTURES_H_
 
 #include <string>
 #include <vector>
 
-#include "state/job_stream_fold.h"
+#include "state/job_stream_state.h"
 
 namespace thornplank {
 
@@ -55,15 +55,15 @@
   return log;
 }
 
-inline JobStreamFold FoldAll(const std::vector<LogRecord>& log) {
-  JobStreamFold fold{JobRetention{}};
-  for (const LogRecord& record : log) fold.Fold(record);
+inline JobStreamState FoldAll(const std::vector<LogRecord>& log) {
+  JobStreamState fold{JobRetention{}};
+  for (const LogRecord& record : log) fold.Apply(record);
   return fold;
 }
 
 // The complete state of a fold as one value, for comparison. The order of
 // arrival is omitted, since repeated records shift offsets.
-inline Json StateOf(const JobStreamFold& fold) {
+inline Json StateOf(const JobStreamState& fold) {
   Json content = Json::array();
   for (const SnapshotPartRecord& part : fold.MakeSnapshot("s", 1000)) {
     content.push_back(part.content);
@@ -76,4 +76,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_TESTS_STATE_FOLD_HARNESS_H_
+#endif  // THORNPLANK_TESTS_STATE_JOB_STREAM_FIXTURES_H_
--- a/tests/auto/state/tst_job_snapshot.cc
+++ b/tests/auto/state/tst_job_snapshot.cc
@@ -4,7 +4,7 @@
 
 #include <rapidcheck.h>
 
-#include "fold_harness.h"
+#include "job_stream_fixtures.h"
 
 namespace thornplank {
 namespace {
@@ -26,7 +26,7 @@
 
 TruncatedLog TruncateWithSnapshot(int64_t covers, int64_t first) {
   const std::vector<LogRecord> full_log = SampleLog();
-  const JobStreamFold until =
+  const JobStreamState until =
       FoldAll({full_log.begin(),
                full_log.begin() + static_cast<std::ptrdiff_t>(covers)});
   std::vector<JobStreamRecord> parts;
@@ -59,10 +59,10 @@
   for (const TruncationCase& one : cases) {
     CAPTURE(one.name);
     const TruncatedLog cut = TruncateWithSnapshot(one.covers, one.first);
-    JobStreamFold fold{JobRetention{}};
+    JobStreamState fold{JobRetention{}};
     fold.SkipLostRecords(cut.first);
     CHECK_FALSE(fold.complete());
-    for (const LogRecord& record : cut.log) fold.Fold(record);
+    for (const LogRecord& record : cut.log) fold.Apply(record);
     CHECK(fold.complete() == one.complete);
     if (one.complete) CHECK(StateOf(fold) == expected);
   }
@@ -70,9 +70,9 @@
 
 TEST_CASE("a snapshot that covers less than what is folded changes nothing") {
   const std::vector<LogRecord> log = SampleLog();
-  const JobStreamFold early = FoldAll({log.begin(), log.begin() + 4});
-  const JobStreamFold late = FoldAll(log);
-  JobStreamFold fold = FoldAll({log.begin(), log.begin() + 6});
+  const JobStreamState early = FoldAll({log.begin(), log.begin() + 4});
+  const JobStreamState late = FoldAll(log);
+  JobStreamState fold = FoldAll({log.begin(), log.begin() + 6});
   const Json before = StateOf(fold);
   CHECK_FALSE(fold.Restore(early.MakeSnapshot("peer", 2)));
   CHECK(StateOf(fold) == before);
@@ -80,13 +80,13 @@
   CHECK(StateOf(fold) == StateOf(late));
   CHECK(fold.next_offset() == 10);
   // Records of the stream that the snapshot covers are ignored.
-  CHECK(fold.Fold(log[7]).kind == FoldChange::Kind::kNone);
+  CHECK(fold.Apply(log[7]).kind == JobStreamChange::Kind::kNone);
 }
 
 TEST_CASE(
     "a complete fold only records the offset of a snapshot in the stream") {
   TruncatedLog cut = TruncateWithSnapshot(5, 0);
-  const JobStreamFold fold = FoldAll(cut.log);
+  const JobStreamState fold = FoldAll(cut.log);
   CHECK(fold.newest_snapshot_end() == 5);
   CHECK(StateOf(fold) == StateOf(FoldAll(SampleLog())));
 }
@@ -94,9 +94,9 @@
 TEST_CASE("an incomplete snapshot is not used") {
   TruncatedLog cut = TruncateWithSnapshot(5, 5);
   cut.log.pop_back();
-  JobStreamFold fold{JobRetention{}};
+  JobStreamState fold{JobRetention{}};
   fold.SkipLostRecords(cut.first);
-  for (const LogRecord& record : cut.log) fold.Fold(record);
+  for (const LogRecord& record : cut.log) fold.Apply(record);
   CHECK_FALSE(fold.complete());
   CHECK(fold.MakeSnapshot("x", 10).empty());
 }
@@ -166,12 +166,12 @@
     const auto log = ToLog(RandomRecords());
     const auto cut = static_cast<std::ptrdiff_t>(
         *rc::gen::inRange<size_t>(0, log.size() + 1));
-    JobStreamFold fold{JobRetention{}};
+    JobStreamState fold{JobRetention{}};
     fold.SkipLostRecords(cut);
     fold.Restore(
         FoldAll({log.begin(), log.begin() + cut}).MakeSnapshot("s", 1));
     for (auto record = log.begin() + cut; record != log.end(); ++record) {
-      fold.Fold(*record);
+      fold.Apply(*record);
     }
     RC_ASSERT(fold.complete());
     const bool same = StateOf(fold) == StateOf(FoldAll(log));
--- a/tests/auto/state/tst_job_stream_fold.cc
+++ b/tests/auto/state/tst_job_stream_state.cc
@@ -2,7 +2,7 @@
 // ignored.
 #include <doctest/doctest.h>
 
-#include "fold_harness.h"
+#include "job_stream_fixtures.h"
 
 namespace thornplank {
 namespace {
@@ -77,7 +77,7 @@
   };
   for (const FoldCase& one : cases) {
     CAPTURE(one.name);
-    const JobStreamFold fold = FoldAll(ToLog(one.records));
+    const JobStreamState fold = FoldAll(ToLog(one.records));
     const JobEntry* entry = fold.jobs().Find("a");
     REQUIRE(entry != nullptr);
     CHECK(entry->phase == one.phase);
@@ -122,9 +122,9 @@
     CAPTURE(one.name);
     std::vector<JobStreamRecord> records = stopped;
     records.insert(records.end(), one.records.begin(), one.records.end());
-    const JobStreamFold fold = FoldAll(ToLog(records));
+    const JobStreamState fold = FoldAll(ToLog(records));
     CHECK(fold.jobs().Find("a")->progress == Milliseconds(one.progress_ms));
-    JobStreamFold restored{JobRetention{}};
+    JobStreamState restored{JobRetention{}};
     REQUIRE(restored.Restore(fold.MakeSnapshot("s", 1)));
     CHECK(restored.jobs().Find("a")->progress == Milliseconds(one.progress_ms));
   }
@@ -141,7 +141,7 @@
   for (SnapshotPartRecord& part : parts) {
     for (Json& job : part.content["jobs"]) job.erase("progress_ms");
   }
-  JobStreamFold restored{JobRetention{}};
+  JobStreamState restored{JobRetention{}};
   REQUIRE(restored.Restore(parts));
   CHECK(restored.jobs().Find("a")->progress == Milliseconds(0));
 }
@@ -173,7 +173,7 @@
   };
   for (const EpochCase& one : cases) {
     CAPTURE(one.name);
-    const JobStreamFold fold = FoldAll(ToLog(one.records));
+    const JobStreamState fold = FoldAll(ToLog(one.records));
     CHECK(fold.epochs().current() == one.expected);
   }
 }
@@ -181,22 +181,22 @@
 TEST_CASE("a job id is accepted only once") {
   JobRetention retention;
   retention.max_final_jobs = 1;
-  JobStreamFold fold(retention);
+  JobStreamState fold(retention);
   for (const LogRecord& record :
        ToLog({MakeSubmitted("a"), MakeSubmitted("b"), MakeCancelled("a"),
               MakeCancelled("b")})) {
-    fold.Fold(record);
+    fold.Apply(record);
   }
   CHECK(fold.jobs().Find("a") == nullptr);
   CHECK(fold.jobs().Find("b") != nullptr);
   SUBCASE("after its entry was dropped") {
-    fold.Fold(ToLog({MakeSubmitted("a")}, 4)[0]);
+    fold.Apply(ToLog({MakeSubmitted("a")}, 4)[0]);
     CHECK(fold.jobs().Find("a") == nullptr);
   }
   SUBCASE("when its cancellation came first") {
     for (const LogRecord& record :
          ToLog({MakeCancelled("c"), MakeSubmitted("c")}, 4)) {
-      fold.Fold(record);
+      fold.Apply(record);
     }
     CHECK(fold.jobs().Find("c") == nullptr);
   }
@@ -205,19 +205,19 @@
 TEST_CASE("final jobs are dropped by their age in the time of the log") {
   JobRetention retention;
   retention.max_final_age = Milliseconds(1000);
-  JobStreamFold fold(retention);
+  JobStreamState fold(retention);
   std::vector<LogRecord> log = ToLog({MakeSubmitted("a"), MakeCancelled("a"),
                                       MakeSubmitted("b"), MakeSubmitted("c")});
   log[2].time = FromUnixMilliseconds(2000);
   log[3].time = FromUnixMilliseconds(2001);
-  for (size_t i = 0; i < 3; ++i) fold.Fold(log[i]);
+  for (size_t i = 0; i < 3; ++i) fold.Apply(log[i]);
   CHECK(fold.jobs().Find("a") != nullptr);
-  fold.Fold(log[3]);
+  fold.Apply(log[3]);
   CHECK(fold.jobs().Find("a") == nullptr);
 }
 
 TEST_CASE("malformed and unknown records change nothing") {
-  JobStreamFold fold{JobRetention{}};
+  JobStreamState fold{JobRetention{}};
   int64_t offset = 0;
   for (const Json& data :
        {Json(), Json(7), Json{{"type", "later"}}, Json{{"type", "submitted"}},
@@ -226,7 +226,8 @@
         Json{{"type", "phase"}, {"phase", "odd"}},
         Json{{"type", "snapshot"}, {"part", 3}, {"parts", 1}}}) {
     const std::string id = std::to_string(offset);
-    CHECK(fold.Fold({offset++, {}, id, data}).kind == FoldChange::Kind::kNone);
+    CHECK(fold.Apply({offset++, {}, id, data}).kind ==
+          JobStreamChange::Kind::kNone);
   }
   CHECK(fold.jobs().jobs().empty());
   CHECK(fold.next_offset() == offset);
