--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -164,7 +164,7 @@
     mesh_.HandleNameClash(
         [this](const std::string& where) { OnNameClash(where); });
     tree_.AddReview(&review_);
-    tree_.HandleChange([this](const SettingsTree& tree) { OnTree(tree); });
+    tree_.AddChangeHandler([this](const SettingsTree& tree) { OnTree(tree); });
     tree_.SetFetchSnapshot([this](SettingsManager::SnapshotsCallback done) {
       FetchSettings(std::move(done));
     });
--- a/src/libs/admin/settings_manager.cc
+++ b/src/libs/admin/settings_manager.cc
@@ -206,7 +206,7 @@
   impl_->AddReview(review);
 }
 
-void SettingsManager::HandleChange(ChangeHandler handler) {
+void SettingsManager::AddChangeHandler(ChangeHandler handler) {
   impl_->HandleChange(std::move(handler));
 }
 
--- a/src/libs/admin/settings_manager.h
+++ b/src/libs/admin/settings_manager.h
@@ -92,7 +92,7 @@
   void AddReview(const SettingsReview* review);
   // Called in order, one at a time, after each folded batch that changed
   // something, and once when the settings become ready; never before that.
-  void HandleChange(ChangeHandler handler);
+  void AddChangeHandler(ChangeHandler handler);
   // Asked when the log gives no complete state.
   void SetFetchSnapshot(FetchSnapshot fetch);
 
--- a/tests/auto/admin/settings_fixture.h
+++ b/tests/auto/admin/settings_fixture.h
@@ -58,7 +58,7 @@
       : http_(io, HttpClientLimits()),
         log_(http_, log_address),
         manager_(io, log_, options) {
-    manager_.HandleChange([told = told_](const SettingsTree& tree) {
+    manager_.AddChangeHandler([told = told_](const SettingsTree& tree) {
       ++told->count;
       told->revision = tree.revision();
     });
--- a/tests/auto/admin/tst_settings_manager.cc
+++ b/tests/auto/admin/tst_settings_manager.cc
@@ -38,7 +38,7 @@
   SettingsFixture fixture;
   std::atomic<int64_t> told_last{0};
   const auto entry = fixture.MakeEntry(FastOptions("one"));
-  entry->manager().HandleChange([&told_last](const SettingsTree& tree) {
+  entry->manager().AddChangeHandler([&told_last](const SettingsTree& tree) {
     std::this_thread::sleep_for(Milliseconds(20));
     told_last = tree.revision();
   });
