--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -165,7 +165,7 @@
         [this](const std::string& where) { OnNameClash(where); });
     tree_.AddReview(&review_);
     tree_.AddChangeHandler([this](const SettingsTree& tree) { OnTree(tree); });
-    tree_.SetFetchSnapshot([this](SettingsManager::SnapshotsCallback done) {
+    tree_.SetSnapshotFetcher([this](SettingsManager::SnapshotsCallback done) {
       FetchSettings(std::move(done));
     });
     members_.AddSnapshot(kSettingsSnapshot,
--- a/src/libs/admin/settings_manager.cc
+++ b/src/libs/admin/settings_manager.cc
@@ -210,8 +210,8 @@
   impl_->HandleChange(std::move(handler));
 }
 
-void SettingsManager::SetFetchSnapshot(FetchSnapshot fetch) {
-  impl_->SetFetchSnapshot(std::move(fetch));
+void SettingsManager::SetSnapshotFetcher(SnapshotFetcher fetch) {
+  impl_->SetSnapshotFetcher(std::move(fetch));
 }
 
 void SettingsManager::Start() { impl_->Start(); }
--- a/src/libs/admin/settings_manager.h
+++ b/src/libs/admin/settings_manager.h
@@ -81,7 +81,7 @@
   using ChangeHandler = std::function<void(const SettingsTree&)>;
   // The snapshots of all peers that answered in time; the newest is taken.
   using SnapshotsCallback = std::function<void(std::vector<Json>)>;
-  using FetchSnapshot = std::function<void(SnapshotsCallback)>;
+  using SnapshotFetcher = std::function<void(SnapshotsCallback)>;
 
   SettingsManager(boost::asio::io_context& io, LogClient& log,
                   SettingsManagerOptions options);
@@ -94,7 +94,7 @@
   // something, and once when the settings become ready; never before that.
   void AddChangeHandler(ChangeHandler handler);
   // Asked when the log gives no complete state.
-  void SetFetchSnapshot(FetchSnapshot fetch);
+  void SetSnapshotFetcher(SnapshotFetcher fetch);
 
   void Start();
   // Answers what is pending and waits for a handler that is running; after it
--- a/src/libs/admin/settings_manager_impl.h
+++ b/src/libs/admin/settings_manager_impl.h
@@ -28,7 +28,7 @@
   void HandleChange(ChangeHandler handler) {
     handlers_.push_back(std::move(handler));
   }
-  void SetFetchSnapshot(FetchSnapshot fetch) { fetch_ = std::move(fetch); }
+  void SetSnapshotFetcher(SnapshotFetcher fetch) { fetch_ = std::move(fetch); }
 
   void Start();
   void Stop();
@@ -101,7 +101,7 @@
   // Set before Start, then only read.
   std::vector<const SettingsReview*> reviews_;
   std::vector<ChangeHandler> handlers_;
-  FetchSnapshot fetch_;
+  SnapshotFetcher fetch_;
   Time started_;
 
   // Used on the strand only.
--- a/tests/auto/admin/tst_settings_manager.cc
+++ b/tests/auto/admin/tst_settings_manager.cc
@@ -151,7 +151,7 @@
   fixture.log().SetDown(true);
   const auto entry = fixture.MakeEntry(FastOptions("one"));
   std::atomic<int> asked{0};
-  entry->manager().SetFetchSnapshot(
+  entry->manager().SetSnapshotFetcher(
       [&asked](const SettingsManager::SnapshotsCallback& callback) {
         ++asked;
         callback({});
@@ -177,7 +177,7 @@
   const Json new_snapshot = *peer->manager().Snapshot();
   fixture.log().SetDown(true);
   const auto entry = fixture.MakeEntry(FastOptions("new"));
-  entry->manager().SetFetchSnapshot(
+  entry->manager().SetSnapshotFetcher(
       [&](const SettingsManager::SnapshotsCallback& callback) {
         callback({old_snapshot, new_snapshot, old_snapshot});
       });
@@ -261,7 +261,7 @@
   const auto entry = fixture.MakeEntry(FastOptions("one"));
   std::atomic<bool> peers_answer{false};
   std::atomic<int> asked{0};
-  entry->manager().SetFetchSnapshot(
+  entry->manager().SetSnapshotFetcher(
       [&](const SettingsManager::SnapshotsCallback& callback) {
         ++asked;
         callback(peers_answer ? std::vector<Json>{snapshot}
