--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -262,7 +262,7 @@
   }
 
   Json Offsets() const {
-    return {{"settings", tree_.offset()},
+    return {{"settings", tree_.next_offset()},
             {"jobs", jobs_.jobs_offset()},
             {"claims", requests_.next_claims_offset()}};
   }
--- a/src/libs/admin/admin_api.cc
+++ b/src/libs/admin/admin_api.cc
@@ -31,7 +31,7 @@
                  int64_t version) {
   Json body = {{"path", change.path},
                {"version", version},
-               {"offset", settings.offset()}};
+               {"offset", settings.next_offset()}};
   if (change.kind == ChangeKind::kPut) {
     body["own"] = change.value;
     body["effective"] = ToJson(settings.tree()->Effective(change.path));
@@ -161,7 +161,7 @@
   view.own = caller.role != Role::kCaller;
   view.explain = view.own && request.query("explain") == "1";
   Json body = NodeJson(*tree, path, view);
-  body["offset"] = settings.offset();
+  body["offset"] = settings.next_offset();
   respond(VersionedResponse(200, body, tree->version(path)));
 }
 
--- a/src/libs/admin/settings_manager.cc
+++ b/src/libs/admin/settings_manager.cc
@@ -236,7 +236,7 @@
   return impl_->history(path);
 }
 
-int64_t SettingsManager::offset() const { return impl_->offset(); }
+int64_t SettingsManager::next_offset() const { return impl_->next_offset(); }
 
 bool SettingsManager::ready() const { return impl_->ready(); }
 
--- a/src/libs/admin/settings_manager.h
+++ b/src/libs/admin/settings_manager.h
@@ -117,7 +117,7 @@
   // Newest first.
   std::vector<HistoryEntry> history(const std::string& path) const;
   // All records of the stream before it are folded and in force here.
-  int64_t offset() const;
+  int64_t next_offset() const;
   // False until the whole stream or a peer's snapshot is folded, and while
   // records are missing. Never true on defaults alone.
   bool ready() const;
--- a/src/libs/admin/settings_manager_impl.cc
+++ b/src/libs/admin/settings_manager_impl.cc
@@ -263,7 +263,7 @@
   if (now < next_first_offset_read_ || !ready()) return;
   next_first_offset_read_ = now + options_.first_offset_interval;
   // Read at the end of the stream: only its bounds are wanted.
-  log_.Read(options_.stream, offset(), /*max_records=*/1, Duration::zero(),
+  log_.Read(options_.stream, next_offset(), /*max_records=*/1, Duration::zero(),
             options_.follower.timeout,
             [weak = weak_from_this()](std::optional<LogReadResult> result,
                                       const Error&) {
@@ -303,7 +303,7 @@
   return fold_.history().entries(path);
 }
 
-int64_t SettingsManager::Impl::offset() const {
+int64_t SettingsManager::Impl::next_offset() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return visible_.offset;
 }
--- a/src/libs/admin/settings_manager_impl.h
+++ b/src/libs/admin/settings_manager_impl.h
@@ -40,7 +40,7 @@
 
   std::shared_ptr<const SettingsTree> tree() const;
   std::vector<HistoryEntry> history(const std::string& path) const;
-  int64_t offset() const;
+  int64_t next_offset() const;
   bool ready() const;
   std::optional<Json> Snapshot() const;
 
--- a/tests/auto/admin/tst_settings_manager.cc
+++ b/tests/auto/admin/tst_settings_manager.cc
@@ -95,7 +95,7 @@
   CHECK(entry->Put("north", 1, Weight(5)).get().outcome ==
         WriteOutcome::kApplied);
   REQUIRE(WaitUntil([&] {
-    return entry->manager().offset() == fixture.log().next_offset();
+    return entry->manager().next_offset() == fixture.log().next_offset();
   }));
   CHECK(entry->weight("north") == 5);
   CHECK(entry->manager().tree()->revision() == 2);
@@ -117,8 +117,8 @@
   CHECK(result.retry_after.count() > 0);
   fixture.log().ReleaseHeld();
   REQUIRE(WaitUntil([&] {
-    return slow->manager().offset() == fixture.log().next_offset() &&
-           entry->manager().offset() == fixture.log().next_offset();
+    return slow->manager().next_offset() == fixture.log().next_offset() &&
+           entry->manager().next_offset() == fixture.log().next_offset();
   }));
   CHECK(slow->manager().tree()->own("north") == nullptr);
   CHECK(entry->manager().tree()->own("north") == nullptr);
