--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -302,17 +302,17 @@
     admin_.AddRoutes(router_);
     requests_.RegisterRoutes(router_);
     jobs_.RegisterRoutes(router_);
-    router_.AddOpen("GET", "/healthz", Answer([](const HttpRequest&) {
+    router_.AddPublic("GET", "/healthz", Answer([](const HttpRequest&) {
                       return JsonResponse(200, "{\"status\":\"up\"}\n");
                     }));
-    router_.AddOpen("GET", "/readyz", Answer([this](const HttpRequest&) {
+    router_.AddPublic("GET", "/readyz", Answer([this](const HttpRequest&) {
                       const std::string reason = NotReadyReason();
                       if (reason.empty()) {
                         return JsonResponse(200, "{\"ready\":true}\n");
                       }
                       return ProblemResponse(503, "not ready", reason);
                     }));
-    router_.AddOpen("GET", "/metrics", Answer([this](const HttpRequest&) {
+    router_.AddPublic("GET", "/metrics", Answer([this](const HttpRequest&) {
                       HttpResponse response;
                       response.headers.Set("Content-Type",
                                            "text/plain; version=0.0.4");
--- a/src/libs/api/api_router.cc
+++ b/src/libs/api/api_router.cc
@@ -112,7 +112,7 @@
       {method, SplitPath(pattern), false, least_role, std::move(handler)});
 }
 
-void ApiRouter::AddOpen(const std::string& method, const std::string& pattern,
+void ApiRouter::AddPublic(const std::string& method, const std::string& pattern,
                         Handler handler) {
   routes_.push_back(
       {method, SplitPath(pattern), true, Role::kCaller, std::move(handler)});
--- a/src/libs/api/api_router.h
+++ b/src/libs/api/api_router.h
@@ -58,7 +58,7 @@
   void Add(const std::string& method, const std::string& pattern,
            Role least_role, Handler handler);
   // Open routes need no token: /healthz, /readyz, /metrics.
-  void AddOpen(const std::string& method, const std::string& pattern,
+  void AddPublic(const std::string& method, const std::string& pattern,
                Handler handler);
 
   // Answers 401, 403, 404 or 405 itself.
--- a/tests/auto/api/tst_api_router.cc
+++ b/tests/auto/api/tst_api_router.cc
@@ -22,7 +22,7 @@
     }
     respond(HttpResponse());
   };
-  router.AddOpen("GET", "/healthz", record);
+  router.AddPublic("GET", "/healthz", record);
   router.Add("GET", "/v1/jobs/{id}", Role::kCaller, record);
   router.Add("GET", "/v1/settings/{path...}", Role::kViewer, record);
   router.Add("PUT", "/v1/settings/{path...}", Role::kOperator, record);
