--- a/src/app/thornplank_hosted/main.cc
+++ b/src/app/thornplank_hosted/main.cc
@@ -42,7 +42,7 @@
   Error error;
   if (!process.Start(&error)) {
     std::cerr << FLAGS_settings << ": " << error.ToString() << "\n";
-    return kExitWrongSettings;
+    return kExitInvalidSettings;
   }
   SettingsWatch watch(FLAGS_settings);
   boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
--- a/src/libs/settings/settings_program.h
+++ b/src/libs/settings/settings_program.h
@@ -13,7 +13,7 @@
 namespace thornplank {
 
 inline constexpr int kExitSettingsOk = 0;
-inline constexpr int kExitWrongSettings = 2;
+inline constexpr int kExitInvalidSettings = 2;
 
 // Reads the file `path` with `read` and hands it to `run`, or with `only_check`
 // says whether it is valid. Mistakes go to standard error, one line.
@@ -25,13 +25,13 @@
     const std::function<int(const Settings&)>& run) {
   if (path.empty()) {
     std::cerr << program << ": --settings=FILE is needed\n";
-    return kExitWrongSettings;
+    return kExitInvalidSettings;
   }
   Error error;
   const std::optional<Settings> settings = read(path, &error);
   if (!settings) {
     std::cerr << SettingsErrorLine(error) << "\n";
-    return kExitWrongSettings;
+    return kExitInvalidSettings;
   }
   if (only_check) {
     std::cout << path << ": ok\n";
