--- a/src/app/thornplank_hosted/main.cc
+++ b/src/app/thornplank_hosted/main.cc
@@ -14,8 +14,8 @@
 #include "logging/event_log.h"
 #include "logging/events/process_events.h"
 #include "settings/hosted_settings.h"
+#include "settings/settings_file_watcher.h"
 #include "settings/settings_program.h"
-#include "settings/settings_watch.h"
 
 DEFINE_string(settings, "", "settings file (JSON with comments)");
 DEFINE_bool(check, false, "checks the settings file and ends");
@@ -44,13 +44,13 @@
     std::cerr << FLAGS_settings << ": " << error.ToString() << "\n";
     return kExitInvalidSettings;
   }
-  SettingsWatch watch(FLAGS_settings);
+  SettingsFileWatcher watch(FLAGS_settings);
   boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
   std::function<void()> wait = [&] {
     signals.async_wait([&](const boost::system::error_code& code, int signal) {
       if (code) return;
       if (signal == SIGHUP) {
-        watch.Changed();
+        watch.CheckForChange();
         Reload(&process);
       } else {
         process.Stop([&io] { io.stop(); });
@@ -64,7 +64,7 @@
     look_timer.expires_after(kSettingsLook);
     look_timer.async_wait([&](const boost::system::error_code& code) {
       if (code) return;
-      if (watch.Changed()) Reload(&process);
+      if (watch.CheckForChange()) Reload(&process);
       look();
     });
   };
--- a/src/libs/settings/settings_watch.cc
+++ b/src/libs/settings/settings_file_watcher.cc
@@ -1,5 +1,5 @@
 // One stat() a look.
-#include "settings/settings_watch.h"
+#include "settings/settings_file_watcher.h"
 
 #include <sys/stat.h>
 
@@ -7,17 +7,17 @@
 
 namespace thornplank {
 
-SettingsWatch::SettingsWatch(std::string path)
+SettingsFileWatcher::SettingsFileWatcher(std::string path)
     : path_(std::move(path)), signature_(Signature()) {}
 
-bool SettingsWatch::Changed() {
+bool SettingsFileWatcher::CheckForChange() {
   std::string current = Signature();
   const bool changed = current != signature_;
   signature_ = std::move(current);
   return changed;
 }
 
-std::string SettingsWatch::Signature() const {
+std::string SettingsFileWatcher::Signature() const {
   struct stat status {};
   if (::stat(path_.c_str(), &status) != 0) return "";
   return std::to_string(status.st_ino) + " " + std::to_string(status.st_size) +
--- a/src/libs/settings/settings_watch.h
+++ b/src/libs/settings/settings_file_watcher.h
@@ -1,20 +1,20 @@
 // Notices that a settings file has changed, also without a signal.
-#ifndef THORNPLANK_SETTINGS_SETTINGS_WATCH_H_
-#define THORNPLANK_SETTINGS_SETTINGS_WATCH_H_
+#ifndef THORNPLANK_SETTINGS_SETTINGS_FILE_WATCHER_H_
+#define THORNPLANK_SETTINGS_SETTINGS_FILE_WATCHER_H_
 
 #include <string>
 
 namespace thornplank {
 
-class SettingsWatch {
+class SettingsFileWatcher {
  public:
   // The file as it is now counts as known.
-  explicit SettingsWatch(std::string path);
+  explicit SettingsFileWatcher(std::string path);
 
   // Whether the file differs from how the last call found it. Looks at its
   // inode, size and time of change, and reads nothing; an absent file is one of
   // its states.
-  bool Changed();
+  bool CheckForChange();
 
  private:
   std::string Signature() const;
@@ -25,4 +25,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_SETTINGS_SETTINGS_WATCH_H_
+#endif  // THORNPLANK_SETTINGS_SETTINGS_FILE_WATCHER_H_
--- a/tests/auto/settings/tst_hosted_settings.cc
+++ b/tests/auto/settings/tst_hosted_settings.cc
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "settings/hosted_settings.h"
+#include "settings/settings_file_watcher.h"
 #include "settings/settings_reader.h"
-#include "settings/settings_watch.h"
 
 namespace thornplank {
 namespace {
@@ -128,18 +128,18 @@
   const std::string path = "tst_hosted_settings_watch.json";
   const std::string other = path + ".new";
   WriteFile(path, "{}");
-  SettingsWatch watch(path);
-  CHECK_FALSE(watch.Changed());
+  SettingsFileWatcher watch(path);
+  CHECK_FALSE(watch.CheckForChange());
   WriteFile(path, "{ }");
-  CHECK(watch.Changed());
-  CHECK_FALSE(watch.Changed());
+  CHECK(watch.CheckForChange());
+  CHECK_FALSE(watch.CheckForChange());
   // As many tools write: another file takes its place, of the same size.
   WriteFile(other, "{ }");
   std::filesystem::rename(other, path);
-  CHECK(watch.Changed());
+  CHECK(watch.CheckForChange());
   std::filesystem::remove(path);
-  CHECK(watch.Changed());
-  CHECK_FALSE(watch.Changed());
+  CHECK(watch.CheckForChange());
+  CHECK_FALSE(watch.CheckForChange());
 }
 
 }  // namespace
