--- a/src/libs/admin/change_writer.cc
+++ b/src/libs/admin/change_writer.cc
@@ -78,7 +78,7 @@
 }
 
 void ChangeWriter::OnAppended(const std::string& id, AppendState state) {
-  // The verdict comes with the fold.
+  // The verdict comes with the replica.
   if (state == AppendState::kAppended) return;
   Done not_appended;
   std::string by;
@@ -107,11 +107,11 @@
                  [](AppendState, int64_t, const Error&) {});
 }
 
-ChangeWriter::Calls ChangeWriter::TakeDecided(const SettingsFold& fold) {
+ChangeWriter::Calls ChangeWriter::TakeDecided(const SettingsReplica& replica) {
   Calls calls;
   const std::lock_guard<std::mutex> lock(mutex_);
   for (auto it = pending_.begin(); it != pending_.end();) {
-    const std::optional<ChangeResult> result = fold.Decision(it->first);
+    const std::optional<ChangeResult> result = replica.Decision(it->first);
     if (!result) {
       ++it;
       continue;
--- a/src/libs/admin/change_writer.h
+++ b/src/libs/admin/change_writer.h
@@ -15,7 +15,7 @@
 
 #include "admin/settings_manager.h"
 #include "settings/settings_change.h"
-#include "settings/settings_fold.h"
+#include "settings/settings_replica.h"
 
 namespace thornplank {
 
@@ -46,7 +46,7 @@
   void Stop();
 
   // Takes out every change on which `fold` has a verdict.
-  Calls TakeDecided(const SettingsFold& fold);
+  Calls TakeDecided(const SettingsReplica& replica);
   // Takes out every change that has waited too long.
   Calls TakeExpired(Time now);
 
--- a/src/libs/admin/settings_manager.cc
+++ b/src/libs/admin/settings_manager.cc
@@ -169,12 +169,12 @@
   std::string refusal;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (fold_.complete()) {
+    if (replica_.complete()) {
       refusal = "no records are missing on this entry";
-    } else if (fold_.tree().revision() == 0 && !accept_empty) {
+    } else if (replica_.tree().revision() == 0 && !accept_empty) {
       refusal = "this entry holds no state; recover on one that does";
     } else {
-      snapshot = fold_.RecoverySnapshot();
+      snapshot = replica_.RecoverySnapshot();
     }
   }
   if (!refusal.empty()) {
--- a/src/libs/admin/settings_manager_impl.cc
+++ b/src/libs/admin/settings_manager_impl.cc
@@ -87,7 +87,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const bool is_snapshot = IsSnapshot(record.data);
   std::optional<int64_t> covers;
-  if (is_snapshot && SettingsFold::Readable(record.data)) {
+  if (is_snapshot && SettingsReplica::Readable(record.data)) {
     covers = IntField(record.data, "covers");
   }
   if (is_snapshot && !covers) {
@@ -95,12 +95,12 @@
              {{"offset", record.offset}, {"verdict", "malformed"}});
   }
   schedule_.OnRecord(record.offset, record.time, covers);
-  const bool was_complete = fold_.complete();
-  for (FoldOutcome& outcome :
-       fold_.Fold({record.offset, record.id, record.data})) {
+  const bool was_complete = replica_.complete();
+  for (RecordOutcome& outcome :
+       replica_.Apply({record.offset, record.id, record.data})) {
     outcomes_.push_back(std::move(outcome));
   }
-  if (!was_complete && fold_.complete()) {
+  if (!was_complete && replica_.complete()) {
     LogEvent(events::kSettingsSnapshotAdopted,
              {{"covers", *covers}, {"source", "stream"}});
   }
@@ -110,10 +110,10 @@
 void SettingsManager::Impl::OnGap(int64_t from, int64_t first_kept) {
   const std::lock_guard<std::mutex> lock(mutex_);
   schedule_.OnFirstOffset(first_kept);
-  fold_.NoteGap(from, first_kept);
-  if (!fold_.complete()) {
+  replica_.HandleGap(from, first_kept);
+  if (!replica_.complete()) {
     LogEvent(events::kSettingsGap,
-             {{"from", fold_.next_offset()}, {"first_kept", first_kept}});
+             {{"from", replica_.next_offset()}, {"first_kept", first_kept}});
   }
   RequestPublish();
 }
@@ -132,7 +132,7 @@
   // Asked for before the lock: the follower calls in with locks of its own.
   const bool caught_up = follower_->caught_up();
   const int64_t handed_on = follower_->next_offset();
-  std::vector<FoldOutcome> outcomes;
+  std::vector<RecordOutcome> outcomes;
   ChangeWriter::Calls decided;
   Visible next;
   bool was_ready = false;
@@ -141,15 +141,16 @@
     publish_requested_ = false;
     outcomes.swap(outcomes_);
     was_ready = visible_.ready;
-    const bool log_is_read = caught_up && fold_.next_offset() >= handed_on;
-    next.ready = fold_.complete() && (was_ready || from_peer_ || log_is_read);
-    next.offset = fold_.next_offset();
+    const bool log_is_read = caught_up && replica_.next_offset() >= handed_on;
+    next.ready =
+        replica_.complete() && (was_ready || from_peer_ || log_is_read);
+    next.offset = replica_.next_offset();
     next.tree = visible_.tree;
-    if (next.tree->revision() != fold_.tree().revision()) {
-      next.tree = std::make_shared<const SettingsTree>(fold_.tree());
+    if (next.tree->revision() != replica_.tree().revision()) {
+      next.tree = std::make_shared<const SettingsTree>(replica_.tree());
     }
     if (!next.ready) visible_.ready = false;
-    decided = writer_->TakeDecided(fold_);
+    decided = writer_->TakeDecided(replica_);
   }
   LogOutcomes(outcomes);
   if (next.ready) {
@@ -168,8 +169,8 @@
 }
 
 void SettingsManager::Impl::LogOutcomes(
-    const std::vector<FoldOutcome>& outcomes) const {
-  for (const FoldOutcome& outcome : outcomes) {
+    const std::vector<RecordOutcome>& outcomes) const {
+  for (const RecordOutcome& outcome : outcomes) {
     if (outcome.malformed) {
       LogEvent(events::kSettingsRecordMalformed,
                {{"offset", outcome.offset}, {"id", outcome.id}});
@@ -241,7 +242,7 @@
   next_ask_ = std::chrono::steady_clock::now() + options_.ask_peers_interval;
   const std::lock_guard<std::mutex> lock(mutex_);
   for (const Json& snapshot : snapshots) {
-    const SnapshotVerdict verdict = fold_.Adopt(snapshot, &outcomes_);
+    const SnapshotVerdict verdict = replica_.Adopt(snapshot, &outcomes_);
     if (verdict == SnapshotVerdict::kAdopted) {
       from_peer_ = true;
       LogEvent(events::kSettingsSnapshotAdopted,
@@ -250,7 +251,8 @@
     }
     // A ready peer at the same offset proves that nothing more is known.
     const bool same_offset =
-        fold_.complete() && IntField(snapshot, "covers") == fold_.next_offset();
+        replica_.complete() &&
+        IntField(snapshot, "covers") == replica_.next_offset();
     if (same_offset) from_peer_ = true;
     if (verdict == SnapshotVerdict::kStale) continue;
     LogEvent(events::kSettingsSnapshotUnusable,
@@ -279,9 +281,9 @@
   Json snapshot;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!visible_.ready || !fold_.complete()) return;
+    if (!visible_.ready || !replica_.complete()) return;
     if (!schedule_.Due(std::chrono::system_clock::now())) return;
-    snapshot = fold_.Snapshot();
+    snapshot = replica_.Snapshot();
   }
   // The next one waits until this one must have been read back.
   next_snapshot_ = now + options_.append_timeout + options_.follower.wait;
@@ -300,7 +302,7 @@
 std::vector<HistoryEntry> SettingsManager::Impl::history(
     const std::string& path) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return fold_.history().entries(path);
+  return replica_.history().entries(path);
 }
 
 int64_t SettingsManager::Impl::next_offset() const {
@@ -315,8 +317,8 @@
 
 std::optional<Json> SettingsManager::Impl::Snapshot() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (!visible_.ready || !fold_.complete()) return std::nullopt;
-  return fold_.Snapshot();
+  if (!visible_.ready || !replica_.complete()) return std::nullopt;
+  return replica_.Snapshot();
 }
 
 }  // namespace thornplank
--- a/src/libs/admin/settings_manager_impl.h
+++ b/src/libs/admin/settings_manager_impl.h
@@ -14,7 +14,7 @@
 
 #include "admin/change_writer.h"
 #include "admin/settings_manager.h"
-#include "settings/settings_fold.h"
+#include "settings/settings_replica.h"
 
 namespace thornplank {
 
@@ -68,7 +68,7 @@
   // On the strand: makes what is folded visible, tells the handlers, then the
   // writers.
   void Publish();
-  void LogOutcomes(const std::vector<FoldOutcome>& outcomes) const;
+  void LogOutcomes(const std::vector<RecordOutcome>& outcomes) const;
 
   // Runs on the strand, every options_.tick.
   void Tick();
@@ -118,10 +118,10 @@
   // Taken before ChangeWriter's mutex; no callback runs under it.
   mutable std::mutex mutex_;
   bool stopped_ = false;
-  SettingsFold fold_;
+  SettingsReplica replica_;
   SnapshotSchedule schedule_;
   // Folded, not yet told of.
-  std::vector<FoldOutcome> outcomes_;
+  std::vector<RecordOutcome> outcomes_;
   bool publish_requested_ = false;
   // A peer's snapshot was taken over, which makes up for the log's end.
   bool from_peer_ = false;
--- a/src/libs/settings/settings_fold.cc
+++ b/src/libs/settings/settings_replica.cc
@@ -1,5 +1,5 @@
 // Order, repeats, gaps and snapshots of the settings stream.
-#include "settings/settings_fold.h"
+#include "settings/settings_replica.h"
 
 #include <algorithm>
 #include <utility>
@@ -23,12 +23,12 @@
   return {{"type", kWithdrawType}, {"by", by}};
 }
 
-std::vector<FoldOutcome> SettingsFold::Fold(SettingsRecord record) {
-  std::vector<FoldOutcome> outcomes;
+std::vector<RecordOutcome> SettingsReplica::Apply(SettingsRecord record) {
+  std::vector<RecordOutcome> outcomes;
   if (record.offset < next_offset_) return outcomes;
-  NoteGap(next_offset_, resume_at_.value_or(record.offset));
+  HandleGap(next_offset_, resume_at_.value_or(record.offset));
   if (complete()) {
-    FoldNext(record, &outcomes);
+    ApplyNext(record, &outcomes);
     return outcomes;
   }
   if (!IsType(record.data, kSnapshotType)) {
@@ -44,13 +44,13 @@
   return outcomes;
 }
 
-void SettingsFold::FoldNext(const SettingsRecord& record,
-                            std::vector<FoldOutcome>* outcomes) {
+void SettingsReplica::ApplyNext(const SettingsRecord& record,
+                                std::vector<RecordOutcome>* outcomes) {
   next_offset_ = record.offset + 1;
   // All that a snapshot of this stream can cover is folded already.
   if (IsType(record.data, kSnapshotType)) return;
   if (Decision(record.id)) return;
-  FoldOutcome outcome{record.offset, record.id, {}, {}, false};
+  RecordOutcome outcome{record.offset, record.id, {}, {}, false};
   if (IsType(record.data, kWithdrawType)) {
     outcome.result.verdict = ChangeVerdict::kWithdrawn;
   } else if (std::optional<SettingsChange> change =
@@ -67,15 +67,15 @@
   outcomes->push_back(std::move(outcome));
 }
 
-void SettingsFold::NoteGap(int64_t from, int64_t first_kept) {
+void SettingsReplica::HandleGap(int64_t from, int64_t first_kept) {
   if (from >= first_kept || first_kept <= next_offset_) return;
   if (resume_at_ == first_kept) return;
   waiting_.clear();
   resume_at_ = first_kept;
 }
 
-SnapshotVerdict SettingsFold::Adopt(const Json& snapshot,
-                                    std::vector<FoldOutcome>* outcomes) {
+SnapshotVerdict SettingsReplica::Adopt(const Json& snapshot,
+                                       std::vector<RecordOutcome>* outcomes) {
   const std::optional<int64_t> covers = IntField(snapshot, "covers");
   if (!covers) return SnapshotVerdict::kMalformed;
   if (*covers <= next_offset_) return SnapshotVerdict::kStale;
@@ -90,12 +90,12 @@
   const std::vector<SettingsRecord> waiting = std::exchange(waiting_, {});
   for (const SettingsRecord& record : waiting) {
     if (record.offset < next_offset_) continue;
-    FoldNext(record, outcomes);
+    ApplyNext(record, outcomes);
   }
   return SnapshotVerdict::kAdopted;
 }
 
-std::optional<SettingsFold::State> SettingsFold::ParseSnapshot(
+std::optional<SettingsReplica::State> SettingsReplica::ParseSnapshot(
     const Json& snapshot) {
   const std::optional<int64_t> covers = IntField(snapshot, "covers");
   const Json* tree_json = ObjectField(snapshot, "tree");
@@ -114,11 +114,11 @@
                std::move(*decided)};
 }
 
-bool SettingsFold::Readable(const Json& snapshot) {
+bool SettingsReplica::Readable(const Json& snapshot) {
   return ParseSnapshot(snapshot).has_value();
 }
 
-Json SettingsFold::SnapshotCovering(int64_t covers) const {
+Json SettingsReplica::SnapshotCovering(int64_t covers) const {
   return {{"type", kSnapshotType},
           {"covers", covers},
           {"tree", tree_.ToJson()},
@@ -126,13 +126,15 @@
           {"decided", DecidedToJson()}};
 }
 
-Json SettingsFold::Snapshot() const { return SnapshotCovering(next_offset_); }
+Json SettingsReplica::Snapshot() const {
+  return SnapshotCovering(next_offset_);
+}
 
-Json SettingsFold::RecoverySnapshot() const {
+Json SettingsReplica::RecoverySnapshot() const {
   return SnapshotCovering(resume_at_.value_or(next_offset_));
 }
 
-std::optional<ChangeResult> SettingsFold::Decision(
+std::optional<ChangeResult> SettingsReplica::Decision(
     const std::string& id) const {
   for (const Decided& decided : decided_) {
     if (decided.id != id) continue;
@@ -144,12 +146,13 @@
   return std::nullopt;
 }
 
-void SettingsFold::Remember(const std::string& id, const ChangeResult& result) {
+void SettingsReplica::Remember(const std::string& id,
+                               const ChangeResult& result) {
   decided_.push_back({id, result.verdict, result.version});
   if (decided_.size() > kMaxDecided) decided_.pop_front();
 }
 
-Json SettingsFold::DecidedToJson() const {
+Json SettingsReplica::DecidedToJson() const {
   Json list = Json::array();
   for (const Decided& decided : decided_) {
     list.push_back({{"id", decided.id},
@@ -159,8 +162,8 @@
   return list;
 }
 
-std::optional<std::deque<SettingsFold::Decided>> SettingsFold::ParseDecided(
-    const Json& json) {
+std::optional<std::deque<SettingsReplica::Decided>>
+SettingsReplica::ParseDecided(const Json& json) {
   std::deque<Decided> parsed;
   for (const Json& item : json) {
     const std::optional<std::string> id = StringField(item, "id");
--- a/src/libs/settings/settings_fold.h
+++ b/src/libs/settings/settings_replica.h
@@ -5,8 +5,8 @@
 // every entry comes to the same ones. Where the beginning of the stream is
 // lost to retention, the fold keeps what it has, takes no change, and waits
 // for a snapshot that closes the gap.
-#ifndef THORNPLANK_SETTINGS_SETTINGS_FOLD_H_
-#define THORNPLANK_SETTINGS_SETTINGS_FOLD_H_
+#ifndef THORNPLANK_SETTINGS_SETTINGS_REPLICA_H_
+#define THORNPLANK_SETTINGS_SETTINGS_REPLICA_H_
 
 #include <cstdint>
 #include <deque>
@@ -30,7 +30,7 @@
 };
 
 // What became of a change, a withdrawal or a record that makes no sense.
-struct FoldOutcome {
+struct RecordOutcome {
   int64_t offset = 0;
   std::string id;
   SettingsChange change;
@@ -48,20 +48,20 @@
   kMalformed,
 };
 
-class SettingsFold {
+class SettingsReplica {
  public:
   // Folds one record; offsets rise from call to call, and one that is already
   // covered is ignored. While there is a gap, records are kept for later, and
   // a usable snapshot returns the outcomes of all of them at once.
-  std::vector<FoldOutcome> Fold(SettingsRecord record);
+  std::vector<RecordOutcome> Apply(SettingsRecord record);
 
   // Records from `from` to before `first_kept` are lost to retention.
-  void NoteGap(int64_t from, int64_t first_kept);
+  void HandleGap(int64_t from, int64_t first_kept);
 
   // Takes over a snapshot, from the stream or a peer, when it covers more
   // than what is folded and closes the gap.
   SnapshotVerdict Adopt(const Json& snapshot,
-                        std::vector<FoldOutcome>* outcomes);
+                        std::vector<RecordOutcome>* outcomes);
 
   // What Adopt takes: the whole state, naming the offset that it covers.
   // Requires complete().
@@ -100,8 +100,8 @@
 
   static std::optional<State> ParseSnapshot(const Json& snapshot);
   Json SnapshotCovering(int64_t covers) const;
-  void FoldNext(const SettingsRecord& record,
-                std::vector<FoldOutcome>* outcomes);
+  void ApplyNext(const SettingsRecord& record,
+                 std::vector<RecordOutcome>* outcomes);
   void Remember(const std::string& id, const ChangeResult& result);
   Json DecidedToJson() const;
   static std::optional<std::deque<Decided>> ParseDecided(const Json& json);
@@ -125,4 +125,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_SETTINGS_SETTINGS_FOLD_H_
+#endif  // THORNPLANK_SETTINGS_SETTINGS_REPLICA_H_
--- a/tests/auto/settings/tst_settings_fold.cc
+++ b/tests/auto/settings/tst_settings_replica.cc
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "settings/settings_fold.h"
+#include "settings/settings_replica.h"
 #include "settings/snapshot_schedule.h"
 
 namespace thornplank {
@@ -31,16 +31,16 @@
         {static_cast<int64_t>(records_.size()), id, std::move(data)});
     return records_.back().offset;
   }
-  void FoldInto(SettingsFold* fold, int64_t from, int64_t to = -1) const {
+  void ApplyTo(SettingsReplica* replica, int64_t from, int64_t to = -1) const {
     for (const SettingsRecord& record : records_) {
       if (record.offset < from || (to >= 0 && record.offset >= to)) continue;
-      fold->Fold(record);
+      replica->Apply(record);
     }
   }
-  SettingsFold Folded() const {
-    SettingsFold fold;
-    FoldInto(&fold, 0);
-    return fold;
+  SettingsReplica MakeReplica() const {
+    SettingsReplica replica;
+    ApplyTo(&replica, 0);
+    return replica;
   }
   int64_t end() const { return static_cast<int64_t>(records_.size()); }
 
@@ -61,10 +61,10 @@
   Stream stream = SampleStream();
   stream.Append("id-a", PutData("north", 3, 10));
   stream.Append("id-b", PutData("north", 3, 20));
-  const SettingsFold fold = stream.Folded();
-  CHECK(fold.tree().Effective("north").weight == 10);
-  CHECK(fold.Decision("id-a")->verdict == ChangeVerdict::kApplied);
-  CHECK(fold.Decision("id-b")->verdict == ChangeVerdict::kLostRace);
+  const SettingsReplica replica = stream.MakeReplica();
+  CHECK(replica.tree().Effective("north").weight == 10);
+  CHECK(replica.Decision("id-a")->verdict == ChangeVerdict::kApplied);
+  CHECK(replica.Decision("id-b")->verdict == ChangeVerdict::kLostRace);
 }
 
 TEST_CASE("A repeated id keeps its first verdict") {
@@ -74,11 +74,11 @@
   stream.Append("id-east", PutData("east", 0, 4));
   stream.Append("id-early", PutData("east/claims", 0, 4));
   stream.Append("id-0", PutData("north", 0, 1));
-  const SettingsFold fold = stream.Folded();
-  CHECK(fold.tree().own("east/claims") == nullptr);
-  CHECK(fold.Decision("id-early")->verdict == ChangeVerdict::kInvalid);
-  CHECK(fold.Decision("id-0")->verdict == ChangeVerdict::kApplied);
-  CHECK(fold.tree().Effective("north").weight == 3);
+  const SettingsReplica replica = stream.MakeReplica();
+  CHECK(replica.tree().own("east/claims") == nullptr);
+  CHECK(replica.Decision("id-early")->verdict == ChangeVerdict::kInvalid);
+  CHECK(replica.Decision("id-0")->verdict == ChangeVerdict::kApplied);
+  CHECK(replica.tree().Effective("north").weight == 3);
 }
 
 TEST_CASE("Of a change and its withdrawal the first in the stream decides") {
@@ -87,88 +87,88 @@
   stream.Append("id-w", PutData("north", 3, 10));
   stream.Append("id-v", PutData("north", 3, 20));
   stream.Append("id-v", WithdrawalData("admin"));
-  const SettingsFold fold = stream.Folded();
-  CHECK(fold.Decision("id-w")->verdict == ChangeVerdict::kWithdrawn);
-  CHECK(fold.Decision("id-v")->verdict == ChangeVerdict::kApplied);
-  CHECK(fold.tree().Effective("north").weight == 20);
+  const SettingsReplica replica = stream.MakeReplica();
+  CHECK(replica.Decision("id-w")->verdict == ChangeVerdict::kWithdrawn);
+  CHECK(replica.Decision("id-v")->verdict == ChangeVerdict::kApplied);
+  CHECK(replica.tree().Effective("north").weight == 20);
 }
 
 TEST_CASE("A malformed record changes nothing and is reported") {
-  SettingsFold fold = SampleStream().Folded();
-  const Json before = fold.tree().ToJson();
-  const auto outcomes = fold.Fold({3, "id-x", {{"type", "put"}}});
+  SettingsReplica replica = SampleStream().MakeReplica();
+  const Json before = replica.tree().ToJson();
+  const auto outcomes = replica.Apply({3, "id-x", {{"type", "put"}}});
   REQUIRE(outcomes.size() == 1);
   CHECK(outcomes[0].malformed);
-  CHECK(fold.tree().ToJson() == before);
-  CHECK(fold.next_offset() == 4);
+  CHECK(replica.tree().ToJson() == before);
+  CHECK(replica.next_offset() == 4);
 }
 
 TEST_CASE("After retention a snapshot and the tail give the same state") {
   Stream stream = SampleStream();
-  const Json snapshot = stream.Folded().Snapshot();
+  const Json snapshot = stream.MakeReplica().Snapshot();
   stream.Append("id-3", PutData("north", 3, 4));
   stream.Append("snap", snapshot);
   stream.Append("id-4", PutData("north", 4, 5));
   stream.Append("id-3", PutData("north", 3, 4));
-  SettingsFold fold;
-  fold.NoteGap(0, 3);
-  CHECK_FALSE(fold.complete());
-  stream.FoldInto(&fold, 3);
-  CHECK(fold.complete());
-  CHECK(fold.Snapshot() == stream.Folded().Snapshot());
-  CHECK(fold.history().entries("north").size() == 5);
-  CHECK(fold.history().entries("north")[0].by == "admin");
+  SettingsReplica replica;
+  replica.HandleGap(0, 3);
+  CHECK_FALSE(replica.complete());
+  stream.ApplyTo(&replica, 3);
+  CHECK(replica.complete());
+  CHECK(replica.Snapshot() == stream.MakeReplica().Snapshot());
+  CHECK(replica.history().entries("north").size() == 5);
+  CHECK(replica.history().entries("north")[0].by == "admin");
 }
 
 TEST_CASE("Without a snapshot that closes the gap nothing is taken") {
   Stream stream = SampleStream();
-  SettingsFold paused;
-  stream.FoldInto(&paused, 0, 1);
+  SettingsReplica paused;
+  stream.ApplyTo(&paused, 0, 1);
   const Json too_old = paused.Snapshot();
   stream.Append("snap", too_old);
   stream.Append("id-4", PutData("north", 3, 4));
-  SettingsFold fold;
-  fold.NoteGap(0, 2);
-  stream.FoldInto(&fold, 2);
-  CHECK_FALSE(fold.complete());
-  CHECK(fold.tree().revision() == 0);
-  std::vector<FoldOutcome> outcomes;
-  CHECK(fold.Adopt(too_old, &outcomes) == SnapshotVerdict::kLeavesGap);
+  SettingsReplica replica;
+  replica.HandleGap(0, 2);
+  stream.ApplyTo(&replica, 2);
+  CHECK_FALSE(replica.complete());
+  CHECK(replica.tree().revision() == 0);
+  std::vector<RecordOutcome> outcomes;
+  CHECK(replica.Adopt(too_old, &outcomes) == SnapshotVerdict::kLeavesGap);
   // A peer that has seen everything closes it.
-  CHECK(fold.Adopt(stream.Folded().Snapshot(), &outcomes) ==
+  CHECK(replica.Adopt(stream.MakeReplica().Snapshot(), &outcomes) ==
         SnapshotVerdict::kAdopted);
-  CHECK(fold.tree().Effective("north").weight == 4);
+  CHECK(replica.tree().Effective("north").weight == 4);
 }
 
 TEST_CASE("A hole in the offsets counts as a gap") {
   const Stream stream = SampleStream();
-  SettingsFold fold;
-  stream.FoldInto(&fold, 0, 1);
-  stream.FoldInto(&fold, 2);
-  CHECK_FALSE(fold.complete());
-  CHECK(fold.tree().Effective("north").weight == 1);
+  SettingsReplica replica;
+  stream.ApplyTo(&replica, 0, 1);
+  stream.ApplyTo(&replica, 2);
+  CHECK_FALSE(replica.complete());
+  CHECK(replica.tree().Effective("north").weight == 1);
 }
 
 TEST_CASE("A snapshot of a paused entry reverts nothing") {
   Stream stream = SampleStream();
-  SettingsFold paused;
-  stream.FoldInto(&paused, 0, 2);
-  SettingsFold fold = stream.Folded();
-  const Json before = fold.tree().ToJson();
-  std::vector<FoldOutcome> outcomes;
-  CHECK(fold.Adopt(paused.Snapshot(), &outcomes) == SnapshotVerdict::kStale);
+  SettingsReplica paused;
+  stream.ApplyTo(&paused, 0, 2);
+  SettingsReplica replica = stream.MakeReplica();
+  const Json before = replica.tree().ToJson();
+  std::vector<RecordOutcome> outcomes;
+  CHECK(replica.Adopt(paused.Snapshot(), &outcomes) == SnapshotVerdict::kStale);
   stream.Append("snap", paused.Snapshot());
-  stream.FoldInto(&fold, 3);
-  CHECK(fold.tree().ToJson() == before);
+  stream.ApplyTo(&replica, 3);
+  CHECK(replica.tree().ToJson() == before);
   // An entry that starts from it comes to the same tree by the tail.
-  SettingsFold late;
-  late.NoteGap(0, 2);
-  stream.FoldInto(&late, 2);
+  SettingsReplica late;
+  late.HandleGap(0, 2);
+  stream.ApplyTo(&late, 2);
   CHECK(late.tree().ToJson() == before);
 }
 
 TEST_CASE("A malformed snapshot is not adopted") {
-  const Json good = SampleStream().Folded().Snapshot();
+  const Json good = SampleStream().MakeReplica().Snapshot();
   const std::vector<const char*> patches = {
       R"({"covers": null})", R"({"tree": null})", R"({"history": 3})",
       R"({"decided": [1]})", R"({"tree": {"revision": 1}})"};
@@ -176,10 +176,10 @@
     CAPTURE(patch);
     Json snapshot = good;
     snapshot.merge_patch(Json::parse(patch));
-    SettingsFold fold;
-    std::vector<FoldOutcome> outcomes;
-    CHECK(fold.Adopt(snapshot, &outcomes) == SnapshotVerdict::kMalformed);
-    CHECK(fold.next_offset() == 0);
+    SettingsReplica replica;
+    std::vector<RecordOutcome> outcomes;
+    CHECK(replica.Adopt(snapshot, &outcomes) == SnapshotVerdict::kMalformed);
+    CHECK(replica.next_offset() == 0);
   }
 }
 
