--- a/src/libs/admin/settings_manager.h
+++ b/src/libs/admin/settings_manager.h
@@ -20,8 +20,8 @@
 #include "platform/stream_writer.h"
 #include "settings/settings_history.h"
 #include "settings/settings_review.h"
+#include "settings/settings_snapshot_schedule.h"
 #include "settings/settings_tree.h"
-#include "settings/snapshot_schedule.h"
 
 namespace boost::asio {
 class io_context;
@@ -35,7 +35,7 @@
   std::string stream = "settings";
   StreamFollowerSettings follower;
   StreamWriterSettings writer;
-  SnapshotScheduleSettings snapshots;
+  SettingsSnapshotLimits snapshots;
   // How long a change is sent again before it is withdrawn.
   Milliseconds append_timeout{3000};
   // From the end of the append until the caller is told that the outcome is
--- a/src/libs/admin/settings_manager_impl.cc
+++ b/src/libs/admin/settings_manager_impl.cc
@@ -282,7 +282,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!visible_.ready || !replica_.complete()) return;
-    if (!schedule_.Due(std::chrono::system_clock::now())) return;
+    if (!schedule_.IsDue(std::chrono::system_clock::now())) return;
     snapshot = replica_.Snapshot();
   }
   // The next one waits until this one must have been read back.
--- a/src/libs/admin/settings_manager_impl.h
+++ b/src/libs/admin/settings_manager_impl.h
@@ -119,7 +119,7 @@
   mutable std::mutex mutex_;
   bool stopped_ = false;
   SettingsReplica replica_;
-  SnapshotSchedule schedule_;
+  SettingsSnapshotSchedule schedule_;
   // Folded, not yet told of.
   std::vector<RecordOutcome> outcomes_;
   bool publish_requested_ = false;
--- a/src/libs/settings/snapshot_schedule.cc
+++ b/src/libs/settings/settings_snapshot_schedule.cc
@@ -1,5 +1,5 @@
 // The conditions under which a snapshot is due.
-#include "settings/snapshot_schedule.h"
+#include "settings/settings_snapshot_schedule.h"
 
 namespace thornplank {
 namespace {
@@ -8,11 +8,12 @@
 
 }  // namespace
 
-SnapshotSchedule::SnapshotSchedule(SnapshotScheduleSettings settings)
+SettingsSnapshotSchedule::SettingsSnapshotSchedule(
+    SettingsSnapshotLimits settings)
     : settings_(settings) {}
 
-void SnapshotSchedule::OnRecord(int64_t offset, WallTime time,
-                                std::optional<int64_t> covers) {
+void SettingsSnapshotSchedule::OnRecord(int64_t offset, WallTime time,
+                                        std::optional<int64_t> covers) {
   needed_.push_back({offset, time});
   // A snapshot that covers less than the newest one moves nothing.
   if (!covers || *covers <= covered_ || *covers > offset) return;
@@ -21,11 +22,11 @@
   while (needed_.front().offset < covered_) needed_.pop_front();
 }
 
-void SnapshotSchedule::OnFirstOffset(int64_t first_offset) {
+void SettingsSnapshotSchedule::OnFirstOffset(int64_t first_offset) {
   first_offset_ = first_offset;
 }
 
-bool SnapshotSchedule::Due(WallTime now) const {
+bool SettingsSnapshotSchedule::IsDue(WallTime now) const {
   if (first_offset_ > covered_) return true;
   if (needed_.empty()) return false;
   if (newest_snapshot_ && now - *newest_snapshot_ < settings_.min_interval) {
--- a/src/libs/settings/snapshot_schedule.h
+++ b/src/libs/settings/settings_snapshot_schedule.h
@@ -3,8 +3,8 @@
 //
 // The needed records are those from the offset on that the newest snapshot in
 // the stream covers. Decision code: it is told what was read and the time.
-#ifndef THORNPLANK_SETTINGS_SNAPSHOT_SCHEDULE_H_
-#define THORNPLANK_SETTINGS_SNAPSHOT_SCHEDULE_H_
+#ifndef THORNPLANK_SETTINGS_SETTINGS_SNAPSHOT_SCHEDULE_H_
+#define THORNPLANK_SETTINGS_SETTINGS_SNAPSHOT_SCHEDULE_H_
 
 #include <cstdint>
 #include <deque>
@@ -15,7 +15,7 @@
 
 namespace thornplank {
 
-struct SnapshotScheduleSettings {
+struct SettingsSnapshotLimits {
   // Needed records beyond which a snapshot is due.
   size_t max_records = 500;
   // Age of the oldest needed record at which a snapshot is due; must be well
@@ -32,9 +32,9 @@
   double jitter = 0;
 };
 
-class SnapshotSchedule {
+class SettingsSnapshotSchedule {
  public:
-  explicit SnapshotSchedule(SnapshotScheduleSettings settings);
+  explicit SettingsSnapshotSchedule(SettingsSnapshotLimits settings);
 
   // Each record of the stream in order; `covers` when it is a snapshot.
   // `time` is the log service's.
@@ -42,7 +42,7 @@
   // The oldest offset that the log still keeps.
   void OnFirstOffset(int64_t first_offset);
 
-  bool Due(WallTime now) const;
+  bool IsDue(WallTime now) const;
   // The first record that a new entry needs: all from here on.
   int64_t first_needed() const { return covered_; }
 
@@ -52,7 +52,7 @@
     WallTime time;
   };
 
-  const SnapshotScheduleSettings settings_;
+  const SettingsSnapshotLimits settings_;
   // Those read from covered_ on, by offset. Never empty once a record was
   // read.
   std::deque<Needed> needed_;
@@ -64,4 +64,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_SETTINGS_SNAPSHOT_SCHEDULE_H_
+#endif  // THORNPLANK_SETTINGS_SETTINGS_SNAPSHOT_SCHEDULE_H_
--- a/tests/auto/settings/tst_settings_replica.cc
+++ b/tests/auto/settings/tst_settings_replica.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "settings/settings_replica.h"
-#include "settings/snapshot_schedule.h"
+#include "settings/settings_snapshot_schedule.h"
 
 namespace thornplank {
 namespace {
@@ -186,7 +186,7 @@
 WallTime At(int seconds) { return FromUnixMilliseconds(1000 * seconds); }
 
 TEST_CASE("A snapshot is due before retention takes a needed record") {
-  SnapshotScheduleSettings settings;
+  SettingsSnapshotLimits settings;
   settings.max_records = 10;
   settings.max_age = Milliseconds(60000);
   settings.margin = 5;
@@ -218,19 +218,19 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    SnapshotSchedule schedule(settings);
+    SettingsSnapshotSchedule schedule(settings);
     for (int i = 0; i < row.records; ++i) {
       std::optional<int64_t> covers;
       if (i == row.snapshot_at) covers = row.covers;
       schedule.OnRecord(i, At(i), covers);
     }
     schedule.OnFirstOffset(row.first_offset);
-    CHECK(schedule.Due(At(row.now_s)) == row.due);
+    CHECK(schedule.IsDue(At(row.now_s)) == row.due);
   }
 }
 
 TEST_CASE("A snapshot of a paused entry does not move what is needed") {
-  SnapshotSchedule schedule(SnapshotScheduleSettings{});
+  SettingsSnapshotSchedule schedule(SettingsSnapshotLimits{});
   for (int i = 0; i < 20; ++i) schedule.OnRecord(i, At(i), std::nullopt);
   schedule.OnRecord(20, At(20), 20);
   schedule.OnRecord(21, At(21), 7);
