--- a/src/libs/admin/settings_manager_impl.h
+++ b/src/libs/admin/settings_manager_impl.h
@@ -14,7 +14,7 @@
 
 #include "admin/change_writer.h"
 #include "admin/settings_manager.h"
-#include "settings/settings_fold.h"
+#include "settings/settings_replica.h"
 
 namespace thornplank {
 
@@ -28,7 +28,7 @@
   void HandleChange(ChangeHandler handler) {
     handlers_.push_back(std::move(handler));
   }
-  void SetFetchSnapshot(FetchSnapshot fetch) { fetch_ = std::move(fetch); }
+  void SetSnapshotFetcher(SnapshotFetcher fetch) { fetch_ = std::move(fetch); }
 
   void Start();
   void Stop();
@@ -40,7 +40,7 @@
 
   std::shared_ptr<const SettingsTree> tree() const;
   std::vector<HistoryEntry> history(const std::string& path) const;
-  int64_t offset() const;
+  int64_t next_offset() const;
   bool ready() const;
   std::optional<Json> Snapshot() const;
 
@@ -68,7 +68,7 @@
   // On the strand: makes what is folded visible, tells the handlers, then the
   // writers.
   void Publish();
-  void LogOutcomes(const std::vector<FoldOutcome>& outcomes) const;
+  void LogOutcomes(const std::vector<RecordOutcome>& outcomes) const;
 
   // Runs on the strand, every options_.tick.
   void Tick();
@@ -101,7 +101,7 @@
   // Set before Start, then only read.
   std::vector<const SettingsReview*> reviews_;
   std::vector<ChangeHandler> handlers_;
-  FetchSnapshot fetch_;
+  SnapshotFetcher fetch_;
   Time started_;
 
   // Used on the strand only.
@@ -118,10 +118,10 @@
   // Taken before ChangeWriter's mutex; no callback runs under it.
   mutable std::mutex mutex_;
   bool stopped_ = false;
-  SettingsFold fold_;
-  SnapshotSchedule schedule_;
+  SettingsReplica replica_;
+  SettingsSnapshotSchedule schedule_;
   // Folded, not yet told of.
-  std::vector<FoldOutcome> outcomes_;
+  std::vector<RecordOutcome> outcomes_;
   bool publish_requested_ = false;
   // A peer's snapshot was taken over, which makes up for the log's end.
   bool from_peer_ = false;
