--- a/src/app/thornplank_hosted/hosted_process.cc
+++ b/src/app/thornplank_hosted/hosted_process.cc
@@ -1,4 +1,5 @@
-// The parts of a hosted entry and their order of start and stop.
+// Constructs the components of a hosted entry and defines their order of start
+// and shutdown.
 #include "hosted_process.h"
 
 #include <unistd.h>
@@ -41,58 +42,64 @@
 namespace thornplank {
 namespace {
 
-// The project's own stream in the store. The board is open to all entries, the
-// progress of tasks belongs to the leader.
+// The stream of thornplank in the store. Its partition is the board, which all
+// entries read; the progress of tasks in it concerns the leader only.
 constexpr char kJobStream[] = "keyed.thornplank";
 constexpr int kBoardPartition = 0;
-// A follower reads a busy board at most this often.
-constexpr Milliseconds kFollowerPace{500};
-// Keys are refused this long before the bound on their revocation: the time
-// that a call may wait for its answer from the store.
+// Minimum time between two reads of a busy board by a follower.
+constexpr Milliseconds kFollowerReadInterval{500};
+// Calls with an API key are refused once the configuration is older than the
+// revocation bound less this margin, the time that a call may wait for its
+// answer from the store.
 constexpr Milliseconds kRevocationMargin{800};
-// The platform takes an entry out after two probes, a second apart; until then
-// new connections still come and are answered.
-constexpr Milliseconds kStopListeningAfter{2300};
+// The platform stops routing to an entry after two failed readiness probes, one
+// second apart. Until then new connections still arrive and are served.
+constexpr Milliseconds kStopListeningDelay{2300};
 constexpr Milliseconds kRefreshTimeout{500};
-// An idle board is read as often as a busy one, so that the store's silence is
-// noticed before callers wait for it in vain.
-constexpr Milliseconds kBoardWait{400};
-// For the record with which the lead is given back.
+// How long a read of an idle board waits for records. An idle board is read as
+// often as a busy one, so that an unreachable store is detected before callers
+// wait for it.
+constexpr Milliseconds kBoardLongPollWait{400};
+// For appending the record that releases leadership.
 constexpr Milliseconds kReleaseTimeout{700};
-// All entries together look for a stream of the store that is lost 670 times a
-// second at most, once they know how many they are: up to 100 of them each 0.15
-// s.
-constexpr std::chrono::microseconds kRetryPerEntry{1500};
-// How much the instance's size and how much chance decides who leads first.
+// Maximum retry delay of an unreadable stream, per entry on the board. Limits
+// the retries of all entries together to about 670 a second; up to 100 entries
+// retry every 0.15 s each.
+constexpr std::chrono::microseconds kRetryDelayPerEntry{1500};
+// Weight of the instance's size in its leadership rank; the rest is random.
 constexpr double kSizeWeight = 0.9;
-// Enough of a core to lead 350 workers: on 0.12 a leader was late with half of
-// the urgent jobs that one on 0.5 started in time.
-constexpr double kEnoughShare = 0.25;
+// Cores that suffice to lead 350 workers; more don't improve the rank. A leader
+// with 0.12 cores was late with half of the urgent jobs that a leader with 0.5
+// cores started in time.
+constexpr double kSufficientCores = 0.25;
 
-// What entries draw apart from each other.
-uint32_t SeedOf(const HostedSettings& settings) {
+// Differs between entries, so that their random choices differ too.
+uint32_t SeedFromName(const HostedSettings& settings) {
   return static_cast<uint32_t>(std::hash<std::string>()(settings.name));
 }
 
-double Rank(const HostedSettings& settings) {
-  const double size = std::min(settings.processor_share / kEnoughShare, 1.0);
-  std::mt19937 random(SeedOf(settings));
+// From 0 for the entry that should lead first to 1.
+double LeadershipRank(const HostedSettings& settings) {
+  const double size =
+      std::min(settings.processor_share / kSufficientCores, 1.0);
+  std::mt19937 random(SeedFromName(settings));
   const double chance = std::uniform_real_distribution<double>(0, 1)(random);
   return kSizeWeight * (1 - size) + (1 - kSizeWeight) * chance;
 }
 
-// How old the configuration may be for a call with a key.
-Milliseconds ConfigurationAge(const HostedSettings& settings) {
+// Maximum age of the configuration for a call with an API key.
+Milliseconds MaxConfigurationAge(const HostedSettings& settings) {
   return settings.revocation_bound - kRevocationMargin;
 }
 
-std::string Holder(const HostedSettings& settings) {
+// "instance/incarnation", unique to this process.
+std::string MakeHolder(const HostedSettings& settings) {
   const int64_t started = ToUnixMilliseconds(std::chrono::system_clock::now());
   return settings.name + "/" + std::to_string(started) + "-" +
          std::to_string(::getpid());
 }
 
-WorkerBounds BoundsOf(const HostedSettings& settings) {
+WorkerBounds ToWorkerBounds(const HostedSettings& settings) {
   WorkerBounds bounds;
   bounds.longest_lease = settings.longest_lease;
   bounds.stop_bound = settings.stop_bound;
@@ -105,7 +112,7 @@
   return bounds;
 }
 
-HttpServerLimits CallerLimits() {
+HttpServerLimits CallerServerLimits() {
   HttpServerLimits limits;
   limits.max_body_bytes = 1024 * 1024;
   limits.max_connections = 2048;
@@ -123,28 +130,28 @@
         store_client_(client_, settings_.store_address),
         store_(store_client_, metrics_),
         executor_client_(client_),
-        workers_(executor_client_, metrics_),
+        worker_calls_(executor_client_, metrics_),
         advice_client_(client_, settings_.advisor_address),
         entry_client_(client_),
-        roll_(io, store_, board_, RollSettings()),
-        survey_(io, entry_client_, SurveySettings(),
-                [this] { return roll_.PeerAddresses(); }),
-        board_tail_(io, store_, BoardTail(), BoardHandlers()),
-        configuration_tail_(io, store_, ConfigurationTail(),
-                            ConfigurationHandlers()),
-        callers_(io, store_, formats_, CallerSettings(), CallerSurroundings(),
-                 metrics_),
-        coordinator_(io, store_, workers_, formats_, CoordinatorSettings(),
-                     CoordinatorSurroundings(), metrics_),
+        registration_(io, store_, board_, RegistrationSettings()),
+        reachability_poller_(io, entry_client_, PollerSettings(),
+                             [this] { return registration_.PeerAddresses(); }),
+        board_tail_(io, store_, BoardTailSettings(), BoardTailHandlers()),
+        configuration_tail_(io, store_, ConfigurationTailSettings(),
+                            ConfigurationTailHandlers()),
+        caller_service_(io, store_, formats_, CallerSettings(),
+                        CallerDependencies(), metrics_),
+        coordinator_(io, store_, worker_calls_, formats_, CoordinatorSettings(),
+                     CoordinatorDependencies(), metrics_),
         caller_server_(
-            io, CallerLimits(),
+            io, CallerServerLimits(),
             [this](HttpRequest request, HttpServer::Responder respond) {
-              callers_.Handle(std::move(request), std::move(respond));
+              caller_service_.Handle(std::move(request), std::move(respond));
             }),
         readiness_server_(io, HttpServerLimits(),
                           [this](const HttpRequest& request,
                                  const HttpServer::Responder& respond) {
-                            respond(AnswerReadiness(request));
+                            respond(HandleReadinessRequest(request));
                           }),
         entry_server_(io, HttpServerLimits(),
                       [this](const HttpRequest& request,
@@ -191,7 +198,7 @@
               {"leading", coordinator_.leading()}});
     coordinator_.Release(kReleaseTimeout, [] {});
     stop_timer_.expires_after(
-        std::min(kStopListeningAfter, settings_.stop_grace / 2));
+        std::min(kStopListeningDelay, settings_.stop_grace / 2));
     stop_timer_.async_wait(
         [this, done = std::move(done)](const boost::system::error_code&) {
           caller_server_.Drain([done] {
@@ -207,7 +214,7 @@
              {{"at_once", change.at_once}, {"at_restart", change.at_restart}});
     SetLogSeverity(settings.log_level);
     store_client_.set_address(settings.store_address);
-    callers_.set_max_configuration_age(ConfigurationAge(settings));
+    caller_service_.set_max_configuration_age(MaxConfigurationAge(settings));
     settings_.log_level = settings.log_level;
     settings_.store_address = settings.store_address;
     settings_.revocation_bound = settings.revocation_bound;
@@ -215,45 +222,46 @@
   }
 
  private:
-  RecordTailSettings BoardTail() const {
+  RecordTailSettings BoardTailSettings() const {
     RecordTailSettings settings;
     settings.partition = {kJobStream, kBoardPartition};
-    settings.long_poll_wait = kBoardWait;
-    settings.min_read_interval = kFollowerPace;
-    settings.seed = SeedOf(settings_);
+    settings.long_poll_wait = kBoardLongPollWait;
+    settings.min_read_interval = kFollowerReadInterval;
+    settings.seed = SeedFromName(settings_);
     return settings;
   }
 
-  EntryRegistrationSettings RollSettings() const {
+  EntryRegistrationSettings RegistrationSettings() const {
     EntryRegistrationSettings settings;
     settings.board = {kJobStream, kBoardPartition};
     settings.instance = settings_.name;
     settings.address = settings_.listen_entries;
-    settings.seed = SeedOf(settings_);
+    settings.seed = SeedFromName(settings_);
     return settings;
   }
 
-  ReachabilityPollerSettings SurveySettings() const {
+  ReachabilityPollerSettings PollerSettings() const {
     ReachabilityPollerSettings settings;
-    settings.seed = SeedOf(settings_);
+    settings.seed = SeedFromName(settings_);
     return settings;
   }
 
-  // Since the last whole read of the board began; nullopt before the first.
+  // Time since the last complete read of the board began; nullopt before the
+  // first.
   std::optional<Milliseconds> StoreAge() const {
     if (!board_tail_.has_snapshot()) return std::nullopt;
     return std::chrono::duration_cast<Milliseconds>(BootClock::now() -
                                                     board_tail_.as_of());
   }
 
-  RecordTailSettings ConfigurationTail() const {
+  RecordTailSettings ConfigurationTailSettings() const {
     RecordTailSettings settings;
     settings.partition = formats_.streams().configuration;
-    settings.seed = SeedOf(settings_) + 1;
+    settings.seed = SeedFromName(settings_) + 1;
     return settings;
   }
 
-  RecordTail::Handlers BoardHandlers() {
+  RecordTail::Handlers BoardTailHandlers() {
     RecordTail::Handlers handlers;
     handlers.on_record = [this](const KeyedRecord& record) {
       const BoardChange change = board_.Apply(record);
@@ -261,61 +269,62 @@
     };
     handlers.on_snapshot = [](const std::set<std::string>&) {};
     handlers.on_caught_up = [this] {
-      board_tail_.set_min_read_interval(coordinator_.leading() ? Milliseconds(0)
-                                                               : kFollowerPace);
-      SpreadRetries();
+      board_tail_.set_min_read_interval(
+          coordinator_.leading() ? Milliseconds(0) : kFollowerReadInterval);
+      UpdateRetryDelays();
       coordinator_.OnBoardCaughtUp(board_tail_.latency());
-      if (board_contact_.OnReadSucceeded(board_tail_.next_offset())) {
-        WakeStreams();
+      if (board_reachability_.OnReadSucceeded(board_tail_.next_offset())) {
+        RetryLostStreams();
       }
-      survey_.OnReadSucceeded();
-      roll_.OnBoardCaughtUp();
+      reachability_poller_.OnReadSucceeded();
+      registration_.OnBoardCaughtUp();
     };
     handlers.on_failure = [this](const Error& error) {
-      board_contact_.OnReadFailed(error);
-      survey_.OnReadFailed();
+      board_reachability_.OnReadFailed(error);
+      reachability_poller_.OnReadFailed();
     };
     return handlers;
   }
 
-  RecordTail::Handlers ConfigurationHandlers() {
+  RecordTail::Handlers ConfigurationTailHandlers() {
     RecordTail::Handlers handlers;
     handlers.on_record = [this](const KeyedRecord& record) {
-      TakeOperatorRecord(record);
+      HandleOperatorRecord(record);
     };
     handlers.on_snapshot = [this](const std::set<std::string>& keys) {
-      TakeOperatorSnapshot(keys);
+      HandleOperatorSnapshot(keys);
     };
     handlers.on_caught_up = [this] {
-      if (configuration_contact_.OnReadSucceeded(
+      if (configuration_reachability_.OnReadSucceeded(
               configuration_tail_.next_offset())) {
-        WakeStreams();
+        RetryLostStreams();
       }
     };
     handlers.on_failure = [this](const Error& error) {
-      configuration_contact_.OnReadFailed(error);
+      configuration_reachability_.OnReadFailed(error);
     };
     return handlers;
   }
 
-  void SpreadRetries() {
-    const auto longest = std::chrono::duration_cast<Milliseconds>(
-        kRetryPerEntry * board_.entries().size());
-    board_tail_.set_max_retry_delay(longest);
-    configuration_tail_.set_max_retry_delay(longest);
+  // Adapts the retry rate of each entry to the number of entries on the board.
+  void UpdateRetryDelays() {
+    const auto max_delay = std::chrono::duration_cast<Milliseconds>(
+        kRetryDelayPerEntry * board_.entries().size());
+    board_tail_.set_max_retry_delay(max_delay);
+    configuration_tail_.set_max_retry_delay(max_delay);
   }
 
-  // The store answers again: each stream that is lost yet is read at once,
-  // since callers are refused until both are back.
-  void WakeStreams() {
+  // The store answers again. Reads each stream that is still lost at once,
+  // since callers are refused until both can be read.
+  void RetryLostStreams() {
     board_tail_.RetryIfLost(kRefreshTimeout);
     configuration_tail_.RetryIfLost(kRefreshTimeout);
     coordinator_.OnStoreRecovered();
   }
 
-  void TakeOperatorRecord(const KeyedRecord& record) {
+  void HandleOperatorRecord(const KeyedRecord& record) {
     const std::string domain = formats_.ClosedDomainOf(record.key);
-    if (domain.empty()) return TakeConfiguration(record);
+    if (domain.empty()) return HandleConfigurationRecord(record);
     const bool closed = record.value.has_value();
     if (!closed_domains_.Apply(domain, closed, record.offset)) return;
     LogEvent(closed ? events::kDomainClosed : events::kDomainOpened,
@@ -323,8 +332,9 @@
     coordinator_.OnClosedDomainsChanged();
   }
 
-  // The operators' stream was read anew; keys outside the set are gone.
-  void TakeOperatorSnapshot(const std::set<std::string>& keys) {
+  // The operators' stream was read again from its start; keys that are not in
+  // `keys` no longer exist.
+  void HandleOperatorSnapshot(const std::set<std::string>& keys) {
     std::set<std::string> closed;
     for (const std::string& key : keys) {
       const std::string domain = formats_.ClosedDomainOf(key);
@@ -338,8 +348,8 @@
     coordinator_.OnClosedDomainsChanged();
   }
 
-  // A version that was seen once is never left for an older one.
-  void TakeConfiguration(const KeyedRecord& record) {
+  // Ignores versions that are not newer than the one in force.
+  void HandleConfigurationRecord(const KeyedRecord& record) {
     if (record.key != formats_.streams().configuration_key) return;
     if (!record.value) return;
     Error error;
@@ -361,60 +371,60 @@
   CallerServiceSettings CallerSettings() const {
     CallerServiceSettings settings;
     settings.board = {kJobStream, kBoardPartition};
-    settings.max_configuration_age = ConfigurationAge(settings_);
+    settings.max_configuration_age = MaxConfigurationAge(settings_);
     return settings;
   }
 
-  CallerService::Dependencies CallerSurroundings() {
-    CallerService::Dependencies surroundings;
-    surroundings.configuration = [this]() -> const ServingConfiguration* {
+  CallerService::Dependencies CallerDependencies() {
+    CallerService::Dependencies dependencies;
+    dependencies.configuration = [this]() -> const ServingConfiguration* {
       return configuration_ ? &*configuration_ : nullptr;
     };
-    surroundings.configuration_as_of = [this] {
+    dependencies.configuration_as_of = [this] {
       return configuration_tail_.as_of();
     };
-    surroundings.board = &board_;
-    surroundings.board_tail = &board_tail_;
-    surroundings.served_elsewhere = [this] {
-      return survey_.ReachableElsewhere();
+    dependencies.board = &board_;
+    dependencies.board_tail = &board_tail_;
+    dependencies.served_elsewhere = [this] {
+      return reachability_poller_.ReachableElsewhere();
     };
-    return surroundings;
+    return dependencies;
   }
 
   ClusterCoordinatorSettings CoordinatorSettings() const {
     ClusterCoordinatorSettings settings;
-    settings.holder = Holder(settings_);
-    settings.rank = Rank(settings_);
+    settings.holder = MakeHolder(settings_);
+    settings.rank = LeadershipRank(settings_);
     settings.board = {kJobStream, kBoardPartition};
     settings.job_retention = settings_.state_kept + std::chrono::seconds(30);
-    settings.bounds = BoundsOf(settings_);
+    settings.bounds = ToWorkerBounds(settings_);
     return settings;
   }
 
-  ClusterCoordinator::Dependencies CoordinatorSurroundings() {
-    ClusterCoordinator::Dependencies surroundings;
-    surroundings.board = &board_;
-    surroundings.configuration = [this]() -> const ServingConfiguration& {
+  ClusterCoordinator::Dependencies CoordinatorDependencies() {
+    ClusterCoordinator::Dependencies dependencies;
+    dependencies.board = &board_;
+    dependencies.configuration = [this]() -> const ServingConfiguration& {
       static const ServingConfiguration kNone;
       return configuration_ ? *configuration_ : kNone;
     };
-    surroundings.closed_domains = [this]() -> const std::set<std::string>& {
+    dependencies.closed_domains = [this]() -> const std::set<std::string>& {
       return closed_domains_.closed();
     };
-    surroundings.board_next_offset = [this] {
+    dependencies.board_next_offset = [this] {
       return board_tail_.next_offset();
     };
-    surroundings.board_as_of = [this] { return board_tail_.as_of(); };
-    surroundings.refresh_board = [this](std::function<void(bool)> done) {
+    dependencies.board_as_of = [this] { return board_tail_.as_of(); };
+    dependencies.refresh_board = [this](std::function<void(bool)> done) {
       board_tail_.CatchUp(kRefreshTimeout, std::move(done));
     };
     const bool advised = !settings_.advisor_address.empty();
-    if (advised) surroundings.advisor = &advice_client_;
-    return surroundings;
+    if (advised) dependencies.advisor = &advice_client_;
+    return dependencies;
   }
 
-  HttpResponse AnswerReadiness(const HttpRequest&) {
-    const bool ready = callers_.ready() && !stopping_;
+  HttpResponse HandleReadinessRequest(const HttpRequest&) {
+    const bool ready = caller_service_.ready() && !stopping_;
     if (ready != was_ready_) {
       was_ready_ = ready;
       LogEvent(ready ? events::kProcessReady : events::kProcessNotReady,
@@ -438,20 +448,20 @@
   MetadataStore store_client_;
   MeteredRecordStore store_;
   ExecutorClient executor_client_;
-  MeteredWorkerCalls workers_;
+  MeteredWorkerCalls worker_calls_;
   AdviceClient advice_client_;
   const WireFormats formats_;
   JobBoard board_;
   std::optional<ServingConfiguration> configuration_;
   ClosedDomains closed_domains_;
   EntryClient entry_client_;
-  EntryRegistration roll_;
-  ReachabilityPoller survey_;
-  StreamReachability board_contact_{"board"};
-  StreamReachability configuration_contact_{"configuration"};
+  EntryRegistration registration_;
+  ReachabilityPoller reachability_poller_;
+  StreamReachability board_reachability_{"board"};
+  StreamReachability configuration_reachability_{"configuration"};
   RecordTail board_tail_;
   RecordTail configuration_tail_;
-  CallerService callers_;
+  CallerService caller_service_;
   ClusterCoordinator coordinator_;
   HttpServer caller_server_;
   HttpServer readiness_server_;
--- a/src/app/thornplank_hosted/hosted_process.h
+++ b/src/app/thornplank_hosted/hosted_process.h
@@ -1,8 +1,8 @@
-// One entry on the users' platform: wires callers, store, workers and the
-// scheduler together, on one loop.
+// One entry on the users' platform: connects the service for callers, the
+// store, the workers and the scheduler.
 //
-// The instances have a quarter of a core, so the loop has one thread and its
-// tables need no locks.
+// Must be used on the thread that runs the io_context. The instances have a
+// quarter of a core, so one thread is enough and shared state needs no locks.
 #ifndef THORNPLANK_APP_THORNPLANK_HOSTED_HOSTED_PROCESS_H_
 #define THORNPLANK_APP_THORNPLANK_HOSTED_HOSTED_PROCESS_H_
 
@@ -23,12 +23,14 @@
   HostedProcess(boost::asio::io_context& io, HostedSettings settings);
   ~HostedProcess();
 
-  // Listens and begins to follow the store. False when an address is taken.
+  // Opens the listening sockets and starts to read the store. Returns false and
+  // sets `*error` if an address cannot be listened on.
   bool Start(Error* error);
-  // Graceful shutdown: not ready at once, the lead given back, what was read
-  // answered; then `done` runs.
+  // Graceful shutdown: reports not ready at once, releases leadership, answers
+  // the requests that were received, then calls `done`.
   void Stop(std::function<void()> done);
-  // The settings file has changed.
+  // Applies `settings`, read from the changed file, as far as they take effect
+  // without a restart.
   void Reload(const HostedSettings& settings);
 
  private:
--- a/src/app/thornplank_hosted/main.cc
+++ b/src/app/thornplank_hosted/main.cc
@@ -18,16 +18,16 @@
 #include "settings/settings_program.h"
 
 DEFINE_string(settings, "", "settings file (JSON with comments)");
-DEFINE_bool(check, false, "checks the settings file and ends");
+DEFINE_bool(check, false, "checks the settings file and exits");
 
 namespace thornplank {
 namespace {
 
 constexpr int kExitOk = 0;
-// Between two looks at the settings file, which may change without a signal.
-constexpr std::chrono::seconds kSettingsLook{1};
+// Between two checks of the settings file, which may change without a signal.
+constexpr std::chrono::seconds kSettingsCheckInterval{1};
 
-// A file that cannot be read leaves the settings in force as they are.
+// If the file cannot be read, the current settings stay in force.
 void Reload(HostedProcess* process) {
   Error error;
   const std::optional<HostedSettings> settings =
@@ -44,37 +44,37 @@
     std::cerr << FLAGS_settings << ": " << error.ToString() << "\n";
     return kExitInvalidSettings;
   }
-  SettingsFileWatcher watch(FLAGS_settings);
+  SettingsFileWatcher watcher(FLAGS_settings);
   boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
-  std::function<void()> wait = [&] {
+  std::function<void()> wait_for_signal = [&] {
     signals.async_wait([&](const boost::system::error_code& code, int signal) {
       if (code) return;
       if (signal == SIGHUP) {
-        watch.CheckForChange();
+        watcher.CheckForChange();
         Reload(&process);
       } else {
         process.Stop([&io] { io.stop(); });
       }
-      wait();
+      wait_for_signal();
     });
   };
-  wait();
-  boost::asio::steady_timer look_timer(io);
-  std::function<void()> look = [&] {
-    look_timer.expires_after(kSettingsLook);
-    look_timer.async_wait([&](const boost::system::error_code& code) {
+  wait_for_signal();
+  boost::asio::steady_timer check_timer(io);
+  std::function<void()> schedule_check = [&] {
+    check_timer.expires_after(kSettingsCheckInterval);
+    check_timer.async_wait([&](const boost::system::error_code& code) {
       if (code) return;
-      if (watch.CheckForChange()) Reload(&process);
-      look();
+      if (watcher.CheckForChange()) Reload(&process);
+      schedule_check();
     });
   };
-  look();
+  schedule_check();
   io.run();
   return kExitOk;
 }
 
-int RunLogged(const HostedSettings& settings) {
-  // Standard output is always there.
+int RunWithEventLog(const HostedSettings& settings) {
+  // Writes to standard output, so opening cannot fail.
   OpenEventLog(settings.name, settings.log_level, LogWriter::kCaller, "",
                nullptr);
   const int code = RunEntry(settings);
@@ -88,12 +88,11 @@
 int main(int argc, char** argv) {
   gflags::SetUsageMessage(
       "one entry of thornplank on the users' platform\nexample: "
-      "thornplank_hosted --settings=hosted.json\nsignals: SIGTERM ends it "
-      "gracefully, SIGHUP reads the settings again, as a changed file "
-      "does\nexit codes: 0 graceful "
-      "shutdown done, 2 wrong settings");
+      "thornplank_hosted --settings=hosted.json\nsignals: SIGTERM shuts "
+      "down gracefully, SIGHUP reads the settings again, as a change of the "
+      "file does\nexit codes: 0 graceful shutdown done, 2 invalid settings");
   gflags::ParseCommandLineFlags(&argc, &argv, /*remove_flags=*/true);
   return thornplank::RunWithSettings<thornplank::HostedSettings>(
       "thornplank_hosted", FLAGS_settings, FLAGS_check,
-      thornplank::ReadHostedSettings, thornplank::RunLogged);
+      thornplank::ReadHostedSettings, thornplank::RunWithEventLog);
 }
