--- a/src/app/thornplank_entry/part_settings.cc
+++ b/src/app/thornplank_entry/component_settings.cc
@@ -1,5 +1,6 @@
-// One conversion for each part.
-#include "part_settings.h"
+// Copies each setting to the component that uses it, and draws the random
+// seeds.
+#include "component_settings.h"
 
 #include <algorithm>
 #include <random>
@@ -45,7 +46,7 @@
   return result;
 }
 
-HttpServerLimits ToServerLimits(const EntryLimitSettings& limits) {
+HttpServerLimits ToHttpServerLimits(const EntryLimitSettings& limits) {
   HttpServerLimits result;
   result.max_body_bytes = limits.body_bytes;
   result.max_connections = limits.connections;
@@ -109,13 +110,14 @@
 SettingsManagerOptions ToSettingsOptions(const EntrySettings& settings) {
   SettingsManagerOptions result;
   result.instance = settings.name;
-  // Differs between entries, so that not all append a snapshot at once.
-  constexpr uint64_t kSteps = 1000;
-  result.snapshots.jitter = static_cast<double>(NewSeed() % kSteps) / kSteps;
+  // Differs between entries, so that they don't all append a snapshot at once.
+  constexpr uint64_t kJitterSteps = 1000;
+  result.snapshots.jitter =
+      static_cast<double>(NewSeed() % kJitterSteps) / kJitterSteps;
   return result;
 }
 
-HttpClientLimits ClientLimits(size_t connections_per_peer) {
+HttpClientLimits ToHttpClientLimits(size_t connections_per_peer) {
   HttpClientLimits result;
   result.max_connections_per_peer = connections_per_peer;
   return result;
--- a/src/app/thornplank_entry/part_settings.h
+++ b/src/app/thornplank_entry/component_settings.h
@@ -1,6 +1,6 @@
-// From the settings file to the settings of each part of an entry.
-#ifndef THORNPLANK_APP_THORNPLANK_ENTRY_PART_SETTINGS_H_
-#define THORNPLANK_APP_THORNPLANK_ENTRY_PART_SETTINGS_H_
+// Converts the settings file of an entry to the settings of its components.
+#ifndef THORNPLANK_APP_THORNPLANK_ENTRY_COMPONENT_SETTINGS_H_
+#define THORNPLANK_APP_THORNPLANK_ENTRY_COMPONENT_SETTINGS_H_
 
 #include <cstddef>
 #include <string>
@@ -18,11 +18,11 @@
 
 namespace thornplank {
 
-// An id that is new at each start of a process.
+// Returns a random id for this start of the process.
 std::string NewIncarnation();
 std::vector<AccessToken> ToAccessTokens(
     const std::vector<EntryTokenSettings>& tokens);
-HttpServerLimits ToServerLimits(const EntryLimitSettings& limits);
+HttpServerLimits ToHttpServerLimits(const EntryLimitSettings& limits);
 PeerMeshSettings ToMeshSettings(const EntrySettings& settings,
                                 const std::string& incarnation);
 MembershipManagerSettings ToMembershipSettings(const EntrySettings& settings,
@@ -32,8 +32,8 @@
 JobManagerSettings ToJobSettings(const EntrySettings& settings,
                                  const std::string& incarnation);
 SettingsManagerOptions ToSettingsOptions(const EntrySettings& settings);
-HttpClientLimits ClientLimits(size_t connections_per_peer);
+HttpClientLimits ToHttpClientLimits(size_t connections_per_peer);
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_APP_THORNPLANK_ENTRY_PART_SETTINGS_H_
+#endif  // THORNPLANK_APP_THORNPLANK_ENTRY_COMPONENT_SETTINGS_H_
--- a/src/app/thornplank_entry/entry_process.h
+++ b/src/app/thornplank_entry/entry_process.h
@@ -1,4 +1,4 @@
-// Wires the libraries of one entry: who tells whom of what.
+// One entry: owns its components and connects them with each other.
 #ifndef THORNPLANK_APP_THORNPLANK_ENTRY_ENTRY_PROCESS_H_
 #define THORNPLANK_APP_THORNPLANK_ENTRY_ENTRY_PROCESS_H_
 
@@ -15,13 +15,15 @@
   explicit EntryProcess(EntrySettings settings);
   ~EntryProcess();
 
-  // False and `*error` when an address cannot be listened on; nothing runs
-  // then.
-  // `on_unusable` runs once, on another thread, when this entry must not go on
-  // as it is configured: a live entry has its name. `error` says why.
-  bool Start(std::function<void(const Error& error)> on_unusable, Error* error);
-  // Graceful shutdown: readiness off, the coordinator resigns, requests in
-  // flight are finished. False when some were not by the drain timeout.
+  // Returns false and sets `*error` if an address cannot be listened on;
+  // nothing runs then. `on_fatal_error` is called at most once, on another
+  // thread, if this entry must not continue because another live entry has its
+  // name.
+  bool Start(std::function<void(const Error& error)> on_fatal_error,
+             Error* error);
+  // Graceful shutdown: reports not ready, resigns if it is the coordinator, and
+  // completes the requests in flight. Returns false if some were still in
+  // flight at the drain timeout.
   bool Stop();
 
  private:
--- a/src/app/thornplank_entry/guarantee_review.cc
+++ b/src/app/thornplank_entry/guarantee_review.cc
@@ -1,4 +1,4 @@
-// Asks the scheduler's own check.
+// Delegates to CheckGuaranteesFit of the scheduler.
 #include "guarantee_review.h"
 
 #include <optional>
--- a/src/app/thornplank_entry/guarantee_review.h
+++ b/src/app/thornplank_entry/guarantee_review.h
@@ -1,4 +1,4 @@
-// Refuses settings whose guarantees cannot all be held by the workers.
+// Refuses settings whose guarantees don't fit onto the workers together.
 #ifndef THORNPLANK_APP_THORNPLANK_ENTRY_GUARANTEE_REVIEW_H_
 #define THORNPLANK_APP_THORNPLANK_ENTRY_GUARANTEE_REVIEW_H_
 
@@ -13,8 +13,8 @@
 
 class GuaranteeReview : public SettingsReview {
  public:
-  // `workers` gives the workers known now; empty while none is known, and
-  // then nothing is refused.
+  // `workers` returns the workers that are known. While there are none, no
+  // change is refused.
   explicit GuaranteeReview(std::function<std::vector<WorkerInfo>()> workers);
 
   std::vector<std::string> Review(const SettingsTree& current,
--- a/src/app/thornplank_entry/settings_mapping.cc
+++ b/src/app/thornplank_entry/settings_mapping.cc
@@ -1,4 +1,4 @@
-// Reads the tree's typed view, account by account.
+// Reads the effective settings and the documents of the tree.
 #include "settings_mapping.h"
 
 #include <algorithm>
--- a/src/app/thornplank_entry/settings_mapping.h
+++ b/src/app/thornplank_entry/settings_mapping.h
@@ -1,4 +1,4 @@
-// From the settings tree to the words of routing and scheduling.
+// Converts the settings tree to the types of routing and scheduling.
 #ifndef THORNPLANK_APP_THORNPLANK_ENTRY_SETTINGS_MAPPING_H_
 #define THORNPLANK_APP_THORNPLANK_ENTRY_SETTINGS_MAPPING_H_
 
@@ -14,14 +14,15 @@
 
 class SettingsTree;
 
-// Limits of every client account, and of its services where the tree has a
-// node for them.
+// Returns the limits of every client account, and of those of its services that
+// have a node in the tree.
 std::vector<AccountLimits> MapAccountLimits(const SettingsTree& tree);
 std::vector<AccountGuarantee> MapGuarantees(const SettingsTree& tree);
-// `now` and `wall_now` are the same moment on both clocks.
+// `now` and `wall_now` are the same moment on the steady clock and on the
+// system clock.
 std::vector<EventReservation> MapEvents(const SettingsTree& tree, Time now,
                                         WallTime wall_now);
-// Names of the instances that operators drain.
+// Returns the names of the instances that operators drain.
 std::set<std::string> MapDrains(const SettingsTree& tree);
 
 }  // namespace thornplank
