--- a/src/app/thornplank_load/main.cc
+++ b/src/app/thornplank_load/main.cc
@@ -1,4 +1,5 @@
-// thornplank_load: open-loop load with a recorded history, and its checker.
+// thornplank_load: sends open-loop load, records its history, and checks
+// recorded histories.
 #include <gflags/gflags.h>
 
 #include <fstream>
@@ -16,32 +17,33 @@
 DEFINE_string(entries, "127.0.0.1:8001", "entries as ip:port,...");
 DEFINE_string(entry_weights, "", "relative load per entry, as 8,1,1");
 DEFINE_string(accounts, "north:north-secret:1",
-              "account:token:share,... that send");
-DEFINE_string(service, "claims", "service that is asked");
-DEFINE_bool(direct, false, "--entries names executors: measures a direct call");
-DEFINE_double(rate, 100, "requests a second");
+              "senders as account:token:share,...");
+DEFINE_string(service, "claims", "service that receives the requests");
+DEFINE_bool(direct, false, "--entries names executors; measures direct calls");
+DEFINE_double(rate, 100, "requests per second");
 DEFINE_int32(duration_ms, 5000, "length of the steady load");
-DEFINE_int32(burst, 0, "further requests sent at once");
-DEFINE_int32(burst_at_ms, 1000, "when the burst leaves");
-DEFINE_double(non_idempotent_share, 0, "share with an Idempotency-Key");
+DEFINE_int32(burst, 0, "additional requests sent at once");
+DEFINE_int32(burst_at_ms, 1000, "when the burst is sent, after the start");
+DEFINE_double(non_idempotent_share, 0,
+              "share of requests with an Idempotency-Key");
 DEFINE_double(repeat_share, 0,
               "share of these sent to two entries at the same moment");
 DEFINE_int32(deadline_ms, 2000, "deadline of each request");
 DEFINE_int32(body_bytes, 200, "size of a request body");
-DEFINE_int32(connections, 512, "connections per entry at most");
+DEFINE_int32(connections, 512, "maximum number of connections per entry");
 DEFINE_int32(threads, 2, "threads that send and receive");
-DEFINE_uint64(seed, 1, "seed of the plan");
-DEFINE_string(name, "load", "part of every id");
-DEFINE_string(history, "", "file for the history, one JSON object a line");
-DEFINE_string(out, "", "file for the report as JSON");
-DEFINE_double(jobs_rate, 0, "jobs a second, instead of requests");
+DEFINE_uint64(seed, 1, "random seed of the load");
+DEFINE_string(name, "load", "part of every request or job id");
+DEFINE_string(history, "", "file for the history, one JSON object per line");
+DEFINE_string(out, "", "file for the JSON report");
+DEFINE_double(jobs_rate, 0, "jobs per second, instead of requests");
 DEFINE_int32(jobs_burst, 0, "jobs submitted at once, instead of requests");
 DEFINE_int32(job_members, 1, "members of each job");
 DEFINE_int32(job_accelerators, 1, "accelerators of each member");
 DEFINE_string(job_adjacency, "none", "none or rack");
 DEFINE_string(job_priority, "normal", "normal or urgent");
 DEFINE_int32(job_run_ms, 500, "run time of each job");
-DEFINE_int32(job_deadline_ms, 60000, "a job is given up on after this time");
+DEFINE_int32(job_deadline_ms, 60000, "time after which a job is given up");
 DEFINE_string(check, "",
               "checks these history files (comma-separated) instead of "
               "sending load; needs --runs");
@@ -180,10 +182,12 @@
 
 int main(int argc, char** argv) {
   gflags::SetUsageMessage(
-      "open-loop load on the services of entries; writes rates, percentiles "
-      "and outcomes.\nexample: thornplank_load --entries=127.0.0.1:8001 "
+      "sends open-loop load to the services of entries; prints rates, "
+      "percentiles and outcomes.\nexample: thornplank_load "
+      "--entries=127.0.0.1:8001 "
       "--rate=200 --duration_ms=5000 --burst=400 --history=history.jsonl\n"
-      "exit codes: 0 done, 1 the checker found faults, 2 wrong command line");
+      "exit codes: 0 done, 1 the checker found faults, 2 invalid "
+      "command line");
   gflags::ParseCommandLineFlags(&argc, &argv, /*remove_flags=*/true);
   if (!FLAGS_check.empty()) return thornplank::Check();
   if (FLAGS_jobs_rate > 0 || FLAGS_jobs_burst > 0) {
--- a/src/app/thornplankctl/command.cc
+++ b/src/app/thornplankctl/command.cc
@@ -1,4 +1,4 @@
-// Calls, answers and printing that all commands share.
+// Sends requests, maps status codes to exit codes, and prints answers.
 #include "command.h"
 
 #include <fstream>
@@ -10,15 +10,15 @@
 namespace thornplank {
 namespace {
 
-int ExitCodeOf(int status) {
+int ToExitCode(int status) {
   if (status / 100 == 2) return kExitOk;
-  const bool lost_race = status == 409 || status == 412;
-  return lost_race ? kExitLostRace : kExitRefused;
+  const bool is_conflict = status == 409 || status == 412;
+  return is_conflict ? kExitConflict : kExitRefused;
 }
 
 void PrintRefusal(const HttpResponse& response) {
   const std::optional<Json> problem = ParseJson(response.body);
-  std::cerr << "thornplankctl: refused with " << response.status;
+  std::cerr << "thornplankctl: refused with status " << response.status;
   if (problem.has_value()) {
     std::cerr << ": " << Cell(*problem, "title");
     const std::string detail = Cell(*problem, "detail");
@@ -26,7 +26,7 @@
   }
   const std::string retry_after = response.headers.Value("Retry-After");
   if (!retry_after.empty()) {
-    std::cerr << " (come back in " << retry_after << " s)";
+    std::cerr << " (retry after " << retry_after << " s)";
   }
   std::cerr << "\n";
 }
@@ -44,7 +44,7 @@
     std::cerr << "thornplankctl: no answer: " << error.ToString() << "\n";
     return kExitNoAnswer;
   }
-  const int code = ExitCodeOf(response->status);
+  const int code = ToExitCode(response->status);
   if (code != kExitOk) {
     PrintRefusal(*response);
     return code;
@@ -107,7 +107,7 @@
     const size_t equals = arguments[i].find('=');
     if (equals == std::string::npos || equals == 0) {
       std::cerr << "thornplankctl: '" << arguments[i]
-                << "' is not of the form key=value\n";
+                << "' is not of the form KEY=VALUE\n";
       return std::nullopt;
     }
     const std::string text = arguments[i].substr(equals + 1);
@@ -131,7 +131,7 @@
   }
   std::optional<Json> value = ParseJson(text);
   if (!value.has_value()) {
-    std::cerr << "thornplankctl: '" << argument << "' is not JSON\n";
+    std::cerr << "thornplankctl: '" << argument << "' is not valid JSON\n";
   }
   return value;
 }
--- a/src/app/thornplankctl/document_commands.cc
+++ b/src/app/thornplankctl/document_commands.cc
@@ -15,8 +15,8 @@
   return code;
 }
 
-// Writes the whole document on the condition that it did not change since it
-// was read here.
+// Writes the whole document, provided that it does not change between the read
+// and the write of this function.
 int Put(const CommandContext& context, const std::string& noun,
         const Json& value) {
   const std::string target = "/v1/" + noun + "/" + context.arguments[0];
@@ -47,7 +47,7 @@
 
 std::vector<Command> DocumentCommands() {
   return {
-      {"accounts", "list", "", "The client accounts.",
+      {"accounts", "list", "", "Lists the client accounts.",
        "thornplankctl accounts list", 0,
        [](const CommandContext& context) {
          return PrintList(context, "/v1/accounts", "accounts",
@@ -57,11 +57,11 @@
                            {"GUARANTEED SLOTS", "guaranteed_slots"},
                            {"GUARANTEED SHAPES", "guaranteed_shapes"}});
        }},
-      {"accounts", "show", "NAME", "One client account.",
+      {"accounts", "show", "NAME", "Shows one client account.",
        "thornplankctl accounts show north", 1,
        [](const CommandContext& context) { return Show(context, "accounts"); }},
       {"accounts", "set", "NAME JSON|@FILE",
-       "Writes a client account's own values as a whole.",
+       "Replaces all own values of a client account.",
        "thornplankctl accounts set north "
        "'{\"weight\":2,\"guaranteed_slots\":8,\"guaranteed_shapes\":[{"
        "\"members\":4,\"accelerators\":8,\"adjacency\":\"rack\",\"count\":1}]}"
@@ -70,7 +70,7 @@
        [](const CommandContext& context) {
          return PutJson(context, "accounts");
        }},
-      {"events", "list", "", "The events with their fixed starts.",
+      {"events", "list", "", "Lists the events with their start times.",
        "thornplankctl events list", 0,
        [](const CommandContext& context) {
          return PrintList(context, "/v1/events", "events",
@@ -80,10 +80,10 @@
                            {"STARTS AT MS", "starts_at_ms"},
                            {"SHAPES", "shapes"}});
        }},
-      {"events", "show", "NAME", "One event.",
+      {"events", "show", "NAME", "Shows one event.",
        "thornplankctl events show morning", 1,
        [](const CommandContext& context) { return Show(context, "events"); }},
-      {"events", "set", "NAME JSON|@FILE", "Declares or changes an event.",
+      {"events", "set", "NAME JSON|@FILE", "Creates or replaces an event.",
        "thornplankctl events set morning @morning.json", 2,
        [](const CommandContext& context) {
          return PutJson(context, "events");
--- a/src/app/thornplankctl/instance_commands.cc
+++ b/src/app/thornplankctl/instance_commands.cc
@@ -20,18 +20,18 @@
 }
 
 int ChangeDrain(const CommandContext& context, const std::string& method,
-                const std::string& said) {
+                const std::string& confirmation) {
   const int code =
       CallApi(context, method, "/v1/drains/" + context.arguments[0], "",
               HttpHeaders(), nullptr);
-  if (code == kExitOk) std::cout << said << "\n";
+  if (code == kExitOk) std::cout << confirmation << "\n";
   return code;
 }
 
 int Status(const CommandContext& context) {
   TablePrinter table({"ENTRY", "NAME", "READY", "SETTINGS", "JOBS", "CLAIMS",
                       "EPOCH", "COORDINATOR"});
-  Json all = Json::array();
+  Json statuses = Json::array();
   bool all_answered = true;
   for (const std::string& entry : context.api.entries()) {
     Error error;
@@ -43,7 +43,7 @@
       continue;
     }
     const Json status = ParseJson(response->body).value_or(Json::object());
-    all.push_back(status);
+    statuses.push_back(status);
     const Json none = Json::object();
     const Json* offsets = ObjectField(status, "offsets");
     if (offsets == nullptr) offsets = &none;
@@ -53,7 +53,7 @@
                   Cell(status, "coordinator")});
   }
   if (context.json) {
-    PrintJson(all);
+    PrintJson(statuses);
   } else {
     std::cout << table.ToText();
   }
@@ -64,21 +64,22 @@
 
 std::vector<Command> InstanceCommands() {
   return {
-      {"instances", "list", "", "Workers, executors and entries.",
+      {"instances", "list", "", "Lists the workers, executors and entries.",
        "thornplankctl instances list", 0, List},
       {"instances", "drain", "NAME",
-       "No new work for the instance; its gangs move whole.",
+       "Gives the instance no new work; its gangs are moved as a whole.",
        "thornplankctl instances drain w-17", 1,
        [](const CommandContext& context) {
          return ChangeDrain(context, "POST", "draining");
        }},
-      {"instances", "undrain", "NAME", "Takes the instance back.",
+      {"instances", "undrain", "NAME", "Ends the drain of the instance.",
        "thornplankctl instances undrain w-17", 1,
        [](const CommandContext& context) {
          return ChangeDrain(context, "DELETE", "no longer draining");
        }},
       {"status", "show", "",
-       "Offsets folded, readiness and coordinator of every entry of --entries.",
+       "Shows the applied offsets, the readiness and the coordinator of every "
+       "entry of --entries.",
        "thornplankctl --entries=127.0.0.1:8001,127.0.0.1:8002 status show", 0,
        Status},
   };
--- a/src/app/thornplankctl/job_commands.cc
+++ b/src/app/thornplankctl/job_commands.cc
@@ -86,7 +86,8 @@
       return phase == "finished" ? kExitOk : kExitRefused;
     }
     if (std::chrono::steady_clock::now() > end) {
-      std::cerr << "thornplankctl: still " << phase << "\n";
+      std::cerr << "thornplankctl: timed out; the job is still " << phase
+                << "\n";
       return kExitTimedOut;
     }
     std::this_thread::sleep_for(kPollInterval);
@@ -102,14 +103,14 @@
        "thornplankctl jobs submit account=north members=4 accelerators=8 "
        "adjacency=rack run_time_ms=60000",
        1, Submit},
-      {"jobs", "status", "ID", "One job.", "thornplankctl jobs status j-1", 1,
-       Status},
-      {"jobs", "list", "[ACCOUNT]", "The jobs.",
+      {"jobs", "status", "ID", "Shows one job.",
+       "thornplankctl jobs status j-1", 1, Status},
+      {"jobs", "list", "[ACCOUNT]", "Lists the jobs.",
        "thornplankctl jobs list north", 0, List},
       {"jobs", "cancel", "ID", "Cancels a job; it never starts afterwards.",
        "thornplankctl jobs cancel j-1", 1, Cancel},
       {"jobs", "wait", "ID",
-       "Waits until a job has ended; exit code 0 when it finished.",
+       "Waits until a job has ended; exit code 0 if it finished.",
        "thornplankctl jobs wait j-1", 1, Wait},
   };
 }
--- a/src/app/thornplankctl/log_commands.cc
+++ b/src/app/thornplankctl/log_commands.cc
@@ -1,4 +1,4 @@
-// thornplankctl logs …: reads log files; calls no entry.
+// thornplankctl logs …: evaluates log files; sends no requests.
 #include <fstream>
 #include <iomanip>
 #include <iostream>
@@ -36,8 +36,8 @@
   }
 }
 
-// Gives every line of the files named from argument `first` on to `log`. False
-// when a file cannot be read.
+// Passes every line of the files that are named in the arguments from index
+// `first` on to `log`. Returns false if a file cannot be read.
 template <typename Log>
 bool ReadFiles(const std::vector<std::string>& arguments, size_t first,
                Log* log) {
@@ -77,8 +77,8 @@
   return kExitOk;
 }
 
-// Of those that completed, so many that waited longest are told.
-constexpr size_t kSlowestTold = 20;
+// Of the jobs that completed, PrintJobs lists this many that waited longest.
+constexpr size_t kMaxSlowestJobs = 20;
 
 double ToSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -175,7 +175,7 @@
   std::cout << "\nnot completed, and those that waited longest\n";
   size_t completed = 0;
   for (const JobSummary& job : report.jobs) {
-    if (job.completed() && ++completed > kSlowestTold) break;
+    if (job.completed() && ++completed > kMaxSlowestJobs) break;
     std::cout << job.job << "  "
               << (job.state.empty() ? "state not known" : job.state)
               << "  lasted " << ToSeconds(job.lasted) << " s";
@@ -208,14 +208,15 @@
 std::vector<Command> LogCommands() {
   return {
       {"logs", "explain", "ID FILE...",
-       "Tells the story of a job or request from the logs of all entries, in "
-       "order; lines with ~ are what went on around it. Calls no entry.",
+       "Shows the events of a job or request from the logs of all entries, in "
+       "order; lines with ~ are concurrent events that may have affected it. "
+       "Sends no requests.",
        "thornplankctl logs explain 5c0e7a21d94b36f8 logs/*", 2, Explain},
       {"logs", "summary", "FILE...",
-       "Tells from the logs of all entries which jobs were late and what made "
-       "them so first, for what the steps of all jobs waited, which work was "
-       "thrown away and why, and which jobs did not "
-       "complete or waited longest. Calls no entry.",
+       "Shows from the logs of all entries which jobs were late and the first "
+       "cause of each delay, what the steps of all jobs waited for, which work "
+       "was discarded and why, and which jobs did not complete or waited "
+       "longest. Sends no requests.",
        "thornplankctl logs summary logs/*", 1, Summarize},
   };
 }
--- a/src/app/thornplankctl/main.cc
+++ b/src/app/thornplankctl/main.cc
@@ -1,4 +1,4 @@
-// thornplankctl: the operators' command line.
+// thornplankctl: the command line tool of the operators.
 #include <gflags/gflags.h>
 
 #include <cstdlib>
@@ -13,16 +13,17 @@
 DEFINE_string(token, "", "bearer token");
 DEFINE_string(account, "", "the client account an operator acts for");
 DEFINE_bool(json, false, "JSON instead of tables");
-DEFINE_int32(timeout_ms, 10000, "limit for one call, in milliseconds");
-DEFINE_int32(wait_ms, 30000, "limit of the wait commands, in milliseconds");
+DEFINE_int32(timeout_ms, 10000, "time limit of one call, in milliseconds");
+DEFINE_int32(wait_ms, 30000,
+             "time limit of the wait commands, in milliseconds");
 
 namespace thornplank {
 namespace {
 
 constexpr char kDefaultEntries[] = "127.0.0.1:8001";
 
-std::string FlagOrVariable(const std::string& flag, const char* variable,
-                           const std::string& fallback) {
+std::string FlagOrEnvironment(const std::string& flag, const char* variable,
+                              const std::string& fallback) {
   if (!flag.empty()) return flag;
   const char* value = std::getenv(variable);
   return value != nullptr ? value : fallback;
@@ -63,15 +64,15 @@
          "  --token=TOKEN          default $THORNPLANK_TOKEN\n"
          "  --account=NAME         the client account an operator acts for\n"
          "  --json                 JSON instead of tables\n"
-         "  --timeout_ms=N         limit for one call (10000)\n"
-         "  --wait_ms=N            limit of the wait commands (30000)\n"
+         "  --timeout_ms=N         time limit of one call (10000)\n"
+         "  --wait_ms=N            time limit of the wait commands (30000)\n"
          "\nexit codes:\n"
          "  0  done\n"
          "  1  refused by the system, or the job did not finish\n"
-         "  2  wrong command line, nothing was sent\n"
+         "  2  invalid command line, nothing was sent\n"
          "  3  no answer; a change may or may not have been made\n"
-         "  4  somebody else changed the same thing first\n"
-         "  5  a wait ran out of time\n";
+         "  4  another caller changed the same thing first\n"
+         "  5  a wait command timed out\n";
 }
 
 int UsageError(const std::string& message) {
@@ -85,18 +86,18 @@
     PrintHelp(commands);
     return words.empty() ? kExitUsage : kExitOk;
   }
-  if (words.size() < 2) return UsageError("a noun and a verb are needed");
+  if (words.size() < 2) return UsageError("a noun and a verb are required");
   for (const Command& command : commands) {
     if (command.noun != words[0] || command.verb != words[1]) continue;
     const std::vector<std::string> arguments(words.begin() + 2, words.end());
-    if (arguments.size() < command.least_arguments) {
-      return UsageError("'" + command.noun + " " + command.verb + "' needs " +
-                        command.arguments);
+    if (arguments.size() < command.min_arguments) {
+      return UsageError("'" + command.noun + " " + command.verb +
+                        "' requires " + command.arguments);
     }
     ApiClientSettings settings;
-    settings.entries = SplitList(
-        FlagOrVariable(FLAGS_entries, "THORNPLANK_ENTRIES", kDefaultEntries));
-    settings.token = FlagOrVariable(FLAGS_token, "THORNPLANK_TOKEN", "");
+    settings.entries = SplitList(FlagOrEnvironment(
+        FLAGS_entries, "THORNPLANK_ENTRIES", kDefaultEntries));
+    settings.token = FlagOrEnvironment(FLAGS_token, "THORNPLANK_TOKEN", "");
     settings.account = FLAGS_account;
     settings.timeout = Milliseconds(FLAGS_timeout_ms);
     ApiClient api(settings);
@@ -104,7 +105,7 @@
                                  arguments};
     return command.run(context);
   }
-  return UsageError("no command '" + words[0] + " " + words[1] + "'");
+  return UsageError("unknown command '" + words[0] + " " + words[1] + "'");
 }
 
 }  // namespace
--- a/src/app/thornplankctl/request_commands.cc
+++ b/src/app/thornplankctl/request_commands.cc
@@ -1,4 +1,5 @@
-// thornplankctl requests …: one request to a service, for trying things out.
+// thornplankctl requests …: sends single requests to a service, for manual
+// tests.
 #include <chrono>
 #include <iostream>
 
--- a/src/app/thornplankctl/settings_commands.cc
+++ b/src/app/thornplankctl/settings_commands.cc
@@ -1,4 +1,4 @@
-// thornplankctl settings …: the settings tree.
+// thornplankctl settings …: reads and changes the settings tree.
 #include <chrono>
 #include <iostream>
 #include <thread>
@@ -15,8 +15,8 @@
   return "/v1/settings/" + (path == "/" ? std::string() : path);
 }
 
-// The node that gives the value of `key`.
-std::string Origin(const Json& explain, const std::string& key) {
+// Returns the node that defines the effective value of `key`.
+std::string OriginNode(const Json& explain, const std::string& key) {
   const Json* origin = ObjectField(explain, key);
   if (origin == nullptr) return "";
   if (BoolField(*origin, "built_in").value_or(false)) return "(built in)";
@@ -38,7 +38,7 @@
     const bool is_own = own != nullptr && own->contains(key);
     std::vector<std::string> row = {key, ToCell(value), is_own ? "yes" : ""};
     if (explain != nullptr) {
-      row.push_back(Origin(*explain, key));
+      row.push_back(OriginNode(*explain, key));
     }
     table.AddRow(row);
   }
@@ -59,8 +59,9 @@
   return kExitOk;
 }
 
-// Reads the node, lets `edit` change its own values, and writes it back on
-// the condition that nobody changed it in between.
+// Reads the node, lets `edit` change its own values, and writes it back,
+// provided that it does not change in between. Nothing is written if `edit`
+// returns false.
 int Edit(const CommandContext& context,
          const std::function<bool(Json* own)>& edit) {
   const std::string target = TargetOf(context.arguments[0]);
@@ -139,9 +140,10 @@
                     {"VALUE", "value"}});
 }
 
-// The settings offset that `entry` has folded; nullopt without an answer.
-std::optional<int64_t> FoldedOffset(const CommandContext& context,
-                                    const std::string& entry) {
+// Returns the offset up to which `entry` has applied the settings stream;
+// nullopt if it does not answer.
+std::optional<int64_t> AppliedOffset(const CommandContext& context,
+                                     const std::string& entry) {
   const std::optional<HttpResponse> response = context.api.SendTo(
       entry, "GET", "/v1/status", "", HttpHeaders(), nullptr);
   if (!response.has_value() || response->status != 200) return std::nullopt;
@@ -152,22 +154,23 @@
 }
 
 int Wait(const CommandContext& context) {
-  int64_t wanted = 0;
+  int64_t target_offset = 0;
   for (const std::string& entry : context.api.entries()) {
-    wanted = std::max(wanted, FoldedOffset(context, entry).value_or(0));
+    target_offset =
+        std::max(target_offset, AppliedOffset(context, entry).value_or(0));
   }
   if (!context.arguments.empty()) {
-    wanted = std::atoll(context.arguments[0].c_str()) + 1;
+    target_offset = std::atoll(context.arguments[0].c_str()) + 1;
   }
   const auto end = std::chrono::steady_clock::now() + context.wait_limit;
   while (true) {
     TablePrinter table({"ENTRY", "OFFSET", "IN FORCE"});
     bool everywhere = true;
     for (const std::string& entry : context.api.entries()) {
-      const std::optional<int64_t> folded = FoldedOffset(context, entry);
-      const bool in_force = folded.value_or(-1) >= wanted;
+      const std::optional<int64_t> applied = AppliedOffset(context, entry);
+      const bool in_force = applied.value_or(-1) >= target_offset;
       everywhere = everywhere && in_force;
-      table.AddRow({entry, folded ? std::to_string(*folded) : "no answer",
+      table.AddRow({entry, applied ? std::to_string(*applied) : "no answer",
                     in_force ? "yes" : "no"});
     }
     if (everywhere || std::chrono::steady_clock::now() > end) {
@@ -182,27 +185,29 @@
 
 std::vector<Command> SettingsCommands() {
   return {
-      {"settings", "get", "PATH", "Own and effective values of a node.",
+      {"settings", "get", "PATH",
+       "Shows the own and the effective values of a node.",
        "thornplankctl settings get north/claims", 1,
        [](const CommandContext& context) { return Get(context, ""); }},
-      {"settings", "explain", "PATH", "Which node gives each value.",
+      {"settings", "explain", "PATH", "Shows which node defines each value.",
        "thornplankctl settings explain north/claims", 1,
        [](const CommandContext& context) {
          return Get(context, "?explain=1");
        }},
       {"settings", "set", "PATH KEY=VALUE...",
-       "Changes own values of a node; the others stay.",
+       "Changes own values of a node; all others are kept.",
        "thornplankctl settings set north kind=account weight=2", 2, Set},
       {"settings", "unset", "PATH KEY...",
-       "Removes own values, so that the parent's apply again.",
+       "Removes own values, so that those of the parent apply again.",
        "thornplankctl settings unset north weight", 2, Unset},
       {"settings", "remove", "PATH", "Removes a node without children.",
        "thornplankctl settings remove north/claims", 1, Remove},
-      {"settings", "history", "[PATH]", "Past changes, who and when.",
+      {"settings", "history", "[PATH]",
+       "Lists past changes with their authors and times.",
        "thornplankctl settings history north", 0, History},
       {"settings", "wait", "[OFFSET]",
-       "Waits until every entry of --entries has folded the offset (by "
-       "default the newest that one of them knows).",
+       "Waits until every entry of --entries has applied the change at the "
+       "offset (by default the newest that one of them knows).",
        "thornplankctl --entries=127.0.0.1:8001,127.0.0.1:8002 settings wait", 0,
        Wait},
   };
