--- a/cmake/ThornplankTargets.cmake
+++ b/cmake/ThornplankTargets.cmake
@@ -1,11 +1,12 @@
-# The one helper through which every folder declares its targets.
+# Functions with which every folder declares its targets.
 #
 #   thornplank_add_library(<name> SOURCES a.cc b.cc [DEPENDS lib ...])
 #   thornplank_add_program(<name> SOURCES main.cc [DEPENDS lib ...])
 #   thornplank_add_test(<name> SOURCES tst_x.cc [DEPENDS lib ...] [TIMEOUT seconds])
 #
-# Libraries are called thornplank_<name>; DEPENDS takes the short name of a
-# library of this project, or any other CMake target as it is.
+# The target of a library is thornplank_<name>. DEPENDS takes the <name> of a
+# library of this project, or any other CMake target or library. TIMEOUT is in
+# seconds and defaults to 60.
 
 function(thornplank_link target)
   foreach(dependency IN LISTS ARGN)
