--- a/src/libs/workload/speed_estimator.cc
+++ b/src/libs/workload/speed_estimator.cc
@@ -60,8 +60,9 @@
   }
   if (step.normal_rate <= 0) return;
   const double ratio = rate / step.normal_rate;
-  if (sample.gang && sample.percent_observed >= kMinPercent)
+  if (sample.gang && sample.percent_observed >= kMinPercent) {
     UpdateSteady(worker, ratio);
+  }
   Recent& recent = recent_[worker];
   const bool fresh = now - recent.last_seen < kEvidenceLifetime;
   recent.speed =
--- a/src/libs/workload/worker_tracker.cc
+++ b/src/libs/workload/worker_tracker.cc
@@ -88,8 +88,9 @@
   const std::optional<WallTime>& start = registration.incarnation_start.time;
   const bool is_new = start && start != registration_.incarnation_start.time;
   // Until its first report, nothing is known of the incarnation that has begun.
-  if (is_new && incarnation_.start() && start != incarnation_.start())
+  if (is_new && incarnation_.start() && start != incarnation_.start()) {
     synchronized_ = false;
+  }
   registration_ = std::move(registration);
   missing_since_.reset();
   departure_.reset();
@@ -257,8 +258,9 @@
       incarnation_.Classify(report.incarnation_start.time, sent);
   if (verdict == WorkerIncarnation::Verdict::kPast) return {};
   std::vector<RunEndReport> ended;
-  if (verdict == WorkerIncarnation::Verdict::kNext)
+  if (verdict == WorkerIncarnation::Verdict::kNext) {
     ended = BeginIncarnation(report, sent, now);
+  }
   incarnation_.Record(report.incarnation_start.time, now);
   if (report.clock >= clock_) {
     clock_ = report.clock;
@@ -373,8 +375,9 @@
                                                 RunEnd end, Time now) const {
   RunEndReport lost =
       MakeRunEnd(run, MayHaveBegun(run) ? end : RunEnd::kLost, now);
-  if (run.began != Time{})
+  if (run.began != Time{}) {
     lost.survived = silent_since_.value_or(now) - run.began;
+  }
   return lost;
 }
 
