--- a/src/libs/admin/settings_manager.cc
+++ b/src/libs/admin/settings_manager.cc
@@ -169,12 +169,12 @@
   std::string refusal;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (fold_.complete()) {
+    if (replica_.complete()) {
       refusal = "no records are missing on this entry";
-    } else if (fold_.tree().revision() == 0 && !accept_empty) {
+    } else if (replica_.tree().revision() == 0 && !accept_empty) {
       refusal = "this entry holds no state; recover on one that does";
     } else {
-      snapshot = fold_.RecoverySnapshot();
+      snapshot = replica_.RecoverySnapshot();
     }
   }
   if (!refusal.empty()) {
@@ -206,12 +206,12 @@
   impl_->AddReview(review);
 }
 
-void SettingsManager::HandleChange(ChangeHandler handler) {
+void SettingsManager::AddChangeHandler(ChangeHandler handler) {
   impl_->HandleChange(std::move(handler));
 }
 
-void SettingsManager::SetFetchSnapshot(FetchSnapshot fetch) {
-  impl_->SetFetchSnapshot(std::move(fetch));
+void SettingsManager::SetSnapshotFetcher(SnapshotFetcher fetch) {
+  impl_->SetSnapshotFetcher(std::move(fetch));
 }
 
 void SettingsManager::Start() { impl_->Start(); }
@@ -236,7 +236,7 @@
   return impl_->history(path);
 }
 
-int64_t SettingsManager::offset() const { return impl_->offset(); }
+int64_t SettingsManager::next_offset() const { return impl_->next_offset(); }
 
 bool SettingsManager::ready() const { return impl_->ready(); }
 
