--- a/src/libs/coordination/advice_requester.h
+++ b/src/libs/coordination/advice_requester.h
@@ -1,5 +1,5 @@
 // Requests placement advice for waiting steps from the advisor, with a bounded
-// number of outstanding requests, and keeps the answers in an AdviceBook.
+// number of outstanding requests, and keeps the answers in an AdviceCache.
 //
 // Used on the loop of the scheduler only.
 #ifndef THORNPLANK_COORDINATION_ADVICE_REQUESTER_H_
--- a/tests/auto/workload/tst_gang_review.cc
+++ b/tests/auto/workload/tst_gang_review.cc
@@ -86,7 +86,7 @@
     // Percent per second, by member.
     std::vector<double> rates;
     // When the first worker announces its departure, and how many milliseconds
-    // ahead; told -1: it stays.
+    // ahead; announced_at -1: it stays.
     int64_t announced_at;
     int64_t left;
     // Time of the review, in milliseconds.
