--- a/tests/auto/workload/tst_crash_record.cc
+++ b/tests/auto/workload/tst_crash_record.cc
@@ -59,7 +59,7 @@
 }
 
 // Guards against lost runs that are counted nowhere: one task crashed 26
-// workers and was started again each time.
+// workers and was not stopped.
 TEST_CASE("when a task is given up because of the workers it crashed") {
   struct Row {
     const char* name;
