--- a/src/libs/scheduling/job_types.h
+++ b/src/libs/scheduling/job_types.h
@@ -1,6 +1,6 @@
 // Value types that describe jobs, guarantees, events and workers.
 //
-// They are shared by the scheduler, the fold of the job stream and the code
+// They are shared by the scheduler, the state of the job stream and the code
 // that carries out scheduling decisions, and contain no scheduling logic.
 #ifndef THORNPLANK_SCHEDULING_JOB_TYPES_H_
 #define THORNPLANK_SCHEDULING_JOB_TYPES_H_
--- a/src/libs/scheduling/scheduler_state.cc
+++ b/src/libs/scheduling/scheduler_state.cc
@@ -6,7 +6,7 @@
 namespace thornplank {
 namespace {
 
-// Limit on the final jobs kept here. The fold of the job stream remains their
+// Limit on the final jobs kept here. The state of the job stream remains their
 // record.
 constexpr size_t kMaxFinalJobs = 20000;
 // Time allowed from the request to stop a gang until its workers answer.
--- a/src/libs/state/epoch_table.cc
+++ b/src/libs/state/epoch_table.cc
@@ -1,4 +1,4 @@
-// The fold of epoch claims and resignations.
+// Applies epoch claims and resignations.
 #include "state/epoch_table.h"
 
 namespace thornplank {
--- a/src/libs/state/epoch_table.h
+++ b/src/libs/state/epoch_table.h
@@ -1,4 +1,5 @@
-// The current coordinator epoch: the fold of the epoch and resign records.
+// The current coordinator epoch, which results from applying the epoch and
+// resign records of the job stream.
 //
 // Decision code without I/O. Of several claims to the same number the first one
 // in the log wins, so that all entries agree.
--- a/src/libs/state/job_records.h
+++ b/src/libs/state/job_records.h
@@ -1,8 +1,9 @@
 // The records of the stream "jobs" as typed values, and their JSON encoding.
 //
 // Decoding never throws. A record of an unknown type or without a required
-// field decodes to nullopt and is skipped by the fold, so that an older entry
-// can read the stream of a newer one. See "4. Streams" in docs/PROTOCOLS.md.
+// field decodes to nullopt and is skipped when the stream is applied, so that
+// an older entry can read the stream of a newer one. See "4. Streams" in
+// docs/PROTOCOLS.md.
 #ifndef THORNPLANK_STATE_JOB_RECORDS_H_
 #define THORNPLANK_STATE_JOB_RECORDS_H_
 
@@ -22,7 +23,7 @@
 // A job as requested by a caller: the part for the scheduler and the part that
 // is passed through to the worker.
 struct JobRequest {
-  // `submitted_order` is set by the fold.
+  // `submitted_order` is set when the record is applied.
   JobSpec spec;
   // Name for display; not unique.
   std::string name;
@@ -82,7 +83,7 @@
   std::string incarnation;
 };
 
-// One part of a snapshot of the folded stream; see job_snapshot.h.
+// One part of a snapshot of the stream's state; see job_snapshot.h.
 struct SnapshotPartRecord {
   std::string snapshot_id;
   // Index of this part, from 0, and the number of parts.
--- a/src/libs/state/job_snapshot.h
+++ b/src/libs/state/job_snapshot.h
@@ -1,4 +1,5 @@
-// Snapshots of the folded job stream, split into parts that fit into records.
+// Snapshots of the state of the job stream, split into parts that fit into
+// records.
 //
 // Decision code without I/O. A snapshot is a pure function of the stream up to
 // the offset that it covers, so it is valid whichever entry wrote it.
--- a/src/libs/state/job_stream_state.cc
+++ b/src/libs/state/job_stream_state.cc
@@ -1,4 +1,4 @@
-// Folds the job stream in log order.
+// Applies the job stream in log order.
 #include "state/job_stream_state.h"
 
 #include <algorithm>
--- a/src/libs/state/job_stream_state.h
+++ b/src/libs/state/job_stream_state.h
@@ -1,14 +1,16 @@
-// The fold of the job stream, in log order, into tables of jobs and epochs.
+// The tables of jobs and epochs that result from applying the records of the
+// job stream in log order.
 //
-// Decision code without I/O. A fold is complete if it is based on all records
-// since offset 0, or on a snapshot and all records since that snapshot. It is
-// incomplete if log retention removed records before they were read. It then
-// buffers further records until it has a complete snapshot that covers the gap.
+// Decision code without I/O. The state is complete if it is based on all
+// records since offset 0, or on a snapshot and all records since that snapshot.
+// It is incomplete if log retention removed records before they were read. It
+// then buffers further records until it has a complete snapshot that covers the
+// gap.
 //
-// A record whose id was folded before is ignored. The ids of a limited number
+// A record whose id was applied before is ignored. The ids of a limited number
 // of records are remembered, far more than lie between an append and its
 // repetition. The tables themselves ignore repeats of records that their
-// writers had folded before writing, so that snapshots need not contain the
+// writers had applied before writing, so that snapshots need not contain the
 // ids.
 #ifndef THORNPLANK_STATE_JOB_STREAM_STATE_H_
 #define THORNPLANK_STATE_JOB_STREAM_STATE_H_
@@ -54,19 +56,19 @@
   // below next_offset() is ignored as a repeat.
   JobStreamChange Apply(const LogRecord& record);
   // To be called when the records before `first_kept` are gone from the log and
-  // were not all read. The fold is incomplete after that.
+  // were not all read. The state is incomplete after that.
   void SkipLostRecords(int64_t first_kept);
   // Installs a snapshot from a peer. A snapshot that covers less than what is
-  // already folded changes nothing. Returns whether the tables were replaced;
+  // already applied changes nothing. Returns whether the tables were replaced;
   // reading then continues at next_offset().
   bool Restore(const std::vector<SnapshotPartRecord>& parts);
 
-  // A snapshot of the tables; empty while the fold is incomplete.
+  // A snapshot of the tables; empty while the state is incomplete.
   std::vector<SnapshotPartRecord> MakeSnapshot(const std::string& snapshot_id,
                                                size_t jobs_per_part) const;
 
   bool complete() const { return complete_; }
-  // The offset of the next record to fold.
+  // The offset of the next record to apply.
   int64_t next_offset() const { return next_offset_; }
   // The offset up to which the newest complete snapshot in the stream covers
   // it; 0 if there was none. Retention must keep the records from this offset
--- a/src/libs/state/job_table.cc
+++ b/src/libs/state/job_table.cc
@@ -1,4 +1,4 @@
-// Folds the records of single jobs.
+// Applies the records of single jobs.
 #include "state/job_table.h"
 
 #include <algorithm>
--- a/src/libs/state/job_table.h
+++ b/src/libs/state/job_table.h
@@ -1,4 +1,4 @@
-// All jobs by id: the fold of the job stream without its epochs.
+// All jobs by id, as they result from applying the job stream.
 //
 // Decision code without I/O. Each record method takes the next record in log
 // order and returns whether it changed anything. Repeats need no list of record
--- a/tests/auto/state/job_stream_fixtures.h
+++ b/tests/auto/state/job_stream_fixtures.h
@@ -1,4 +1,4 @@
-// Builds records and streams of jobs for tests of their fold.
+// Builds records and streams of jobs, and the state that results from them.
 #ifndef THORNPLANK_TESTS_STATE_JOB_STREAM_FIXTURES_H_
 #define THORNPLANK_TESTS_STATE_JOB_STREAM_FIXTURES_H_
 
@@ -55,17 +55,17 @@
   return log;
 }
 
-inline JobStreamState FoldAll(const std::vector<LogRecord>& log) {
-  JobStreamState fold{JobRetention{}};
-  for (const LogRecord& record : log) fold.Apply(record);
-  return fold;
+inline JobStreamState ApplyAll(const std::vector<LogRecord>& log) {
+  JobStreamState state{JobRetention{}};
+  for (const LogRecord& record : log) state.Apply(record);
+  return state;
 }
 
-// The complete state of a fold as one value, for comparison. The order of
+// All that `state` contains as one value, for comparison. The order of
 // arrival is omitted, since repeated records shift offsets.
-inline Json StateOf(const JobStreamState& fold) {
+inline Json ContentOf(const JobStreamState& state) {
   Json content = Json::array();
-  for (const SnapshotPartRecord& part : fold.MakeSnapshot("s", 1000)) {
+  for (const SnapshotPartRecord& part : state.MakeSnapshot("s", 1000)) {
     content.push_back(part.content);
   }
   for (Json& part : content) {
--- a/tests/auto/state/tst_job_snapshot.cc
+++ b/tests/auto/state/tst_job_snapshot.cc
@@ -1,5 +1,5 @@
-// Tests of snapshots of the job stream: when they are used, and that a fold
-// from a snapshot equals the fold of the whole stream.
+// Tests of snapshots of the job stream: when they are used, and that a snapshot
+// and the records after it give the same state as the whole stream.
 #include <doctest/doctest.h>
 
 #include <rapidcheck.h>
@@ -27,8 +27,8 @@
 TruncatedLog TruncateWithSnapshot(int64_t covers, int64_t first) {
   const std::vector<LogRecord> full_log = SampleLog();
   const JobStreamState until =
-      FoldAll({full_log.begin(),
-               full_log.begin() + static_cast<std::ptrdiff_t>(covers)});
+      ApplyAll({full_log.begin(),
+                full_log.begin() + static_cast<std::ptrdiff_t>(covers)});
   std::vector<JobStreamRecord> parts;
   for (const auto& part : until.MakeSnapshot("snap", 1)) parts.push_back(part);
   TruncatedLog cut{
@@ -48,57 +48,58 @@
   bool complete;
 };
 
-TEST_CASE("a snapshot and the records after it equal the fold of all records") {
+TEST_CASE(
+    "a snapshot and the records after it equal the state of all records") {
   const std::vector<TruncationCase> cases = {
       {"everything is covered", 10, 10, true},
       {"records after the snapshot follow", 5, 5, true},
       {"the log contains records that the snapshot covers", 7, 3, true},
       {"records after the snapshot are missing", 3, 5, false},
   };
-  const Json expected = StateOf(FoldAll(SampleLog()));
+  const Json expected = ContentOf(ApplyAll(SampleLog()));
   for (const TruncationCase& one : cases) {
     CAPTURE(one.name);
     const TruncatedLog cut = TruncateWithSnapshot(one.covers, one.first);
-    JobStreamState fold{JobRetention{}};
-    fold.SkipLostRecords(cut.first);
-    CHECK_FALSE(fold.complete());
-    for (const LogRecord& record : cut.log) fold.Apply(record);
-    CHECK(fold.complete() == one.complete);
-    if (one.complete) CHECK(StateOf(fold) == expected);
+    JobStreamState state{JobRetention{}};
+    state.SkipLostRecords(cut.first);
+    CHECK_FALSE(state.complete());
+    for (const LogRecord& record : cut.log) state.Apply(record);
+    CHECK(state.complete() == one.complete);
+    if (one.complete) CHECK(ContentOf(state) == expected);
   }
 }
 
-TEST_CASE("a snapshot that covers less than what is folded changes nothing") {
+TEST_CASE("a snapshot that covers less than what is applied changes nothing") {
   const std::vector<LogRecord> log = SampleLog();
-  const JobStreamState early = FoldAll({log.begin(), log.begin() + 4});
-  const JobStreamState late = FoldAll(log);
-  JobStreamState fold = FoldAll({log.begin(), log.begin() + 6});
-  const Json before = StateOf(fold);
-  CHECK_FALSE(fold.Restore(early.MakeSnapshot("peer", 2)));
-  CHECK(StateOf(fold) == before);
-  CHECK(fold.Restore(late.MakeSnapshot("peer", 2)));
-  CHECK(StateOf(fold) == StateOf(late));
-  CHECK(fold.next_offset() == 10);
+  const JobStreamState early = ApplyAll({log.begin(), log.begin() + 4});
+  const JobStreamState late = ApplyAll(log);
+  JobStreamState state = ApplyAll({log.begin(), log.begin() + 6});
+  const Json before = ContentOf(state);
+  CHECK_FALSE(state.Restore(early.MakeSnapshot("peer", 2)));
+  CHECK(ContentOf(state) == before);
+  CHECK(state.Restore(late.MakeSnapshot("peer", 2)));
+  CHECK(ContentOf(state) == ContentOf(late));
+  CHECK(state.next_offset() == 10);
   // Records of the stream that the snapshot covers are ignored.
-  CHECK(fold.Apply(log[7]).kind == JobStreamChange::Kind::kNone);
+  CHECK(state.Apply(log[7]).kind == JobStreamChange::Kind::kNone);
 }
 
 TEST_CASE(
-    "a complete fold only records the offset of a snapshot in the stream") {
+    "a complete state only records the offset of a snapshot in the stream") {
   TruncatedLog cut = TruncateWithSnapshot(5, 0);
-  const JobStreamState fold = FoldAll(cut.log);
-  CHECK(fold.newest_snapshot_end() == 5);
-  CHECK(StateOf(fold) == StateOf(FoldAll(SampleLog())));
+  const JobStreamState state = ApplyAll(cut.log);
+  CHECK(state.newest_snapshot_end() == 5);
+  CHECK(ContentOf(state) == ContentOf(ApplyAll(SampleLog())));
 }
 
 TEST_CASE("an incomplete snapshot is not used") {
   TruncatedLog cut = TruncateWithSnapshot(5, 5);
   cut.log.pop_back();
-  JobStreamState fold{JobRetention{}};
-  fold.SkipLostRecords(cut.first);
-  for (const LogRecord& record : cut.log) fold.Apply(record);
-  CHECK_FALSE(fold.complete());
-  CHECK(fold.MakeSnapshot("x", 10).empty());
+  JobStreamState state{JobRetention{}};
+  state.SkipLostRecords(cut.first);
+  for (const LogRecord& record : cut.log) state.Apply(record);
+  CHECK_FALSE(state.complete());
+  CHECK(state.MakeSnapshot("x", 10).empty());
 }
 
 std::vector<JobStreamRecord> RandomRecords() {
@@ -152,29 +153,29 @@
   return repeated;
 }
 
-TEST_CASE("repeated records do not change the fold") {
+TEST_CASE("repeated records do not change the state") {
   CHECK(rc::check([] {
     const auto log = ToLog(RandomRecords());
     const bool same =
-        StateOf(FoldAll(WithRepeats(log))) == StateOf(FoldAll(log));
+        ContentOf(ApplyAll(WithRepeats(log))) == ContentOf(ApplyAll(log));
     RC_ASSERT(same);
   }));
 }
 
-TEST_CASE("any snapshot and the records after it give the same fold") {
+TEST_CASE("any snapshot and the records after it give the same state") {
   CHECK(rc::check([] {
     const auto log = ToLog(RandomRecords());
     const auto cut = static_cast<std::ptrdiff_t>(
         *rc::gen::inRange<size_t>(0, log.size() + 1));
-    JobStreamState fold{JobRetention{}};
-    fold.SkipLostRecords(cut);
-    fold.Restore(
-        FoldAll({log.begin(), log.begin() + cut}).MakeSnapshot("s", 1));
+    JobStreamState state{JobRetention{}};
+    state.SkipLostRecords(cut);
+    state.Restore(
+        ApplyAll({log.begin(), log.begin() + cut}).MakeSnapshot("s", 1));
     for (auto record = log.begin() + cut; record != log.end(); ++record) {
-      fold.Apply(*record);
+      state.Apply(*record);
     }
-    RC_ASSERT(fold.complete());
-    const bool same = StateOf(fold) == StateOf(FoldAll(log));
+    RC_ASSERT(state.complete());
+    const bool same = ContentOf(state) == ContentOf(ApplyAll(log));
     RC_ASSERT(same);
   }));
 }
--- a/tests/auto/state/tst_job_stream_state.cc
+++ b/tests/auto/state/tst_job_stream_state.cc
@@ -1,5 +1,5 @@
-// Tests of the fold of the job stream: which records are accepted and which are
-// ignored.
+// Tests of the state of the job stream: which records are accepted and which
+// are ignored.
 #include <doctest/doctest.h>
 
 #include "job_stream_fixtures.h"
@@ -7,7 +7,7 @@
 namespace thornplank {
 namespace {
 
-struct FoldCase {
+struct JobCase {
   const char* name;
   std::vector<JobStreamRecord> records;
   // Expected state of job "a" after all records.
@@ -18,7 +18,7 @@
 
 TEST_CASE("the state of a job follows from the records in the stream") {
   using Phase = JobPhase;
-  const std::vector<FoldCase> cases = {
+  const std::vector<JobCase> cases = {
       {"submitted", {MakeSubmitted("a")}, Phase::kWaiting, "", 0},
       {"submitted twice after it was placed",
        {MakeEpoch(1, "e1"), MakeSubmitted("a"), MakePlaced(1, 1, "a", "g1"),
@@ -75,10 +75,10 @@
        "g1",
        1},
   };
-  for (const FoldCase& one : cases) {
+  for (const JobCase& one : cases) {
     CAPTURE(one.name);
-    const JobStreamState fold = FoldAll(ToLog(one.records));
-    const JobEntry* entry = fold.jobs().Find("a");
+    const JobStreamState state = ApplyAll(ToLog(one.records));
+    const JobEntry* entry = state.jobs().Find("a");
     REQUIRE(entry != nullptr);
     CHECK(entry->phase == one.phase);
     CHECK(entry->gang_id == one.gang);
@@ -122,10 +122,10 @@
     CAPTURE(one.name);
     std::vector<JobStreamRecord> records = stopped;
     records.insert(records.end(), one.records.begin(), one.records.end());
-    const JobStreamState fold = FoldAll(ToLog(records));
-    CHECK(fold.jobs().Find("a")->progress == Milliseconds(one.progress_ms));
+    const JobStreamState state = ApplyAll(ToLog(records));
+    CHECK(state.jobs().Find("a")->progress == Milliseconds(one.progress_ms));
     JobStreamState restored{JobRetention{}};
-    REQUIRE(restored.Restore(fold.MakeSnapshot("s", 1)));
+    REQUIRE(restored.Restore(state.MakeSnapshot("s", 1)));
     CHECK(restored.jobs().Find("a")->progress == Milliseconds(one.progress_ms));
   }
 }
@@ -137,7 +137,7 @@
   REQUIRE(decoded);
   CHECK(std::get<PhaseRecord>(*decoded).progress == Milliseconds(0));
   std::vector<SnapshotPartRecord> parts =
-      FoldAll(ToLog({MakeSubmitted("a")})).MakeSnapshot("s", 1);
+      ApplyAll(ToLog({MakeSubmitted("a")})).MakeSnapshot("s", 1);
   for (SnapshotPartRecord& part : parts) {
     for (Json& job : part.content["jobs"]) job.erase("progress_ms");
   }
@@ -173,51 +173,51 @@
   };
   for (const EpochCase& one : cases) {
     CAPTURE(one.name);
-    const JobStreamState fold = FoldAll(ToLog(one.records));
-    CHECK(fold.epochs().current() == one.expected);
+    const JobStreamState state = ApplyAll(ToLog(one.records));
+    CHECK(state.epochs().current() == one.expected);
   }
 }
 
 TEST_CASE("a job id is accepted only once") {
   JobRetention retention;
   retention.max_final_jobs = 1;
-  JobStreamState fold(retention);
+  JobStreamState state(retention);
   for (const LogRecord& record :
        ToLog({MakeSubmitted("a"), MakeSubmitted("b"), MakeCancelled("a"),
               MakeCancelled("b")})) {
-    fold.Apply(record);
+    state.Apply(record);
   }
-  CHECK(fold.jobs().Find("a") == nullptr);
-  CHECK(fold.jobs().Find("b") != nullptr);
+  CHECK(state.jobs().Find("a") == nullptr);
+  CHECK(state.jobs().Find("b") != nullptr);
   SUBCASE("after its entry was dropped") {
-    fold.Apply(ToLog({MakeSubmitted("a")}, 4)[0]);
-    CHECK(fold.jobs().Find("a") == nullptr);
+    state.Apply(ToLog({MakeSubmitted("a")}, 4)[0]);
+    CHECK(state.jobs().Find("a") == nullptr);
   }
   SUBCASE("when its cancellation came first") {
     for (const LogRecord& record :
          ToLog({MakeCancelled("c"), MakeSubmitted("c")}, 4)) {
-      fold.Apply(record);
+      state.Apply(record);
     }
-    CHECK(fold.jobs().Find("c") == nullptr);
+    CHECK(state.jobs().Find("c") == nullptr);
   }
 }
 
 TEST_CASE("final jobs are dropped by their age in the time of the log") {
   JobRetention retention;
   retention.max_final_age = Milliseconds(1000);
-  JobStreamState fold(retention);
+  JobStreamState state(retention);
   std::vector<LogRecord> log = ToLog({MakeSubmitted("a"), MakeCancelled("a"),
                                       MakeSubmitted("b"), MakeSubmitted("c")});
   log[2].time = FromUnixMilliseconds(2000);
   log[3].time = FromUnixMilliseconds(2001);
-  for (size_t i = 0; i < 3; ++i) fold.Apply(log[i]);
-  CHECK(fold.jobs().Find("a") != nullptr);
-  fold.Apply(log[3]);
-  CHECK(fold.jobs().Find("a") == nullptr);
+  for (size_t i = 0; i < 3; ++i) state.Apply(log[i]);
+  CHECK(state.jobs().Find("a") != nullptr);
+  state.Apply(log[3]);
+  CHECK(state.jobs().Find("a") == nullptr);
 }
 
 TEST_CASE("malformed and unknown records change nothing") {
-  JobStreamState fold{JobRetention{}};
+  JobStreamState state{JobRetention{}};
   int64_t offset = 0;
   for (const Json& data :
        {Json(), Json(7), Json{{"type", "later"}}, Json{{"type", "submitted"}},
@@ -226,11 +226,11 @@
         Json{{"type", "phase"}, {"phase", "odd"}},
         Json{{"type", "snapshot"}, {"part", 3}, {"parts", 1}}}) {
     const std::string id = std::to_string(offset);
-    CHECK(fold.Apply({offset++, {}, id, data}).kind ==
+    CHECK(state.Apply({offset++, {}, id, data}).kind ==
           JobStreamChange::Kind::kNone);
   }
-  CHECK(fold.jobs().jobs().empty());
-  CHECK(fold.next_offset() == offset);
+  CHECK(state.jobs().jobs().empty());
+  CHECK(state.next_offset() == offset);
 }
 
 }  // namespace
