--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -164,8 +164,8 @@
     mesh_.HandleNameClash(
         [this](const std::string& where) { OnNameClash(where); });
     tree_.AddReview(&review_);
-    tree_.HandleChange([this](const SettingsTree& tree) { OnTree(tree); });
-    tree_.SetFetchSnapshot([this](SettingsManager::SnapshotsCallback done) {
+    tree_.AddChangeHandler([this](const SettingsTree& tree) { OnTree(tree); });
+    tree_.SetSnapshotFetcher([this](SettingsManager::SnapshotsCallback done) {
       FetchSettings(std::move(done));
     });
     members_.AddSnapshot(kSettingsSnapshot,
@@ -262,7 +262,7 @@
   }
 
   Json Offsets() const {
-    return {{"settings", tree_.offset()},
+    return {{"settings", tree_.next_offset()},
             {"jobs", jobs_.jobs_offset()},
             {"claims", requests_.next_claims_offset()}};
   }
@@ -302,17 +302,17 @@
     admin_.AddRoutes(router_);
     requests_.RegisterRoutes(router_);
     jobs_.RegisterRoutes(router_);
-    router_.AddOpen("GET", "/healthz", Answer([](const HttpRequest&) {
+    router_.AddPublic("GET", "/healthz", Answer([](const HttpRequest&) {
                       return JsonResponse(200, "{\"status\":\"up\"}\n");
                     }));
-    router_.AddOpen("GET", "/readyz", Answer([this](const HttpRequest&) {
+    router_.AddPublic("GET", "/readyz", Answer([this](const HttpRequest&) {
                       const std::string reason = NotReadyReason();
                       if (reason.empty()) {
                         return JsonResponse(200, "{\"ready\":true}\n");
                       }
                       return ProblemResponse(503, "not ready", reason);
                     }));
-    router_.AddOpen("GET", "/metrics", Answer([this](const HttpRequest&) {
+    router_.AddPublic("GET", "/metrics", Answer([this](const HttpRequest&) {
                       HttpResponse response;
                       response.headers.Set("Content-Type",
                                            "text/plain; version=0.0.4");
--- a/src/libs/coordination/advice_requester.cc
+++ b/src/libs/coordination/advice_requester.cc
@@ -18,7 +18,8 @@
 Time Now() { return std::chrono::steady_clock::now(); }
 
 Milliseconds DecisionTimeFor(const AdviceTerms& terms, size_t workers) {
-  return terms.decision + terms.each * static_cast<int64_t>(workers);
+  return terms.query_time +
+         terms.time_per_worker * static_cast<int64_t>(workers);
 }
 
 }  // namespace
@@ -31,13 +32,14 @@
 
 void AdviceRequester::Request(const StepRef& step, const AdviceTerms& terms,
                               const std::vector<std::string>& candidates) {
-  if (advisor_ == nullptr || book_.questions_out() >= kMaxRequests) return;
+  if (advisor_ == nullptr || book_.pending_queries() >= kMaxRequests) return;
   const Time now = Now();
-  std::vector<std::string> question = book_.NextQuestion(step, candidates, now);
+  std::vector<std::string> question = book_.NextQuery(step, candidates, now);
   if (question.empty()) return;
-  const Milliseconds timeout = DecisionTimeFor(terms, question.size()) *
-                                   static_cast<int64_t>(book_.questions_out()) +
-                               kResponseMargin;
+  const Milliseconds timeout =
+      DecisionTimeFor(terms, question.size()) *
+          static_cast<int64_t>(book_.pending_queries()) +
+      kResponseMargin;
   advisor_->RequestAdvice(
       step, question, timeout,
       [this, alive = alive_, step, question, now](const Advice& advice) {
@@ -61,7 +63,7 @@
               {"step", step.ToString()},
               {"asked", asked.size()},
               {"took_ms", took}});
-    return book_.OnNoAnswer(step, Now());
+    return book_.OnQueryFailed(step, Now());
   }
   LogEvent(events::kAdviceGiven, {{"job", step.job},
                                   {"step", step.ToString()},
--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -286,7 +286,7 @@
     OnRunEnd(worker, end);
   };
   handlers.on_progress = [this](const RunReport& run) {
-    ledger_.Checkpoint(run.task, run.run, run.checkpoint);
+    ledger_.RecordCheckpoint(run.task, run.run, run.checkpoint);
   };
   handlers.profile_of = [this](const TaskRef& task) { return ProfileOf(task); };
   handlers.is_known_service = [this](const std::string& service) {
@@ -338,7 +338,7 @@
   for (const auto& [ref, blocks] : loaded_progress_) {
     const BoardJob* job = dependencies_.board->Find(ref.job);
     if (job == nullptr) continue;
-    ledger_.AdoptState(ref.job, job->published_state);
+    ledger_.AdoptFinalState(ref.job, job->published_state);
     if (job->cancelled) ledger_.Cancel(ref.job);
     if (IsTerminal(job->published_state)) published_ended_jobs_.insert(ref.job);
   }
@@ -391,7 +391,7 @@
   if (progress == nullptr) return;
   const Time lease_bound =
       now + settings_.leadership_timeout +
-      WorkerTracker::LongestLease(settings_.bounds.lease_term());
+      WorkerTracker::MaxLeaseDuration(settings_.bounds.lease_term());
   for (size_t i = 0; i < progress->tasks.size(); ++i) {
     const TaskStatus& task = progress->tasks[i];
     if (task.phase != TaskPhase::kActive) continue;
--- a/src/libs/workload/job_ledger.cc
+++ b/src/libs/workload/job_ledger.cc
@@ -1,4 +1,4 @@
-// Transitions of jobs, steps and tasks.
+// State transitions of jobs, steps and tasks.
 #include "workload/job_ledger.h"
 
 #include <algorithm>
@@ -16,14 +16,15 @@
     {JobState::kCancelled, "cancelled"},
 }};
 
-// What the end of a run tells of its task: nothing where it never began.
-void NoteCrash(RunEnd end, const LostRun& lost, const StepSpec& step,
-               CrashRecord* crashes) {
+// Records what the end of a run shows about crashes of its task; a run that
+// never began shows nothing.
+void UpdateCrashRecord(RunEnd end, const LostRun& lost, const StepSpec& step,
+                       CrashRecord* crashes) {
   if (end == RunEnd::kLost) return;
   const bool with_worker =
       end == RunEnd::kWorkerCrashed || end == RunEnd::kWorkerSilent;
-  if (!with_worker) return crashes->OnEnded();
-  crashes->OnLost(lost, step);
+  if (!with_worker) return crashes->OnRunEnded();
+  crashes->OnWorkerLost(lost, step);
 }
 
 std::string FailedOften(const StepRef& step, int failures) {
@@ -52,9 +53,9 @@
   job = std::make_unique<Job>();
   job->spec = spec;
   job->occurrences = EmptyProgress(spec);
-  job->open_steps =
+  job->unfinished_steps =
       static_cast<int>(spec.steps.size()) * spec.occurrence_count();
-  job->known_since = now;
+  job->added_at = now;
   return *job;
 }
 
@@ -115,7 +116,7 @@
   *present = std::move(progress);
   Job* job = Find(ref.job);
   if (present->done == static_cast<int>(present->tasks.size())) {
-    --job->open_steps;
+    --job->unfinished_steps;
   }
   if (present->active() + present->done > 0 &&
       job->state == JobState::kQueued) {
@@ -127,11 +128,11 @@
   int failures = spec.long_running ? 0 : present->gang_failures;
   for (size_t i = 0; i < present->tasks.size(); ++i) {
     const TaskStatus& task = present->tasks[i];
-    JudgeTask({ref, static_cast<int>(i)}, job, task);
+    FailJobIfGivenUp({ref, static_cast<int>(i)}, job, task);
     if (!spec.long_running) failures = std::max(failures, task.failures);
   }
   if (failures >= attempts) Fail(job, FailedOften(ref, failures));
-  if (job->open_steps == 0) SetState(job, JobState::kCompleted);
+  if (job->unfinished_steps == 0) SetState(job, JobState::kCompleted);
   return true;
 }
 
@@ -141,7 +142,7 @@
   const StepSpec& spec = *FindStepSpec(ref.step);
   if (ref.block >= BlockCount(spec)) return false;
   TaskRange range = TasksOfBlock(spec, ref.block);
-  // Entries that kept a step in one record left all its tasks in the first.
+  // Older entries stored all tasks of a step in its first block.
   const bool whole = ref.block == 0 &&
                      static_cast<int>(block.tasks.size()) == spec.count &&
                      range.count < spec.count;
@@ -181,13 +182,13 @@
   return true;
 }
 
-void JobLedger::AdoptState(const std::string& id, JobState state) {
+void JobLedger::AdoptFinalState(const std::string& id, JobState state) {
   Job* job = Find(id);
   if (job != nullptr && !IsTerminal(job->state)) job->state = state;
 }
 
-int JobLedger::Start(const StepRef& ref,
-                     const std::vector<Assignment>& assignments) {
+int JobLedger::RecordStart(const StepRef& ref,
+                           const std::vector<Assignment>& assignments) {
   Job* job = Find(ref.job);
   StepProgress* progress = FindStep(ref);
   const StepSpec& spec = *FindStepSpec(ref);
@@ -208,8 +209,9 @@
   return run;
 }
 
-bool JobLedger::End(const TaskRef& ref, int run, RunEnd end,
-                    const std::string& checkpoint, const LostRun& lost) {
+bool JobLedger::RecordRunEnd(const TaskRef& ref, int run, RunEnd end,
+                             const std::string& checkpoint,
+                             const LostRun& lost) {
   Job* job = Find(ref.step.job);
   StepProgress* progress = FindStep(ref.step);
   if (job == nullptr || progress == nullptr) return false;
@@ -221,7 +223,7 @@
   const bool late_done = end == RunEnd::kDone && !spec.long_running &&
                          task->phase != TaskPhase::kDone;
   if (!current && !late_done) return false;
-  if (!checkpoint.empty()) Checkpoint(ref, run, checkpoint);
+  if (!checkpoint.empty()) RecordCheckpoint(ref, run, checkpoint);
   MarkDirty(spec, ref);
   if (end == RunEnd::kDone && !spec.long_running) {
     if (!spec.gang) {
@@ -234,8 +236,8 @@
     return true;
   }
   SetPhase(progress, task, TaskPhase::kWaiting);
-  NoteCrash(end, lost, spec, &task->crashes);
-  JudgeTask(ref, job, *task);
+  UpdateCrashRecord(end, lost, spec, &task->crashes);
+  FailJobIfGivenUp(ref, job, *task);
   if (end != RunEnd::kFailed || spec.long_running) return true;
   int failures = ++task->failures;
   if (spec.gang) {
@@ -249,9 +251,9 @@
   return true;
 }
 
-void JobLedger::JudgeTask(const TaskRef& ref, Job* job,
-                          const TaskStatus& task) {
-  if (task.phase == TaskPhase::kDone || !task.crashes.IsToBlame()) return;
+void JobLedger::FailJobIfGivenUp(const TaskRef& ref, Job* job,
+                                 const TaskStatus& task) {
+  if (task.phase == TaskPhase::kDone || !task.crashes.ShouldGiveUp()) return;
   Fail(job,
        "task " + ref.ToString() + " was given up: " + task.crashes.ToText());
 }
@@ -262,8 +264,8 @@
   SetState(job, JobState::kFailed);
 }
 
-void JobLedger::Checkpoint(const TaskRef& ref, int run,
-                           const std::string& checkpoint) {
+void JobLedger::RecordCheckpoint(const TaskRef& ref, int run,
+                                 const std::string& checkpoint) {
   StepProgress* progress = FindStep(ref.step);
   if (progress == nullptr || checkpoint.empty()) return;
   const auto index = static_cast<size_t>(ref.index);
@@ -273,7 +275,7 @@
   task.checkpoint = checkpoint;
   const StepSpec* spec = FindStepSpec(ref.step);
   if (!spec->gang) return;
-  // A checkpoint of any member holds for the whole gang.
+  // A checkpoint of any member is valid for the whole gang.
   for (TaskStatus& member : progress->tasks) {
     member.checkpoint = checkpoint;
   }
@@ -314,8 +316,8 @@
 void JobLedger::OnTaskDone(Job* job, StepProgress* progress, TaskStatus* task) {
   SetPhase(progress, task, TaskPhase::kDone);
   if (progress->done < static_cast<int>(progress->tasks.size())) return;
-  --job->open_steps;
-  if (job->open_steps == 0 && !IsTerminal(job->state)) {
+  --job->unfinished_steps;
+  if (job->unfinished_steps == 0 && !IsTerminal(job->state)) {
     SetState(job, JobState::kCompleted);
   }
 }
--- a/tests/auto/coordination/tst_worker_fleet_incarnations.cc
+++ b/tests/auto/coordination/tst_worker_fleet_incarnations.cc
@@ -27,7 +27,7 @@
     CAPTURE(row.name);
     Fixture fixture;
     fixture.fleet.OnDirectoryRecord({"w1", "born at 5000", 1}, Fixture::Now());
-    fixture.calls.start_answer = StartOutcome::kOtherLife;
+    fixture.calls.start_answer = StartOutcome::kOtherIncarnation;
     fixture.Start();
     REQUIRE_FALSE(fixture.has_worker());
     fixture.fleet.OnDirectoryRecord({"w1", row.entry, 2}, Fixture::Now());
@@ -40,7 +40,7 @@
 TEST_CASE("ends are acknowledged once, to the incarnation that counted them") {
   Fixture fixture;
   fixture.calls.answer_long_polls = true;
-  fixture.calls.report.birth.born = FromUnixMilliseconds(5000);
+  fixture.calls.report.incarnation_start.time = FromUnixMilliseconds(5000);
   fixture.calls.report.ended = {{7, kTask, 1, RunEnd::kDone, ""}};
   fixture.Start();
   Time now = Fixture::Now();
@@ -68,10 +68,10 @@
   tick();
   CHECK(fixture.calls.polls_with_ends == 0);
   fixture.calls.report.running.clear();
-  fixture.calls.report.birth.born = FromUnixMilliseconds(9000);
+  fixture.calls.report.incarnation_start.time = FromUnixMilliseconds(9000);
   fixture.calls.report.ended.clear();
   tick();
-  CHECK(fixture.fleet.trackers().at("w1").life() == 1);
+  CHECK(fixture.fleet.trackers().at("w1").incarnation() == 1);
   fixture.fleet.OnEndsRecorded("w1", 0, 7);
   tick();
   CHECK(fixture.calls.recorded_ends.back() == 0);
@@ -79,12 +79,12 @@
 
 TEST_CASE("orders to the previous incarnation are stopped in the next one") {
   Fixture fixture;
-  fixture.calls.report.birth.born = FromUnixMilliseconds(5000);
+  fixture.calls.report.incarnation_start.time = FromUnixMilliseconds(5000);
   fixture.fleet.OnDirectoryRecord({"w2", "born at 5000", 1}, Fixture::Now());
   fixture.fleet.Add("w2", kTask, 1, RunProfile(), Fixture::Now());
   fixture.calls.start_answer = StartOutcome::kNoAnswer;
   fixture.fleet.SendStart("w2", kTask, 1, {});
-  fixture.calls.report.birth.born = FromUnixMilliseconds(9000);
+  fixture.calls.report.incarnation_start.time = FromUnixMilliseconds(9000);
   Time now = Fixture::Now();
   for (int i = 0; i < 3; ++i) {
     now += Milliseconds(300);
@@ -97,7 +97,7 @@
 
 TEST_CASE("an ended incarnation is not used while it is still listed") {
   Fixture fixture;
-  fixture.calls.start_answer = StartOutcome::kOtherLife;
+  fixture.calls.start_answer = StartOutcome::kOtherIncarnation;
   fixture.Start();
   fixture.fleet.OnDirectoryRecord({"w1", "listed", 1}, Fixture::Now());
   CHECK_FALSE(fixture.has_worker());
@@ -203,12 +203,13 @@
     const char* name;
     bool listed_again;
     bool answers;
-    WorkerBelief belief;
+    WorkerAvailability availability;
   };
   const std::vector<Row> rows = {
-      {"it answers", true, true, WorkerBelief::kUsable},
-      {"it does not answer", true, false, WorkerBelief::kSilent},
-      {"its record is not written again", false, true, WorkerBelief::kSilent},
+      {"it answers", true, true, WorkerAvailability::kUsable},
+      {"it does not answer", true, false, WorkerAvailability::kSilent},
+      {"its record is not written again", false, true,
+       WorkerAvailability::kSilent},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -232,7 +233,8 @@
       fixture.fleet.OnDirectoryRecord({"w1", "listed", 2}, now);
     }
     tick(5);
-    CHECK(fixture.fleet.trackers().at("w1").belief(now) == row.belief);
+    CHECK(fixture.fleet.trackers().at("w1").availability(now) ==
+          row.availability);
     // Once for each record, so that a worker that is gone is not called
     // forever.
     CHECK(fixture.calls.reports == asked + (row.listed_again ? 1 : 0));
