--- a/src/libs/jobs/urgent_jobs.cc
+++ b/src/libs/jobs/urgent_jobs.cc
@@ -61,20 +61,20 @@
 void UrgentJobs::Start() {
   if (mesh_ == nullptr) return;
   const std::weak_ptr<UrgentJobs> weak = weak_from_this();
-  mesh_->HandleMessages(kPlanType,
-                        [weak](const PeerIdentity&, const Message& message,
-                               const PeerMesh::Reply& reply) {
-                          if (const auto self = weak.lock()) {
-                            self->HandlePlan(message, reply);
-                          }
-                        });
-  mesh_->HandleMessages(kHoldType,
-                        [weak](const PeerIdentity&, const Message& message,
-                               const PeerMesh::Reply& reply) {
-                          if (const auto self = weak.lock()) {
-                            self->HandleHold(message, reply);
-                          }
-                        });
+  mesh_->SetMessageHandler(kPlanType,
+                           [weak](const PeerIdentity&, const Message& message,
+                                  const PeerMesh::Reply& reply) {
+                             if (const auto self = weak.lock()) {
+                               self->HandlePlan(message, reply);
+                             }
+                           });
+  mesh_->SetMessageHandler(kHoldType,
+                           [weak](const PeerIdentity&, const Message& message,
+                                  const PeerMesh::Reply& reply) {
+                             if (const auto self = weak.lock()) {
+                               self->HandleHold(message, reply);
+                             }
+                           });
 }
 
 void UrgentJobs::Submit(const JobRequest& job,
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -91,14 +91,14 @@
 };
 
 void MembershipManager::Impl::Install() {
-  mesh_.HandleMessages(kHeartbeat,
-                       [weak = weak_from_this()](const PeerIdentity& from,
-                                                 const Message& message,
-                                                 const PeerMesh::Reply&) {
-                         if (const auto self = weak.lock()) {
-                           self->HandleHeartbeat(from, message.body);
-                         }
-                       });
+  mesh_.SetMessageHandler(kHeartbeat,
+                          [weak = weak_from_this()](const PeerIdentity& from,
+                                                    const Message& message,
+                                                    const PeerMesh::Reply&) {
+                            if (const auto self = weak.lock()) {
+                              self->HandleHeartbeat(from, message.body);
+                            }
+                          });
   mesh_.HandleLinks(
       [weak = weak_from_this()](const PeerIdentity& peer, bool connected) {
         if (const auto self = weak.lock()) self->HandleLink(peer, connected);
--- a/src/libs/peers/snapshot_exchange.cc
+++ b/src/libs/peers/snapshot_exchange.cc
@@ -20,7 +20,7 @@
     : mesh_(mesh), timeout_(timeout), offsets_(std::move(offsets)) {}
 
 void SnapshotExchange::Install() {
-  mesh_.HandleMessages(
+  mesh_.SetMessageHandler(
       kStateRequest,
       [weak = weak_from_this()](const PeerIdentity&, const Message& message,
                                 const PeerMesh::Reply& reply) {
--- a/src/libs/protocol/peer_mesh.cc
+++ b/src/libs/protocol/peer_mesh.cc
@@ -202,7 +202,8 @@
 
 PeerMesh::~PeerMesh() { Stop(); }
 
-void PeerMesh::HandleMessages(const std::string& type, MessageHandler handler) {
+void PeerMesh::SetMessageHandler(const std::string& type,
+                                 MessageHandler handler) {
   impl_->message_handlers_[type] = std::move(handler);
 }
 
--- a/src/libs/protocol/peer_mesh.h
+++ b/src/libs/protocol/peer_mesh.h
@@ -65,7 +65,7 @@
   ~PeerMesh();
 
   // Handlers are set before Start. One handler per message type.
-  void HandleMessages(const std::string& type, MessageHandler handler);
+  void SetMessageHandler(const std::string& type, MessageHandler handler);
   void HandleLinks(LinkHandler handler);
   // `handler` learns where another live entry has this entry's own name. Both
   // entries learn it; what to do about it is not for the mesh to decide.
--- a/src/libs/requests/claim_manager.cc
+++ b/src/libs/requests/claim_manager.cc
@@ -46,13 +46,13 @@
                       return static_cast<double>(self->table_.key_count());
                     });
   if (mesh_ == nullptr) return;
-  mesh_->HandleMessages(kClaimOutcomeCall,
-                        [weak](const PeerIdentity&, const Message& message,
-                               PeerMesh::Reply reply) {
-                          auto self = weak.lock();
-                          if (!self || !reply) return;
-                          self->HandlePeerQuery(message, std::move(reply));
-                        });
+  mesh_->SetMessageHandler(kClaimOutcomeCall,
+                           [weak](const PeerIdentity&, const Message& message,
+                                  PeerMesh::Reply reply) {
+                             auto self = weak.lock();
+                             if (!self || !reply) return;
+                             self->HandlePeerQuery(message, std::move(reply));
+                           });
 }
 
 void ClaimManager::Impl::Start() {
--- a/src/libs/requests/demand_exchange.cc
+++ b/src/libs/requests/demand_exchange.cc
@@ -61,7 +61,7 @@
         timer_(io) {}
 
   void Connect() {
-    mesh_.HandleMessages(
+    mesh_.SetMessageHandler(
         kDemandMessage,
         [weak = weak_from_this()](const PeerIdentity& from,
                                   const Message& message, PeerMesh::Reply) {
--- a/tests/auto/protocol/tst_peer_mesh.cc
+++ b/tests/auto/protocol/tst_peer_mesh.cc
@@ -38,10 +38,11 @@
 };
 
 void Echo(PeerMesh* mesh) {
-  mesh->HandleMessages("echo", [](const PeerIdentity&, const Message& message,
-                                  const PeerMesh::Reply& reply) {
-    if (reply) reply(message.body);
-  });
+  mesh->SetMessageHandler("echo",
+                          [](const PeerIdentity&, const Message& message,
+                             const PeerMesh::Reply& reply) {
+                            if (reply) reply(message.body);
+                          });
 }
 
 std::unique_ptr<PeerMesh> StartEcho(boost::asio::io_context& io,
@@ -104,8 +105,8 @@
   std::mutex mutex;
   std::vector<PeerMesh::Reply> held;
   const auto b = std::make_unique<PeerMesh>(threads.io(), FastSettings("b"));
-  b->HandleMessages("hold", [&](const PeerIdentity&, const Message&,
-                                const PeerMesh::Reply& reply) {
+  b->SetMessageHandler("hold", [&](const PeerIdentity&, const Message&,
+                                   const PeerMesh::Reply& reply) {
     const std::lock_guard lock(mutex);
     held.push_back(reply);
   });
@@ -153,8 +154,8 @@
   other_settings.max_message_bytes = 1000;
   const auto b = std::make_unique<PeerMesh>(threads.io(), other_settings);
   const JoinAtExit join(threads);
-  b->HandleMessages("large", [](const PeerIdentity&, const Message&,
-                                const PeerMesh::Reply& reply) {
+  b->SetMessageHandler("large", [](const PeerIdentity&, const Message&,
+                                   const PeerMesh::Reply& reply) {
     reply({{"text", std::string(2000, 'x')}});
   });
   REQUIRE(b->Start(nullptr));
@@ -244,8 +245,8 @@
   const auto a = StartMesh(threads.io(), FastSettings("a"));
   auto b = std::make_unique<PeerMesh>(threads.io(), FastSettings("b"));
   const JoinAtExit join(threads);
-  b->HandleMessages("hold", [](const PeerIdentity&, const Message&,
-                               const PeerMesh::Reply&) {});
+  b->SetMessageHandler("hold", [](const PeerIdentity&, const Message&,
+                                  const PeerMesh::Reply&) {});
   REQUIRE(b->Start(nullptr));
   a->SetPeers({b->address()});
   REQUIRE(WaitUntil([&] { return HasPeer(*a, "b"); }));
