--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -99,7 +99,7 @@
                               self->HandleHeartbeat(from, message.body);
                             }
                           });
-  mesh_.HandleLinks(
+  mesh_.SetLinkHandler(
       [weak = weak_from_this()](const PeerIdentity& peer, bool connected) {
         if (const auto self = weak.lock()) self->HandleLink(peer, connected);
       });
--- a/src/libs/protocol/peer_mesh.cc
+++ b/src/libs/protocol/peer_mesh.cc
@@ -207,7 +207,7 @@
   impl_->message_handlers_[type] = std::move(handler);
 }
 
-void PeerMesh::HandleLinks(LinkHandler handler) {
+void PeerMesh::SetLinkHandler(LinkHandler handler) {
   impl_->link_handler_ = std::move(handler);
 }
 
--- a/src/libs/protocol/peer_mesh.h
+++ b/src/libs/protocol/peer_mesh.h
@@ -66,7 +66,7 @@
 
   // Handlers are set before Start. One handler per message type.
   void SetMessageHandler(const std::string& type, MessageHandler handler);
-  void HandleLinks(LinkHandler handler);
+  void SetLinkHandler(LinkHandler handler);
   // `handler` learns where another live entry has this entry's own name. Both
   // entries learn it; what to do about it is not for the mesh to decide.
   void HandleNameClash(std::function<void(const std::string& where)> handler);
--- a/tests/auto/protocol/tst_peer_mesh.cc
+++ b/tests/auto/protocol/tst_peer_mesh.cc
@@ -214,7 +214,7 @@
   std::mutex mutex;
   std::vector<std::string> changes;
   const auto a = std::make_unique<PeerMesh>(threads.io(), FastSettings("a"));
-  a->HandleLinks([&](const PeerIdentity& peer, bool connected) {
+  a->SetLinkHandler([&](const PeerIdentity& peer, bool connected) {
     const std::lock_guard lock(mutex);
     changes.push_back((connected ? "+" : "-") + peer.incarnation);
   });
