--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -161,7 +161,7 @@
  private:
   // Who tells whom.
   void Connect() {
-    mesh_.HandleNameClash(
+    mesh_.SetNameClashHandler(
         [this](const std::string& where) { OnNameClash(where); });
     tree_.AddReview(&review_);
     tree_.HandleChange([this](const SettingsTree& tree) { OnTree(tree); });
--- a/src/libs/protocol/peer_mesh.cc
+++ b/src/libs/protocol/peer_mesh.cc
@@ -211,7 +211,7 @@
   impl_->link_handler_ = std::move(handler);
 }
 
-void PeerMesh::HandleNameClash(
+void PeerMesh::SetNameClashHandler(
     std::function<void(const std::string& where)> handler) {
   impl_->name_clash_handler_ = std::move(handler);
 }
--- a/src/libs/protocol/peer_mesh.h
+++ b/src/libs/protocol/peer_mesh.h
@@ -69,7 +69,8 @@
   void SetLinkHandler(LinkHandler handler);
   // `handler` learns where another live entry has this entry's own name. Both
   // entries learn it; what to do about it is not for the mesh to decide.
-  void HandleNameClash(std::function<void(const std::string& where)> handler);
+  void SetNameClashHandler(
+      std::function<void(const std::string& where)> handler);
 
   // False and `*error` when the address cannot be listened on.
   bool Start(Error* error);
