--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -172,7 +172,7 @@
                          [this] { return tree_.Snapshot().value_or(Json()); });
     members_.AddSnapshot(kJobsSnapshot,
                          [this] { return jobs_.ProduceSnapshot(); });
-    members_.HandleChange(
+    members_.AddChangeHandler(
         [this](const MembershipChange&) { OnMembersChanged(); });
     members_.SetOffsets([this] { return Offsets(); });
   }
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -298,7 +298,7 @@
 
 MembershipManager::~MembershipManager() { impl_->Stop(); }
 
-void MembershipManager::HandleChange(ChangeHandler handler) {
+void MembershipManager::AddChangeHandler(ChangeHandler handler) {
   impl_->change_handlers_.push_back(std::move(handler));
 }
 
--- a/src/libs/peers/membership_manager.h
+++ b/src/libs/peers/membership_manager.h
@@ -66,7 +66,7 @@
   ~MembershipManager();
 
   // These before Start.
-  void HandleChange(ChangeHandler handler);
+  void AddChangeHandler(ChangeHandler handler);
   // `{stream: next offset}`, told with each heartbeat.
   void SetOffsets(Producer offsets);
   // A part of the heartbeat that belongs to another carrier.
--- a/tests/auto/peers/tst_membership_manager.cc
+++ b/tests/auto/peers/tst_membership_manager.cc
@@ -67,7 +67,7 @@
   }
   std::mutex mutex;
   std::vector<std::string> told;
-  entries[0]->members.HandleChange([&](const MembershipChange& change) {
+  entries[0]->members.AddChangeHandler([&](const MembershipChange& change) {
     const std::lock_guard lock(mutex);
     if (change.name != "c") return;
     told.push_back(change.incarnation + std::string(ToString(change.to)));
