--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -204,7 +204,7 @@
       if (instance.kind != InstanceKind::kEntry) continue;
       entries.push_back(instance.name);
     }
-    members_.SetListed(entries);
+    members_.SetListedNames(entries);
   }
 
   // A peer is asked while the log does not answer or has forgotten records
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -44,7 +44,7 @@
   void Start();
   void Stop();
   void SetReadiness(std::optional<bool> ready, bool leaving);
-  void SetListed(const std::vector<std::string>& names);
+  void SetListedNames(const std::vector<std::string>& names);
   void FetchSnapshot(const std::string& name, int64_t min_offset,
                      SnapshotCallback callback);
   // `own_offsets` become those of this entry.
@@ -134,7 +134,8 @@
   SendHeartbeat();
 }
 
-void MembershipManager::Impl::SetListed(const std::vector<std::string>& names) {
+void MembershipManager::Impl::SetListedNames(
+    const std::vector<std::string>& names) {
   const std::lock_guard lock(mutex_);
   table_.SetListedNames(names);
 }
@@ -327,8 +328,8 @@
   impl_->SetReadiness(std::nullopt, /*leaving=*/true);
 }
 
-void MembershipManager::SetListed(const std::vector<std::string>& names) {
-  impl_->SetListed(names);
+void MembershipManager::SetListedNames(const std::vector<std::string>& names) {
+  impl_->SetListedNames(names);
 }
 
 void MembershipManager::FetchSnapshot(const std::string& name,
--- a/src/libs/peers/membership_manager.h
+++ b/src/libs/peers/membership_manager.h
@@ -83,7 +83,7 @@
   void SetReady(bool ready);
   void SetLeaving();
   // The names of the entries on the instance list: a hint.
-  void SetListed(const std::vector<std::string>& names);
+  void SetListedNames(const std::vector<std::string>& names);
 
   // Asks the peers for the snapshot of stream `name`, those with the highest
   // offsets first, until one answers that has folded `min_offset` or more.
