--- a/benchmarks/bench_heartbeat.cc
+++ b/benchmarks/bench_heartbeat.cc
@@ -40,7 +40,7 @@
                  "domain",
                  {Milliseconds(FLAGS_interval_ms)},
                  Milliseconds(5000)}) {
-    members.SetOffsets([] {
+    members.SetOffsetsProducer([] {
       return Json{{"settings", 1200}, {"jobs", 1500000}, {"claims", 9000000}};
     });
     if (FLAGS_section_bytes <= 0) return;
--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -174,7 +174,7 @@
                          [this] { return jobs_.ProduceSnapshot(); });
     members_.AddChangeHandler(
         [this](const MembershipChange&) { OnMembersChanged(); });
-    members_.SetOffsets([this] { return Offsets(); });
+    members_.SetOffsetsProducer([this] { return Offsets(); });
   }
 
   // An entry that already serves stays; the one that begins gives way.
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -303,7 +303,7 @@
   impl_->change_handlers_.push_back(std::move(handler));
 }
 
-void MembershipManager::SetOffsets(Producer offsets) {
+void MembershipManager::SetOffsetsProducer(Producer offsets) {
   impl_->offsets_ = std::move(offsets);
 }
 
--- a/src/libs/peers/membership_manager.h
+++ b/src/libs/peers/membership_manager.h
@@ -68,7 +68,7 @@
   // These before Start.
   void AddChangeHandler(ChangeHandler handler);
   // `{stream: next offset}`, told with each heartbeat.
-  void SetOffsets(Producer offsets);
+  void SetOffsetsProducer(Producer offsets);
   // A part of the heartbeat that belongs to another carrier.
   void AddSection(std::string name, Producer produce, SectionConsumer consume);
   // What peers get that ask for the snapshot of stream `name`; null while
--- a/tests/auto/peers/tst_membership_manager.cc
+++ b/tests/auto/peers/tst_membership_manager.cc
@@ -136,7 +136,7 @@
   } peers[] = {{"b", 50, true}, {"c", 90, false}, {"d", 70, true}};
   for (const auto& peer : peers) {
     entries.push_back(std::make_unique<Entry>(threads.io(), peer.name, "1"));
-    entries.back()->members.SetOffsets([&peer] {
+    entries.back()->members.SetOffsetsProducer([&peer] {
       return Json{{"jobs", peer.offset}};
     });
     entries.back()->members.AddSnapshot("jobs", [&peer] {
