--- a/benchmarks/bench_heartbeat.cc
+++ b/benchmarks/bench_heartbeat.cc
@@ -44,7 +44,7 @@
       return Json{{"settings", 1200}, {"jobs", 1500000}, {"claims", 9000000}};
     });
     if (FLAGS_section_bytes <= 0) return;
-    members.AddSection(
+    members.AddHeartbeatSection(
         "shares", [] { return Json(std::string(FLAGS_section_bytes, 'x')); },
         nullptr);
   }
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -307,8 +307,8 @@
   impl_->offsets_ = std::move(offsets);
 }
 
-void MembershipManager::AddSection(std::string name, Producer produce,
-                                   SectionConsumer consume) {
+void MembershipManager::AddHeartbeatSection(std::string name, Producer produce,
+                                            SectionConsumer consume) {
   impl_->sections_[std::move(name)] = {std::move(produce), std::move(consume)};
 }
 
--- a/src/libs/peers/membership_manager.h
+++ b/src/libs/peers/membership_manager.h
@@ -70,7 +70,8 @@
   // `{stream: next offset}`, told with each heartbeat.
   void SetOffsetsProducer(Producer offsets);
   // A part of the heartbeat that belongs to another carrier.
-  void AddSection(std::string name, Producer produce, SectionConsumer consume);
+  void AddHeartbeatSection(std::string name, Producer produce,
+                           SectionConsumer consume);
   // What peers get that ask for the snapshot of stream `name`; null while
   // there is none.
   void AddSnapshot(std::string name, Producer produce);
--- a/tests/auto/peers/tst_membership_manager.cc
+++ b/tests/auto/peers/tst_membership_manager.cc
@@ -107,7 +107,7 @@
   const JoinAtExit join(threads);
   for (const char* name : {"a", "b"}) {
     entries.push_back(std::make_unique<Entry>(threads.io(), name, "1"));
-    entries.back()->members.AddSection(
+    entries.back()->members.AddHeartbeatSection(
         "shares",
         [name] {
           return Json{{"of", name}};
