--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -168,10 +168,11 @@
     tree_.SetFetchSnapshot([this](SettingsManager::SnapshotsCallback done) {
       FetchSettings(std::move(done));
     });
-    members_.AddSnapshot(kSettingsSnapshot,
-                         [this] { return tree_.Snapshot().value_or(Json()); });
-    members_.AddSnapshot(kJobsSnapshot,
-                         [this] { return jobs_.ProduceSnapshot(); });
+    members_.AddSnapshotProducer(kSettingsSnapshot, [this] {
+      return tree_.Snapshot().value_or(Json());
+    });
+    members_.AddSnapshotProducer(kJobsSnapshot,
+                                 [this] { return jobs_.ProduceSnapshot(); });
     members_.AddChangeHandler(
         [this](const MembershipChange&) { OnMembersChanged(); });
     members_.SetOffsetsProducer([this] { return Offsets(); });
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -312,8 +312,9 @@
   impl_->sections_[std::move(name)] = {std::move(produce), std::move(consume)};
 }
 
-void MembershipManager::AddSnapshot(std::string name, Producer produce) {
-  impl_->snapshots_->AddSnapshot(std::move(name), std::move(produce));
+void MembershipManager::AddSnapshotProducer(std::string name,
+                                            Producer produce) {
+  impl_->snapshots_->AddSnapshotProducer(std::move(name), std::move(produce));
 }
 
 void MembershipManager::Start() { impl_->Start(); }
--- a/src/libs/peers/membership_manager.h
+++ b/src/libs/peers/membership_manager.h
@@ -74,7 +74,7 @@
                            SectionConsumer consume);
   // What peers get that ask for the snapshot of stream `name`; null while
   // there is none.
-  void AddSnapshot(std::string name, Producer produce);
+  void AddSnapshotProducer(std::string name, Producer produce);
 
   void Start();
   // Handlers that are running on other threads may still end after it.
--- a/src/libs/peers/snapshot_exchange.cc
+++ b/src/libs/peers/snapshot_exchange.cc
@@ -30,8 +30,8 @@
       });
 }
 
-void SnapshotExchange::AddSnapshot(std::string name,
-                                   MembershipManager::Producer produce) {
+void SnapshotExchange::AddSnapshotProducer(
+    std::string name, MembershipManager::Producer produce) {
   producers_[std::move(name)] = std::move(produce);
 }
 
--- a/src/libs/peers/snapshot_exchange.h
+++ b/src/libs/peers/snapshot_exchange.h
@@ -26,7 +26,8 @@
   // Sets the handler on the mesh.
   void Install();
   // Before the mesh starts.
-  void AddSnapshot(std::string name, MembershipManager::Producer produce);
+  void AddSnapshotProducer(std::string name,
+                           MembershipManager::Producer produce);
   // Asks `peers` in their order until one answers with `min_offset` or more.
   void Fetch(const std::string& stream, int64_t min_offset,
              std::vector<std::string> peers,
--- a/tests/auto/peers/tst_membership_manager.cc
+++ b/tests/auto/peers/tst_membership_manager.cc
@@ -139,7 +139,7 @@
     entries.back()->members.SetOffsetsProducer([&peer] {
       return Json{{"jobs", peer.offset}};
     });
-    entries.back()->members.AddSnapshot("jobs", [&peer] {
+    entries.back()->members.AddSnapshotProducer("jobs", [&peer] {
       return peer.gives ? Json{{"from", peer.name}} : Json();
     });
   }
