--- a/benchmarks/bench_heartbeat.cc
+++ b/benchmarks/bench_heartbeat.cc
@@ -83,7 +83,7 @@
 bool WaitForAll(const Entries& entries) {
   const Time end = std::chrono::steady_clock::now() + kJoinTimeout;
   for (const auto& entry : entries) {
-    while (entry->members.alive().size() != entries.size()) {
+    while (entry->members.alive_members().size() != entries.size()) {
       if (std::chrono::steady_clock::now() > end) return false;
       std::this_thread::sleep_for(Milliseconds(10));
     }
--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -244,7 +244,7 @@
 
   void OnMembersChanged() {
     std::vector<std::string> names;
-    for (const MemberView& member : members_.alive()) {
+    for (const MemberView& member : members_.alive_members()) {
       names.push_back(member.name);
     }
     std::vector<ClaimHolder> reachable;
--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -343,7 +343,7 @@
   return impl_->Views(impl_->OwnOffsets());
 }
 
-std::vector<MemberView> MembershipManager::alive() const {
+std::vector<MemberView> MembershipManager::alive_members() const {
   std::vector<MemberView> views = impl_->Views(Json::object());
   views.erase(std::remove_if(views.begin(), views.end(),
                              [](const MemberView& view) {
--- a/src/libs/peers/membership_manager.h
+++ b/src/libs/peers/membership_manager.h
@@ -95,7 +95,7 @@
   std::vector<MemberView> members() const;
   // Those alive, with this entry when it is ready; the own offsets are left
   // out, so that no producer runs inside this call.
-  std::vector<MemberView> alive() const;
+  std::vector<MemberView> alive_members() const;
   std::optional<std::string> OwnerOf(const std::string& key) const;
   // `members()` for the status page.
   Json ToJson() const;
--- a/tests/auto/peers/tst_membership_manager.cc
+++ b/tests/auto/peers/tst_membership_manager.cc
@@ -43,7 +43,7 @@
 
   std::string alive() const {
     std::string names;
-    for (const MemberView& view : members.alive()) names += view.name;
+    for (const MemberView& view : members.alive_members()) names += view.name;
     return names;
   }
 
