--- a/src/libs/protocol/dialer.cc
+++ b/src/libs/protocol/dialer.cc
@@ -1,4 +1,4 @@
-// Backoff with jitter for each address.
+// Exponential backoff with jitter for each address.
 #include "protocol/dialer.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
   const std::set<std::string> wanted(addresses.begin(), addresses.end());
   for (auto it = targets_.begin(); it != targets_.end();) {
     it->second.wanted = wanted.count(it->first) > 0;
-    const bool in_use = it->second.wanted || it->second.dialing;
+    const bool in_use = it->second.wanted || it->second.dialing_or_linked;
     it = in_use ? std::next(it) : targets_.erase(it);
   }
   for (const std::string& address : wanted) {
@@ -30,16 +30,16 @@
     const std::set<std::string>& linked_names, Time now) {
   std::vector<std::string> due;
   for (auto& [address, target] : targets_) {
-    if (!target.wanted || target.dialing) continue;
+    if (!target.wanted || target.dialing_or_linked) continue;
     if (now < target.next_attempt) continue;
     if (linked_names.count(target.name) > 0) continue;
-    target.dialing = true;
+    target.dialing_or_linked = true;
     due.push_back(address);
   }
   return due;
 }
 
-void Dialer::HandleAnswer(const std::string& address, const std::string& name) {
+void Dialer::SetPeerName(const std::string& address, const std::string& name) {
   const auto found = targets_.find(address);
   if (found != targets_.end()) found->second.name = name;
 }
@@ -57,14 +57,14 @@
     targets_.erase(found);
     return;
   }
-  target.dialing = false;
+  target.dialing_or_linked = false;
   target.next_attempt = now + Jittered(target.delay);
   target.delay = std::min(target.delay * 2, max_delay_);
 }
 
-void Dialer::HandleLost(const std::string& name, Time now) {
+void Dialer::HandleLinkLost(const std::string& name, Time now) {
   for (auto& [address, target] : targets_) {
-    if (target.name != name || target.dialing) continue;
+    if (target.name != name || target.dialing_or_linked) continue;
     target.delay = initial_delay_;
     target.next_attempt = now + Jittered(initial_delay_);
   }
--- a/src/libs/protocol/hello.cc
+++ b/src/libs/protocol/hello.cc
@@ -1,4 +1,4 @@
-// Encoding and checks of the hello.
+// Encoding and validation of the hello message.
 #include "protocol/hello.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
   return text && !text->empty() && IsPrintable(*text);
 }
 
-// Failure domains are named by operators and may hold any UTF-8.
+// Operators choose the names of failure domains, which may contain any UTF-8.
 bool IsLabel(const std::optional<std::string>& text) {
   return text && text->size() <= kMaxNameLength;
 }
--- a/src/libs/protocol/hello.h
+++ b/src/libs/protocol/hello.h
@@ -1,8 +1,9 @@
-// The first frame on each link: who is at the other end.
+// The hello message, which is the first frame in each direction of a link and
+// identifies the sender.
 //
-// The dialler sends its hello when the link opens; the accepting end checks
-// the secret before it answers with its own, so that it never shows the secret
-// to a stranger.
+// The dialling end sends its hello when the link opens. The accepting end
+// checks the secret in it before it answers with its own hello, so that it does
+// not reveal the secret to an unauthorized client.
 #ifndef THORNPLANK_PROTOCOL_HELLO_H_
 #define THORNPLANK_PROTOCOL_HELLO_H_
 
@@ -16,25 +17,27 @@
 namespace thornplank {
 
 inline constexpr char kHelloType[] = "hello";
-// The longest frame accepted before the hello was checked.
+// The largest frame that is accepted before the hello was checked, in bytes.
 inline constexpr size_t kMaxHelloBytes = 4096;
 
 struct Hello {
-  // 1 to 128 printable ASCII characters each; the failure domain may be empty.
+  // 1 to 128 printable ASCII characters without blanks each.
   std::string name;
   std::string incarnation;
+  // At most 128 bytes of UTF-8; may be empty.
   std::string failure_domain;
   std::string secret;
-  // False in an answer when the accepting end already has a better link to
-  // this peer and closes the new one.
+  // False in the answer of an accepting end that keeps another link to this
+  // peer and closes the new one.
   bool kept = true;
 };
 
 Json ToJson(const Hello& hello);
-// nullopt and `*error` when a field is absent or malformed.
+// Returns nullopt and sets `*error` if a field is absent or malformed.
 std::optional<Hello> HelloFromJson(const Json& body, Error* error);
 
-// Compares in a time that depends on the lengths only.
+// Compares in a time that depends only on the lengths, so that the time does
+// not reveal how much of a guess is right.
 bool SecretsEqual(const std::string& left, const std::string& right);
 
 }  // namespace thornplank
--- a/src/libs/protocol/message.cc
+++ b/src/libs/protocol/message.cc
@@ -1,4 +1,4 @@
-// CBOR encoding and checked decoding of the envelope.
+// CBOR encoding of the envelope, and decoding with validation.
 #include "protocol/message.h"
 
 #include <utility>
@@ -20,7 +20,7 @@
 std::string EncodeMessage(const Message& message) {
   Json envelope = {
       {"v", kProtocolVersion}, {"type", message.type}, {"body", message.body}};
-  if (message.correlation != 0) envelope["id"] = message.correlation;
+  if (message.correlation_id != 0) envelope["id"] = message.correlation_id;
   if (message.is_reply) envelope["reply"] = true;
   std::string frame;
   Json::to_cbor(envelope, frame);
@@ -52,9 +52,9 @@
   const auto id = envelope.find("id");
   if (id != envelope.end()) {
     if (!id->is_number_unsigned()) return Refuse(error, "malformed id");
-    message.correlation = id->get<uint64_t>();
+    message.correlation_id = id->get<uint64_t>();
   }
-  if (message.is_reply && message.correlation == 0) {
+  if (message.is_reply && message.correlation_id == 0) {
     return Refuse(error, "a reply without an id");
   }
   return message;
--- a/src/libs/protocol/message.h
+++ b/src/libs/protocol/message.h
@@ -1,9 +1,9 @@
-// The envelope of the inner protocol between entries.
+// The message envelope of the peer protocol, which the entries speak with each
+// other.
 //
-// Each message is one binary WebSocket frame that holds one CBOR map:
-// {"v": protocol version, "type": name, "id": correlation, "reply": true,
-// "body": map}; "id" and "reply" are left out where they would be 0 and false.
-// The typed bodies stand in the other headers of this library.
+// Each message is one binary WebSocket frame that contains one CBOR map:
+// {"v": protocol version, "type": name, "id": correlation id, "reply": true,
+// "body": map}. "id" and "reply" are omitted if they are 0 and false.
 #ifndef THORNPLANK_PROTOCOL_MESSAGE_H_
 #define THORNPLANK_PROTOCOL_MESSAGE_H_
 
@@ -20,18 +20,18 @@
 inline constexpr int kProtocolVersion = 1;
 
 struct Message {
-  // Names are listed with their bodies in docs/PROTOCOLS.md.
+  // The types and their bodies are listed in docs/PROTOCOLS.md.
   std::string type;
-  // Nonzero for a call and for its reply; zero for one-way messages.
-  uint64_t correlation = 0;
+  // Nonzero for calls and replies, zero for one-way messages. A reply has the
+  // id of its call.
+  uint64_t correlation_id = 0;
   bool is_reply = false;
   Json body = Json::object();
 };
 
-// The frame for a message.
 std::string EncodeMessage(const Message& message);
-// nullopt and `*error` when the frame is malformed, too deep, or of another
-// protocol version.
+// Returns nullopt and sets `*error` if the frame is malformed, nested too
+// deeply, or of a different protocol version.
 std::optional<Message> DecodeMessage(std::string_view frame, Error* error);
 
 }  // namespace thornplank
--- a/src/libs/protocol/peer_mesh.cc
+++ b/src/libs/protocol/peer_mesh.cc
@@ -1,5 +1,4 @@
-// The mesh towards its users: start, stop, sending, calls, and the regular
-// tick.
+// The public functions of PeerMesh, and the periodic tick.
 #include "protocol/peer_mesh.h"
 
 #include <algorithm>
@@ -21,7 +20,7 @@
     : settings_(std::move(settings)),
       io_(io),
       tick_timer_(io),
-      link_events_(boost::asio::make_strand(io)),
+      link_event_strand_(boost::asio::make_strand(io)),
       calls_(std::make_shared<PendingCalls>(io)),
       transport_(io, settings_.silence_timeout, kMaxHelloBytes),
       dialer_(settings_.reconnect_delay, settings_.max_reconnect_delay,
@@ -92,18 +91,19 @@
 
 void PeerMesh::Impl::Call(const std::string& peer, const std::string& type,
                           Json body, Duration timeout, CallCallback callback) {
-  const uint64_t correlation = calls_->NextCorrelation();
+  const uint64_t correlation_id = calls_->NextCorrelationId();
   const std::string frame =
-      EncodeMessage(Message{type, correlation, false, std::move(body)});
+      EncodeMessage(Message{type, correlation_id, false, std::move(body)});
   const std::lock_guard lock(mutex_);
   const PeerLinkPtr link = FindLink(peer);
   if (!link) {
     calls_->Reject(peer, type, "no link", std::move(callback));
     return;
   }
-  calls_->Add(correlation, link->id, peer, type, timeout, std::move(callback));
+  calls_->Add(correlation_id, link->id, peer, type, timeout,
+              std::move(callback));
   if (!SendFrame(*link, frame)) {
-    calls_->Fail(correlation, "too large, or too much is queued");
+    calls_->Fail(correlation_id, "too large, or too much is queued");
   }
 }
 
@@ -118,7 +118,7 @@
 void PeerMesh::Impl::ScheduleTick() {
   const Milliseconds tick = std::max(
       kMinTick, std::min(settings_.reconnect_delay / 2,
-                         settings_.silence_timeout / (2 * kPingsPerSilence)));
+                         settings_.silence_timeout / (2 * kPingDivisor)));
   tick_timer_.expires_after(tick);
   tick_timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& ec) {
@@ -134,8 +134,8 @@
     const std::lock_guard lock(mutex_);
     if (stopped_) return;
     const Time now = Now();
-    ForgivePause(now);
-    silent = CheckSilence(now);
+    RestartSilenceTimersAfterPause(now);
+    silent = CheckLinks(now);
     due = DueAddresses(now);
     ScheduleTick();
   }
@@ -143,33 +143,34 @@
   for (const std::string& address : due) Dial(address);
 }
 
-// After a pause of this process, what the peers sent still waits to be read.
-void PeerMesh::Impl::ForgivePause(Time now) {
+// After a pause of this process, data that the peers have sent is still unread,
+// so their links do not count as silent.
+void PeerMesh::Impl::RestartSilenceTimersAfterPause(Time now) {
   const Duration gap = now - last_tick_;
   last_tick_ = now;
-  if (gap < settings_.silence_timeout / kStaleLinksPerSilence) return;
-  for (const auto& [name, link] : links_) link->last_heard = now;
+  if (gap < settings_.silence_timeout / kStaleLinkDivisor) return;
+  for (const auto& [name, link] : links_) link->last_received_at = now;
 }
 
-std::vector<PeerLinkPtr> PeerMesh::Impl::CheckSilence(Time now) {
+std::vector<PeerLinkPtr> PeerMesh::Impl::CheckLinks(Time now) {
   std::vector<PeerLinkPtr> silent;
   for (const auto& [id, link] : opening_) {
-    if (now - link->last_heard > settings_.silence_timeout) {
+    if (now - link->last_received_at > settings_.silence_timeout) {
       silent.push_back(link);
     }
   }
   for (const auto& [id, retiring] : retiring_) {
     if (now >= retiring.close_at) silent.push_back(retiring.link);
   }
-  const Duration ping_after = settings_.silence_timeout / kPingsPerSilence;
+  const Duration ping_after = settings_.silence_timeout / kPingDivisor;
   for (const auto& [name, link] : links_) {
-    const Duration quiet = now - link->last_heard;
-    if (quiet > settings_.silence_timeout) {
+    const Duration silence = now - link->last_received_at;
+    if (silence > settings_.silence_timeout) {
       silent.push_back(link);
       continue;
     }
-    if (quiet < ping_after || now - link->last_ping < ping_after) continue;
-    link->last_ping = now;
+    if (silence < ping_after || now - link->last_ping_at < ping_after) continue;
+    link->last_ping_at = now;
     link->socket->Ping();
     bytes_sent_ += FrameBytes(0, link->dialed());
   }
--- a/src/libs/protocol/peer_mesh.h
+++ b/src/libs/protocol/peer_mesh.h
@@ -1,8 +1,11 @@
-// WebSocket links between the entries: one link per pair, kept up for ever.
+// WebSocket links between the entries: one permanent link per pair.
 //
-// websocketpp stays inside peer_mesh.cc. A link that has been silent for
-// `silence_timeout` is closed and opened anew, since something between the
-// two ends may have lost track of it.
+// A link on which nothing was received for `silence_timeout` is closed and
+// opened again, since a device between the two ends may have dropped the
+// connection without telling them.
+//
+// Thread-safe after Start. Handlers and callbacks run on threads of the
+// io_context, without a lock held.
 #ifndef THORNPLANK_PROTOCOL_PEER_MESH_H_
 #define THORNPLANK_PROTOCOL_PEER_MESH_H_
 
@@ -25,20 +28,23 @@
 namespace thornplank {
 
 struct PeerMeshSettings {
-  // This entry's instance name, and an id that is new at each start.
+  // This entry's instance name.
   std::string name;
+  // An id that is new each time the process starts.
   std::string incarnation;
   std::string failure_domain;
   // "ip:port" to listen on.
   std::string listen;
-  // Secret shared by the entries; a link without it is closed.
+  // The secret of all entries; a peer that does not present it is refused.
   std::string shared_secret;
+  // The first delay before an address is dialled again; it doubles after each
+  // failure.
   Milliseconds reconnect_delay{200};
   Milliseconds max_reconnect_delay{2000};
   Milliseconds silence_timeout{3000};
   size_t max_message_bytes = 8 * 1024 * 1024;
-  // Bytes queued to one peer beyond which one-way messages are dropped and
-  // calls fail at once.
+  // If more bytes than this would be queued to one peer, one-way messages are
+  // dropped and calls fail at once.
   size_t max_queued_bytes = 8 * 1024 * 1024;
 };
 
@@ -50,45 +56,51 @@
 
 class PeerMesh {
  public:
-  // One-way messages and calls from a peer. To answer a call, use `reply`;
-  // it is empty for one-way messages. May run on any thread.
+  // Answers a call. May be called on any thread; only the first call has an
+  // effect.
   using Reply = std::function<void(Json body)>;
+  // Handles a one-way message or a call from a peer. `reply` is empty for a
+  // one-way message. May run on any thread.
   using MessageHandler = std::function<void(
       const PeerIdentity& from, const Message& message, Reply reply)>;
   using LinkHandler =
       std::function<void(const PeerIdentity& peer, bool connected)>;
-  // The reply's body, or an error.
+  // `body` is the body of the reply, or nullopt if the call failed.
   using CallCallback =
       std::function<void(std::optional<Json> body, const Error& error)>;
 
   PeerMesh(boost::asio::io_context& io, PeerMeshSettings settings);
   ~PeerMesh();
 
-  // Handlers are set before Start. One handler per message type.
+  // Handlers must be set before Start. One handler per message type.
   void SetMessageHandler(const std::string& type, MessageHandler handler);
   void SetLinkHandler(LinkHandler handler);
-  // `handler` learns where another live entry has this entry's own name. Both
-  // entries learn it; what to do about it is not for the mesh to decide.
+  // `handler` is called with the address at which another live entry has the
+  // name of this entry. Both entries are notified; the handler decides what to
+  // do.
   void SetNameClashHandler(
       std::function<void(const std::string& where)> handler);
 
-  // False and `*error` when the address cannot be listened on.
+  // Returns false and sets `*error` if it cannot listen on the address.
   bool Start(Error* error);
-  // The addresses to hold links to, this entry's own excepted.
+  // The addresses to keep links to; this entry's own address is ignored.
   void SetPeers(const std::vector<std::string>& addresses);
   void Stop();
 
-  // Sends a one-way message; false when there is no link to `peer` (a name).
+  // Sends a one-way message to the entry named `peer`. Returns false if there
+  // is no link to it, or if the message is too large or exceeds the queue.
   bool Send(const std::string& peer, const std::string& type, Json body);
+  // Sends a one-way message to all linked peers.
   void Broadcast(const std::string& type, const Json& body);
   // Calls a peer; `callback` runs once, on any thread.
   void Call(const std::string& peer, const std::string& type, Json body,
             Duration timeout, CallCallback callback);
 
   std::vector<PeerIdentity> connected_peers() const;
-  // Bytes of frames sent and received since the start.
+  // Bytes of frames sent and received since the start, with their headers.
   uint64_t bytes_sent() const;
   uint64_t bytes_received() const;
+  // The bound "ip:port"; empty before Start.
   std::string address() const;
 
  private:
--- a/src/libs/protocol/peer_mesh_impl.h
+++ b/src/libs/protocol/peer_mesh_impl.h
@@ -1,7 +1,7 @@
-// The inside of PeerMesh; included by its source files only.
+// The implementation of PeerMesh; included only by its source files.
 //
-// Lock order: PeerMesh::Impl::mutex_, then the locks inside PendingCalls and
-// the sockets. No handler or callback of a user runs with any of them held.
+// Lock order: PeerMesh::Impl::mutex_ before the locks of PendingCalls and the
+// sockets. No handler or callback of a user runs with any of them held.
 #ifndef THORNPLANK_PROTOCOL_PEER_MESH_IMPL_H_
 #define THORNPLANK_PROTOCOL_PEER_MESH_IMPL_H_
 
@@ -29,10 +29,11 @@
 
 namespace thornplank {
 
-// Parts of the silence timeout after which a quiet link is pinged, and after
-// which it yields to a new link from the same peer.
-inline constexpr int kPingsPerSilence = 4;
-inline constexpr int kStaleLinksPerSilence = 2;
+// A link is pinged after the silence timeout divided by kPingDivisor without
+// received data, and counts as stale, so that any new link to the same peer
+// replaces it, after the silence timeout divided by kStaleLinkDivisor.
+inline constexpr int kPingDivisor = 4;
+inline constexpr int kStaleLinkDivisor = 2;
 
 class PeerMesh::Impl : public std::enable_shared_from_this<Impl> {
  public:
@@ -48,7 +49,7 @@
   std::vector<PeerIdentity> connected_peers() const;
   std::string address() const { return transport_.address(); }
 
-  // Written before Start only.
+  // Written only before Start.
   std::unordered_map<std::string, MessageHandler> message_handlers_;
   LinkHandler link_handler_;
   std::function<void(const std::string& where)> name_clash_handler_;
@@ -59,9 +60,10 @@
  private:
   void ScheduleTick();
   void Tick();
-  // The three parts of a tick, with mutex_ held.
-  void ForgivePause(Time now);
-  std::vector<PeerLinkPtr> CheckSilence(Time now);
+  // The three parts of a tick. mutex_ must be held.
+  void RestartSilenceTimersAfterPause(Time now);
+  // Pings quiet links and returns the links that are to be closed.
+  std::vector<PeerLinkPtr> CheckLinks(Time now);
   std::vector<std::string> DueAddresses(Time now);
 
   void Dial(const std::string& address);
@@ -74,23 +76,28 @@
   void HandleMessage(const PeerLinkPtr& link, const Message& message);
   void HandleClosed(const PeerLinkPtr& link, const std::string& reason);
   void Refuse(const PeerLinkPtr& link, const Error& error);
-  // Ends a link from this end.
+  // Closes a link from this end.
   void Close(const PeerLinkPtr& link, const std::string& reason);
-  // nullopt when the hello is acceptable.
-  // Tells the handler and, on an accepted link, the other end.
+  // If the other end has the name of this entry, notifies the handler and, on
+  // an accepted link, the other end.
   void ReportNameClash(const PeerLink& link, const Hello& hello);
+  // Returns nullopt if the hello is acceptable. `*hello` is set once the secret
+  // has been checked.
   std::optional<Error> CheckHello(const PeerLink& link, const Message& message,
                                   Hello* hello) const;
   Reply MakeReply(const PeerLinkPtr& link, const Message& call);
-  LinkState Touch(const PeerLinkPtr& link);
+  LinkState UpdateLastReceived(const PeerLinkPtr& link);
 
-  // With mutex_ held.
+  // mutex_ must be held for this and the following functions.
+  // Decides whether `link` is kept and, if so, establishes it. `*replaced` is
+  // set to a link that the caller must close.
   bool KeepLink(const PeerLinkPtr& link, const Hello& hello,
                 PeerLinkPtr* replaced);
   void MarkClosed(const PeerLinkPtr& link);
-  // Another link to the same incarnation stays; this one takes nothing new,
-  // but what is on its way still arrives and is answered.
-  void Retire(const PeerLinkPtr& link);
+  // Used if another link to the same incarnation is kept. Nothing new is sent
+  // on `link`, but messages in transit still arrive and are answered; it is
+  // closed after half of the silence timeout.
+  void RetireLink(const PeerLinkPtr& link);
   void SendHello(const PeerLink& link, bool kept);
   bool SendFrame(const PeerLink& link, const std::string& frame);
   PeerLinkPtr FindLink(const std::string& peer) const;
@@ -100,18 +107,19 @@
   const PeerMeshSettings settings_;
   boost::asio::io_context& io_;
   boost::asio::steady_timer tick_timer_;
-  // Keeps the order of link events.
-  boost::asio::strand<boost::asio::io_context::executor_type> link_events_;
+  // Keeps link events in order.
+  boost::asio::strand<boost::asio::io_context::executor_type>
+      link_event_strand_;
   const std::shared_ptr<PendingCalls> calls_;
   PeerTransport transport_;
 
   mutable std::mutex mutex_;
-  // All members below are guarded by mutex_.
+  // The members below are guarded by mutex_.
   bool stopped_ = false;
   uint64_t last_link_id_ = 0;
   Time last_tick_;
   Dialer dialer_;
-  // Links without a hello so far, by id.
+  // Links on which no hello was received yet, by id.
   std::map<uint64_t, PeerLinkPtr> opening_;
   // Established links by the peer's name; none of them is kClosed.
   std::map<std::string, PeerLinkPtr> links_;
@@ -119,10 +127,10 @@
     PeerLinkPtr link;
     Time close_at;
   };
-  // Established links that another one has replaced, by id.
+  // Established links that another link has replaced, by id; see RetireLink.
   std::map<uint64_t, RetiringLink> retiring_;
-  // Incarnations that a newer one has replaced, by name.
-  std::map<std::string, std::deque<std::string>> retired_;
+  // Earlier incarnations of each peer, by name. Their hellos are refused.
+  std::map<std::string, std::deque<std::string>> retired_incarnations_;
 };
 
 }  // namespace thornplank
--- a/src/libs/protocol/peer_mesh_links.cc
+++ b/src/libs/protocol/peer_mesh_links.cc
@@ -1,4 +1,5 @@
-// The rules for links: hello, one link per pair, what comes in, what ends.
+// Handling of links: the hello, one link per pair of entries, received
+// messages, and the end of a link.
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <initializer_list>
@@ -10,11 +11,11 @@
 namespace thornplank {
 namespace {
 
-// The type of a reply that carries a reason in place of a result.
+// The type of a reply that contains the reason of a failure.
 constexpr char kErrorType[] = "error";
-// Connections without a hello beyond this number are refused.
+// The limit on links without a hello; further connections are refused.
 constexpr size_t kMaxOpeningLinks = 64;
-// Earlier incarnations of one name that are remembered and refused.
+// How many earlier incarnations of one name are remembered and refused.
 constexpr size_t kMaxRetiredIncarnations = 8;
 
 Time Now() { return std::chrono::steady_clock::now(); }
@@ -55,7 +56,7 @@
     const std::lock_guard lock(mutex_);
     link->id = ++last_link_id_;
     link->socket = std::move(socket);
-    link->last_heard = Now();
+    link->last_received_at = Now();
     if (stopped_) link->state = LinkState::kClosed;
     if (!stopped_) opening_.emplace(link->id, link);
   }
@@ -65,9 +66,9 @@
   handlers.received = [self, link](std::string_view frame) {
     self->HandleFrame(link, frame);
   };
-  handlers.heard = [self, link] {
+  handlers.control_frame_received = [self, link] {
     self->bytes_received_ += FrameBytes(0, !link->dialed());
-    self->Touch(link);
+    self->UpdateLastReceived(link);
   };
   handlers.closed = [self, link](const std::string& reason) {
     self->HandleClosed(link, reason);
@@ -88,7 +89,7 @@
 void PeerMesh::Impl::HandleFrame(const PeerLinkPtr& link,
                                  std::string_view frame) {
   bytes_received_ += FrameBytes(frame.size(), !link->dialed());
-  const LinkState state = Touch(link);
+  const LinkState state = UpdateLastReceived(link);
   if (state == LinkState::kClosed) return;
   Error error;
   const std::optional<Message> message = DecodeMessage(frame, &error);
@@ -103,9 +104,9 @@
   }
 }
 
-LinkState PeerMesh::Impl::Touch(const PeerLinkPtr& link) {
+LinkState PeerMesh::Impl::UpdateLastReceived(const PeerLinkPtr& link) {
   const std::lock_guard lock(mutex_);
-  link->last_heard = Now();
+  link->last_received_at = Now();
   return link->state;
 }
 
@@ -155,9 +156,9 @@
     const std::lock_guard lock(mutex_);
     if (link->state == LinkState::kClosed) return;
     link->peer = {hello.name, hello.incarnation, hello.failure_domain};
-    if (link->dialed()) dialer_.HandleAnswer(link->dialed_address, hello.name);
+    if (link->dialed()) dialer_.SetPeerName(link->dialed_address, hello.name);
     kept = KeepLink(link, hello, &replaced);
-    // Under the lock, so that nothing goes out before the hello.
+    // With the lock held, so that no other message is sent before the hello.
     if (!link->dialed()) SendHello(*link, kept);
   }
   if (replaced) {
@@ -170,28 +171,28 @@
 bool PeerMesh::Impl::KeepLink(const PeerLinkPtr& link, const Hello& hello,
                               PeerLinkPtr* replaced) {
   if (link->dialed() && !hello.kept) return false;
-  std::deque<std::string>& retired = retired_[hello.name];
+  std::deque<std::string>& retired = retired_incarnations_[hello.name];
   if (std::find(retired.begin(), retired.end(), hello.incarnation) !=
       retired.end()) {
     return false;
   }
-  const Duration stale_after =
-      settings_.silence_timeout / kStaleLinksPerSilence;
+  const Duration stale_after = settings_.silence_timeout / kStaleLinkDivisor;
   const PeerLinkPtr existing = FindLink(hello.name);
   if (existing &&
       !TakesOver(*link, *existing, settings_.name, Now(), stale_after)) {
-    // The other end may have used it already.
-    if (link->dialed()) Retire(link);
+    // The other end may have sent messages on it already.
+    if (link->dialed()) RetireLink(link);
     return link->dialed();
   }
   const bool restarted =
       existing && existing->peer.incarnation != hello.incarnation;
-  const bool stale = existing && Now() - existing->last_heard > stale_after;
+  const bool stale =
+      existing && Now() - existing->last_received_at > stale_after;
   if (existing && (restarted || stale)) {
     MarkClosed(existing);
     *replaced = existing;
   } else if (existing) {
-    Retire(existing);
+    RetireLink(existing);
   }
   if (restarted) {
     retired.push_back(existing->peer.incarnation);
@@ -211,43 +212,43 @@
   if (message.is_reply) {
     std::optional<Json> body;
     if (message.type != kErrorType) body = message.body;
-    // A late reply finds no call and ends here.
-    calls_->Resolve(link->id, message.correlation, std::move(body),
+    // A reply whose call has ended already is dropped.
+    calls_->Resolve(link->id, message.correlation_id, std::move(body),
                     StringField(message.body, "reason").value_or("refused"));
     return;
   }
   const auto handler = message_handlers_.find(message.type);
   if (handler != message_handlers_.end()) {
-    // The peer of an established link does not change any more.
+    // Read without the lock: the peer of an established link does not change.
     handler->second(link->peer, message, MakeReply(link, message));
     return;
   }
-  if (message.correlation == 0) return;
+  if (message.correlation_id == 0) return;
   const Json body = {{"reason", "no handler for " + message.type}};
   const std::string frame =
-      EncodeMessage(Message{kErrorType, message.correlation, true, body});
+      EncodeMessage(Message{kErrorType, message.correlation_id, true, body});
   const std::lock_guard lock(mutex_);
   SendFrame(*link, frame);
 }
 
 PeerMesh::Reply PeerMesh::Impl::MakeReply(const PeerLinkPtr& link,
                                           const Message& call) {
-  if (call.correlation == 0) return nullptr;
+  if (call.correlation_id == 0) return nullptr;
   const auto answered = std::make_shared<std::atomic<bool>>(false);
   return [weak = weak_from_this(), link, answered, type = call.type,
-          correlation = call.correlation](Json body) {
+          correlation_id = call.correlation_id](Json body) {
     const auto self = weak.lock();
     if (!self || answered->exchange(true)) return;
     const std::string frame =
-        EncodeMessage(Message{type, correlation, true, std::move(body)});
+        EncodeMessage(Message{type, correlation_id, true, std::move(body)});
     const std::lock_guard lock(self->mutex_);
     if (link->state != LinkState::kEstablished) return;
     if (self->SendFrame(*link, frame)) return;
     const Json reason = {{"reason",
                           "the reply is too large, or the peer "
                           "reads too slowly"}};
-    self->SendFrame(
-        *link, EncodeMessage(Message{kErrorType, correlation, true, reason}));
+    self->SendFrame(*link, EncodeMessage(Message{kErrorType, correlation_id,
+                                                 true, reason}));
   };
 }
 
@@ -281,7 +282,7 @@
   calls_->FailLink(link->id, "the link was closed: " + reason);
 }
 
-void PeerMesh::Impl::Retire(const PeerLinkPtr& link) {
+void PeerMesh::Impl::RetireLink(const PeerLinkPtr& link) {
   opening_.erase(link->id);
   link->state = LinkState::kEstablished;
   retiring_[link->id] = {link, Now() + settings_.silence_timeout / 2};
@@ -293,7 +294,7 @@
   const auto found = links_.find(link->peer.name);
   if (found != links_.end() && found->second == link) {
     links_.erase(found);
-    dialer_.HandleLost(link->peer.name, Now());
+    dialer_.HandleLinkLost(link->peer.name, Now());
   }
   link->state = LinkState::kClosed;
 }
@@ -310,8 +311,8 @@
 
 void PeerMesh::Impl::PostLinkEvent(const PeerIdentity& peer, bool connected,
                                    const std::string& reason) {
-  boost::asio::post(link_events_, [self = shared_from_this(), peer, connected,
-                                   reason] {
+  boost::asio::post(link_event_strand_, [self = shared_from_this(), peer,
+                                         connected, reason] {
     const std::initializer_list<EventField> fields = {
         {"peer", peer.name},
         {"incarnation", peer.incarnation},
--- a/src/libs/protocol/peer_socket.cc
+++ b/src/libs/protocol/peer_socket.cc
@@ -1,8 +1,8 @@
 // PeerSocket and PeerTransport over websocketpp and Boost.Asio.
 //
-// websocketpp drives each connection once its TCP socket is connected;
-// accepting and connecting are done here, so that every pending operation
-// owns what it uses and the endpoints outlive their connections.
+// websocketpp runs each connection once its TCP socket is connected. Accepting
+// and connecting are implemented here, so that every pending operation owns the
+// objects it uses and the endpoints outlive their connections.
 #include "protocol/peer_socket.h"
 
 #include <atomic>
@@ -22,17 +22,18 @@
 namespace {
 
 using boost::asio::ip::tcp;
-// One configuration for both ends gives both the same connection type.
+// The same configuration for both ends, so that both have the same connection
+// type.
 using Config = websocketpp::config::asio_client;
 using ServerEndpoint = websocketpp::server<Config>;
 using ClientEndpoint = websocketpp::client<Config>;
 using Connection = websocketpp::connection<Config>;
 using ConnectionPtr = std::shared_ptr<Connection>;
-using Hdl = websocketpp::connection_hdl;
+using ConnectionHandle = websocketpp::connection_hdl;
 
-// How long a closed connection may wait for the other end's goodbye.
+// How long a closing connection waits for the close frame of the other end.
 constexpr Milliseconds kCloseHandshakeTimeout{500};
-// Pause after an accept that failed, for instance without file descriptors.
+// Delay after a failed accept, for example if no file descriptor is free.
 constexpr Milliseconds kAcceptRetryDelay{100};
 // A close frame holds at most 123 bytes of text.
 constexpr size_t kMaxCloseReason = 120;
@@ -59,15 +60,17 @@
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// websocketpp finds out the byte order at the first use, without a lock.
-void LearnByteOrder() {
+// websocketpp determines the byte order on first use, without a lock. Doing it
+// in the initializer of a static variable prevents a data race.
+void InitializeByteOrder() {
   [[maybe_unused]] static const uint64_t order =
       websocketpp::lib::net::_htonll(1);
 }
 
 template <typename Endpoint>
-void Prepare(Endpoint* endpoint, boost::asio::io_context* io,
-             Milliseconds handshake_timeout, size_t max_message_bytes) {
+void InitializeEndpoint(Endpoint* endpoint, boost::asio::io_context* io,
+                        Milliseconds handshake_timeout,
+                        size_t max_message_bytes) {
   endpoint->clear_access_channels(websocketpp::log::alevel::all);
   endpoint->clear_error_channels(websocketpp::log::elevel::all);
   websocketpp::lib::error_code ec;
@@ -77,8 +80,8 @@
   endpoint->set_max_message_size(max_message_bytes);
 }
 
-// websocketpp guards only part of a connection's state by locks, so all use of
-// a connection goes through its strand, on which its own handlers run too.
+// websocketpp protects only part of a connection's state with locks, so every
+// access to a connection runs on its strand, as its handlers do.
 class WebSocket : public PeerSocket {
  public:
   explicit WebSocket(const ConnectionPtr& connection)
@@ -87,11 +90,11 @@
   bool Send(const std::string& frame) override {
     const ConnectionPtr connection = connection_.lock();
     if (!connection) return false;
-    queue_->posted += frame.size();
+    queue_->posted_bytes += frame.size();
     connection->get_strand()->post([connection, frame, queue = queue_] {
       connection->send(frame, websocketpp::frame::opcode::binary);
-      queue->buffered = connection->get_buffered_amount();
-      queue->posted -= frame.size();
+      queue->buffered_bytes = connection->get_buffered_amount();
+      queue->posted_bytes -= frame.size();
     });
     return true;
   }
@@ -112,7 +115,7 @@
                                     text = reason.substr(0, kMaxCloseReason)] {
       websocketpp::lib::error_code ec;
       connection->close(websocketpp::close::status::going_away, text, ec);
-      // Not open yet, or closing already.
+      // The connection is not open yet, or is closing already.
       if (ec) Drop(connection, *started);
     });
   }
@@ -125,15 +128,15 @@
 
   size_t queued_bytes() const override {
     const ConnectionPtr connection = connection_.lock();
-    if (connection && queue_->buffered > 0) {
+    if (connection && queue_->buffered_bytes > 0) {
       connection->get_strand()->post([connection, queue = queue_] {
-        queue->buffered = connection->get_buffered_amount();
+        queue->buffered_bytes = connection->get_buffered_amount();
       });
     }
-    return queue_->posted + queue_->buffered;
+    return queue_->posted_bytes + queue_->buffered_bytes;
   }
 
-  // On the connection's strand: the TCP socket is connected.
+  // Must be called on the connection's strand once the TCP socket is connected.
   void Start(const ConnectionPtr& connection) {
     boost::system::error_code ec;
     connection->get_raw_socket().set_option(tcp::no_delay(true), ec);
@@ -141,7 +144,7 @@
     connection->start();
   }
 
-  // On the connection's strand.
+  // Must be called on the connection's strand.
   static void Drop(const ConnectionPtr& connection, bool started) {
     if (started) {
       connection->terminate(websocketpp::error::make_error_code(
@@ -154,37 +157,41 @@
 
  private:
   struct Queue {
-    // On the way to the strand.
-    std::atomic<size_t> posted{0};
-    // Behind the write in progress, when last looked at.
-    std::atomic<size_t> buffered{0};
+    // Of frames that were posted to the strand and are not sent there yet.
+    std::atomic<size_t> posted_bytes{0};
+    // Waiting in websocketpp behind the write in progress, when last read.
+    std::atomic<size_t> buffered_bytes{0};
   };
 
   // Weak, since the connection's handlers own this object.
   const std::weak_ptr<Connection> connection_;
-  // Touched on the connection's strand only.
+  // Accessed only on the connection's strand.
   const std::shared_ptr<bool> started_ = std::make_shared<bool>(false);
   const std::shared_ptr<Queue> queue_ = std::make_shared<Queue>();
 };
 
-// `owner` keeps the endpoint alive as long as the connection.
-void Install(const ConnectionPtr& connection,
-             const std::shared_ptr<PeerSocketHandlers>& handlers,
-             const std::shared_ptr<void>& owner) {
+// `owner` keeps the endpoint alive as long as the connection exists.
+void InstallHandlers(const ConnectionPtr& connection,
+                     const std::shared_ptr<PeerSocketHandlers>& handlers,
+                     const std::shared_ptr<void>& owner) {
   connection->set_open_handler(
-      [handlers, owner](const Hdl&) { handlers->opened(); });
+      [handlers, owner](const ConnectionHandle&) { handlers->opened(); });
   connection->set_message_handler(
-      [handlers](const Hdl&, const Connection::message_ptr& message) {
+      [handlers](const ConnectionHandle&,
+                 const Connection::message_ptr& message) {
         handlers->received(message->get_payload());
       });
-  connection->set_ping_handler([handlers](const Hdl&, const std::string&) {
-    handlers->heard();
-    return true;
-  });
+  connection->set_ping_handler(
+      [handlers](const ConnectionHandle&, const std::string&) {
+        handlers->control_frame_received();
+        return true;
+      });
   connection->set_pong_handler(
-      [handlers](const Hdl&, const std::string&) { handlers->heard(); });
+      [handlers](const ConnectionHandle&, const std::string&) {
+        handlers->control_frame_received();
+      });
   const std::weak_ptr<Connection> weak = connection;
-  const auto ended = [handlers, weak](const Hdl&) {
+  const auto ended = [handlers, weak](const ConnectionHandle&) {
     const ConnectionPtr ended_connection = weak.lock();
     handlers->closed(ended_connection ? ended_connection->get_ec().message()
                                       : "connection lost");
@@ -203,9 +210,9 @@
         acceptor_(io),
         retry_timer_(io),
         handshake_timeout_(handshake_timeout) {
-    LearnByteOrder();
-    Prepare(&server_, &io, handshake_timeout, max_message_bytes);
-    Prepare(&client_, &io, handshake_timeout, max_message_bytes);
+    InitializeByteOrder();
+    InitializeEndpoint(&server_, &io, handshake_timeout, max_message_bytes);
+    InitializeEndpoint(&client_, &io, handshake_timeout, max_message_bytes);
   }
 
   bool Listen(const std::string& address, AcceptHandler handler, Error* error) {
@@ -246,7 +253,7 @@
     const auto socket = std::make_shared<WebSocket>(connection);
     const auto handlers =
         std::make_shared<PeerSocketHandlers>(make_handlers(socket));
-    Install(connection, handlers, shared_from_this());
+    InstallHandlers(connection, handlers, shared_from_this());
     Connect(*endpoint, connection, socket, handlers);
     return socket;
   }
@@ -290,7 +297,7 @@
     });
   }
 
-  // With mutex_ held.
+  // mutex_ must be held.
   void AcceptNext() {
     if (stopped_) return;
     const ConnectionPtr connection = server_.get_connection();
@@ -308,7 +315,7 @@
       const auto socket = std::make_shared<WebSocket>(connection);
       const auto handlers =
           std::make_shared<PeerSocketHandlers>(accept_handler_(socket));
-      Install(connection, handlers, shared_from_this());
+      InstallHandlers(connection, handlers, shared_from_this());
       connection->get_strand()->post(
           [socket, connection] { socket->Start(connection); });
     }
@@ -330,9 +337,9 @@
   boost::asio::io_context& io_;
   ServerEndpoint server_;
   ClientEndpoint client_;
-  // Set before the first accept, then only read.
+  // Set before the first accept and only read afterwards.
   AcceptHandler accept_handler_;
-  // Guards the members below; no handler is called with it held.
+  // Guards the members below. No handler is called while it is held.
   mutable std::mutex mutex_;
   tcp::acceptor acceptor_;
   boost::asio::steady_timer retry_timer_;
--- a/src/libs/protocol/pending_calls.cc
+++ b/src/libs/protocol/pending_calls.cc
@@ -1,4 +1,4 @@
-// Correlation of replies with calls.
+// Matching of replies with calls.
 #include "protocol/pending_calls.h"
 
 #include <boost/asio/post.hpp>
@@ -15,24 +15,24 @@
 
 }  // namespace
 
-void PendingCalls::Add(uint64_t correlation, uint64_t link,
+void PendingCalls::Add(uint64_t correlation_id, uint64_t link,
                        const std::string& peer, const std::string& type,
                        Duration timeout, Callback callback) {
   Call call{link, peer, type, std::move(callback),
             std::make_unique<boost::asio::steady_timer>(io_, timeout)};
   const std::lock_guard lock(mutex_);
-  call.timeout->async_wait([self = shared_from_this(),
-                            correlation](const boost::system::error_code& ec) {
-    if (!ec) self->Fail(correlation, "timed out");
+  call.timer->async_wait([self = shared_from_this(),
+                          correlation_id](const boost::system::error_code& ec) {
+    if (!ec) self->Fail(correlation_id, "timed out");
   });
-  calls_.emplace(correlation, std::move(call));
+  calls_.emplace(correlation_id, std::move(call));
 }
 
-bool PendingCalls::Resolve(uint64_t link, uint64_t correlation,
+bool PendingCalls::Resolve(uint64_t link, uint64_t correlation_id,
                            std::optional<Json> body,
                            const std::string& reason) {
   std::unique_lock lock(mutex_);
-  const auto found = calls_.find(correlation);
+  const auto found = calls_.find(correlation_id);
   if (found == calls_.end() || found->second.link != link) return false;
   const Call call = std::move(found->second);
   calls_.erase(found);
@@ -43,8 +43,8 @@
   return true;
 }
 
-void PendingCalls::Fail(uint64_t correlation, const std::string& reason) {
-  std::optional<Call> call = Take(correlation);
+void PendingCalls::Fail(uint64_t correlation_id, const std::string& reason) {
+  std::optional<Call> call = Take(correlation_id);
   if (call) PostFailure(std::move(*call), reason);
 }
 
@@ -70,7 +70,7 @@
     const std::lock_guard lock(mutex_);
     failed.swap(calls_);
   }
-  for (auto& [correlation, call] : failed) {
+  for (auto& [correlation_id, call] : failed) {
     PostFailure(std::move(call), reason);
   }
 }
@@ -80,9 +80,9 @@
   PostFailure(Call{0, peer, type, std::move(callback), nullptr}, reason);
 }
 
-std::optional<PendingCalls::Call> PendingCalls::Take(uint64_t correlation) {
+std::optional<PendingCalls::Call> PendingCalls::Take(uint64_t correlation_id) {
   const std::lock_guard lock(mutex_);
-  const auto found = calls_.find(correlation);
+  const auto found = calls_.find(correlation_id);
   if (found == calls_.end()) return std::nullopt;
   std::optional<Call> call = std::move(found->second);
   calls_.erase(found);
--- a/src/libs/protocol/pending_calls.h
+++ b/src/libs/protocol/pending_calls.h
@@ -1,4 +1,4 @@
-// Calls that wait for a reply, each with its timeout.
+// Calls that wait for a reply, each with a timeout. Thread-safe.
 #ifndef THORNPLANK_PROTOCOL_PENDING_CALLS_H_
 #define THORNPLANK_PROTOCOL_PENDING_CALLS_H_
 
@@ -19,7 +19,7 @@
 
 namespace thornplank {
 
-// Each callback runs once, on a thread of the io_context, outside of the lock.
+// Each callback runs once, on a thread of the io_context, without a lock held.
 class PendingCalls : public std::enable_shared_from_this<PendingCalls> {
  public:
   using Callback =
@@ -27,16 +27,17 @@
 
   explicit PendingCalls(boost::asio::io_context& io) : io_(io) {}
 
-  // The correlation id for a new call, never 0.
-  uint64_t NextCorrelation() { return ++last_correlation_; }
-  void Add(uint64_t correlation, uint64_t link, const std::string& peer,
+  // A new correlation id, never 0.
+  uint64_t NextCorrelationId() { return ++last_correlation_id_; }
+  void Add(uint64_t correlation_id, uint64_t link, const std::string& peer,
            const std::string& type, Duration timeout, Callback callback);
-  // False when no call with this id waits on this link: the reply is late, or
-  // not meant for us.
-  bool Resolve(uint64_t link, uint64_t correlation, std::optional<Json> body,
+  // Ends a call with the body of its reply or, if `body` is nullopt, with an
+  // error for `reason`. Returns false if no call with this id waits on this
+  // link: the reply is late or was not meant for this entry.
+  bool Resolve(uint64_t link, uint64_t correlation_id, std::optional<Json> body,
                const std::string& reason);
-  // Fails one call, all those of a link, or all.
-  void Fail(uint64_t correlation, const std::string& reason);
+  // Fail one call, all calls on a link, or all calls.
+  void Fail(uint64_t correlation_id, const std::string& reason);
   void FailLink(uint64_t link, const std::string& reason);
   void FailAll(const std::string& reason);
   // Runs `callback` with an error, as if the call had been pending.
@@ -49,15 +50,15 @@
     std::string peer;
     std::string type;
     Callback callback;
-    std::unique_ptr<boost::asio::steady_timer> timeout;
+    std::unique_ptr<boost::asio::steady_timer> timer;
   };
 
-  std::optional<Call> Take(uint64_t correlation);
+  std::optional<Call> Take(uint64_t correlation_id);
   void PostFailure(Call call, const std::string& reason);
 
   boost::asio::io_context& io_;
-  std::atomic<uint64_t> last_correlation_{0};
-  // Guards the members below; no callback runs with it held.
+  std::atomic<uint64_t> last_correlation_id_{0};
+  // Guards the members below. No callback runs while it is held.
   std::mutex mutex_;
   std::unordered_map<uint64_t, Call> calls_;
 };
--- a/tests/auto/protocol/tcp_forwarder.h
+++ b/tests/auto/protocol/tcp_forwarder.h
@@ -32,7 +32,7 @@
   }
 
   // The connections of now swallow all bytes from here on.
-  void SilenceExisting() { silent_before_ = accepted_.load(); }
+  void SilenceExisting() { silent_below_ = accepted_.load(); }
   void Stop() {
     boost::asio::post(acceptor_.get_executor(), [self = shared_from_this()] {
       boost::system::error_code ec;
@@ -51,12 +51,12 @@
     explicit Pair(boost::asio::io_context& io)
         : strand(boost::asio::make_strand(io)), near(strand), far(strand) {}
     int number = 0;
-    bool counted = true;
+    bool counted_as_open = true;
     boost::asio::strand<boost::asio::io_context::executor_type> strand;
     tcp::socket near;
     tcp::socket far;
-    std::array<char, 4096> from_near;
-    std::array<char, 4096> from_far;
+    std::array<char, 4096> near_buffer;
+    std::array<char, 4096> far_buffer;
   };
 
   void Accept() {
@@ -71,30 +71,31 @@
               self->target_,
               [self, pair](const boost::system::error_code& connect_ec) {
                 if (connect_ec) return self->Close(pair);
-                self->Pump(pair, &pair->near, &pair->far, &pair->from_near);
-                self->Pump(pair, &pair->far, &pair->near, &pair->from_far);
+                self->Forward(pair, &pair->near, &pair->far,
+                              &pair->near_buffer);
+                self->Forward(pair, &pair->far, &pair->near, &pair->far_buffer);
               });
           self->Accept();
         });
   }
 
-  void Pump(const std::shared_ptr<Pair>& pair, tcp::socket* from,
-            tcp::socket* to, std::array<char, 4096>* buffer) {
+  void Forward(const std::shared_ptr<Pair>& pair, tcp::socket* from,
+               tcp::socket* to, std::array<char, 4096>* buffer) {
     from->async_read_some(
         boost::asio::buffer(*buffer),
         [self = shared_from_this(), pair, from, to, buffer](
             const boost::system::error_code& ec, std::size_t size) {
-          const bool silent = pair->number < self->silent_before_;
+          const bool silent = pair->number < self->silent_below_;
           // A silent pair hides even that an end has closed.
           if (ec && silent) return;
           if (ec) return self->Close(pair);
-          if (silent) return self->Pump(pair, from, to, buffer);
+          if (silent) return self->Forward(pair, from, to, buffer);
           boost::asio::async_write(
               *to, boost::asio::buffer(*buffer, size),
               [self, pair, from, to, buffer](
                   const boost::system::error_code& write_ec, std::size_t) {
                 if (write_ec) return self->Close(pair);
-                self->Pump(pair, from, to, buffer);
+                self->Forward(pair, from, to, buffer);
               });
         });
   }
@@ -103,8 +104,8 @@
     boost::system::error_code ec;
     pair->near.close(ec);
     pair->far.close(ec);
-    if (pair->counted) --open_;
-    pair->counted = false;
+    if (pair->counted_as_open) --open_;
+    pair->counted_as_open = false;
   }
 
   boost::asio::io_context& io_;
@@ -113,7 +114,7 @@
   std::atomic<int> accepted_{0};
   std::atomic<int> open_{0};
   // Pairs with lower numbers swallow.
-  std::atomic<int> silent_before_{0};
+  std::atomic<int> silent_below_{0};
 };
 
 }  // namespace thornplank
--- a/tests/auto/protocol/tst_message.cc
+++ b/tests/auto/protocol/tst_message.cc
@@ -33,7 +33,7 @@
     const auto read = DecodeMessage(EncodeMessage(message), &error);
     REQUIRE_MESSAGE(read, error.ToString());
     CHECK(read->type == message.type);
-    CHECK(read->correlation == message.correlation);
+    CHECK(read->correlation_id == message.correlation_id);
     CHECK(read->is_reply == message.is_reply);
     CHECK(read->body == message.body);
   }
--- a/tests/auto/protocol/tst_peer_links.cc
+++ b/tests/auto/protocol/tst_peer_links.cc
@@ -10,7 +10,7 @@
 namespace thornplank {
 namespace {
 
-constexpr Milliseconds kStale{200};
+constexpr Milliseconds kStaleAfter{200};
 
 TEST_CASE("one of two links to the same peer stays") {
   const struct {
@@ -19,7 +19,7 @@
     bool candidate_dialed;
     bool existing_dialed;
     const char* existing_incarnation;
-    Milliseconds quiet;
+    Milliseconds silence;
     bool takes_over;
   } cases[] = {
       {"lower name dialled the new one", "a", true, false, "1", {}, true},
@@ -51,8 +51,8 @@
     PeerLink existing;
     existing.peer = {"m", entry.existing_incarnation, ""};
     existing.dialed_address = entry.existing_dialed ? "x" : "";
-    existing.last_heard = now - entry.quiet;
-    CHECK(TakesOver(candidate, existing, entry.own_name, now, kStale) ==
+    existing.last_received_at = now - entry.silence;
+    CHECK(TakesOver(candidate, existing, entry.own_name, now, kStaleAfter) ==
           entry.takes_over);
   }
 }
@@ -77,11 +77,11 @@
   Dialer dialer(Milliseconds(100), Milliseconds(400), "seed");
   dialer.SetAddresses({"x"});
   CHECK(dialer.TakeDue({}, Time{}).size() == 1);
-  dialer.HandleAnswer("x", "b");
+  dialer.SetPeerName("x", "b");
   dialer.HandleClosed("x", Time{});
   const Time later = Time{} + std::chrono::seconds(1);
   CHECK(dialer.TakeDue({"b"}, later).empty());
-  dialer.HandleLost("b", later);
+  dialer.HandleLinkLost("b", later);
   CHECK(dialer.TakeDue({}, later + Milliseconds(100)).size() == 1);
 }
 
--- a/tests/auto/protocol/tst_peer_mesh.cc
+++ b/tests/auto/protocol/tst_peer_mesh.cc
@@ -103,12 +103,12 @@
 TEST_CASE("a late reply is dropped, and no caller gets another's answer") {
   IoThreads threads;
   std::mutex mutex;
-  std::vector<PeerMesh::Reply> held;
+  std::vector<PeerMesh::Reply> held_replies;
   const auto b = std::make_unique<PeerMesh>(threads.io(), FastSettings("b"));
   b->SetMessageHandler("hold", [&](const PeerIdentity&, const Message&,
                                    const PeerMesh::Reply& reply) {
     const std::lock_guard lock(mutex);
-    held.push_back(reply);
+    held_replies.push_back(reply);
   });
   Echo(b.get());
   REQUIRE(b->Start(nullptr));
@@ -126,13 +126,13 @@
           crossed.Recorder());
   REQUIRE(WaitUntil([&] {
     const std::lock_guard lock(mutex);
-    return held.size() == 2;
+    return held_replies.size() == 2;
   }));
   {
     const std::lock_guard lock(mutex);
-    held[0]({{"answer", "first"}});
-    held[1]({{"answer", "second"}});
-    held[1]({{"answer", "second again"}});
+    held_replies[0]({{"answer", "first"}});
+    held_replies[1]({{"answer", "second"}});
+    held_replies[1]({{"answer", "second again"}});
   }
   REQUIRE(WaitUntil([&] { return crossed.all().size() == 1; }));
   CHECK(crossed.all()[0] == "{\"answer\":\"second\"}");
