--- a/src/libs/peers/membership_manager.cc
+++ b/src/libs/peers/membership_manager.cc
@@ -1,4 +1,4 @@
-// Heartbeats out and in, and the table that judges them.
+// Sends and receives heartbeats, and keeps the membership table up to date.
 #include "peers/membership_manager.h"
 
 #include <algorithm>
@@ -34,55 +34,57 @@
       : settings_(std::move(settings)),
         mesh_(mesh),
         timer_(io),
-        change_events_(boost::asio::make_strand(io)),
+        change_strand_(boost::asio::make_strand(io)),
         table_(
             settings_.bounds,
             {settings_.name, settings_.incarnation, settings_.failure_domain},
             Now()) {}
 
-  void Install();
+  void RegisterHandlers();
   void Start();
   void Stop();
   void SetReadiness(std::optional<bool> ready, bool leaving);
   void SetListedNames(const std::vector<std::string>& names);
   void FetchSnapshot(const std::string& name, int64_t min_offset,
                      SnapshotCallback callback);
-  // `own_offsets` become those of this entry.
-  std::vector<MemberView> Views(const Json& own_offsets) const;
+  // `own_offsets` are used as the offsets of this entry.
+  std::vector<MemberView> MakeViews(const Json& own_offsets) const;
   std::optional<std::string> OwnerOf(const std::string& key) const;
-  Json OwnOffsets() const { return offsets_ ? offsets_() : Json::object(); }
+  Json OwnOffsets() const {
+    return offsets_producer_ ? offsets_producer_() : Json::object();
+  }
 
   struct Section {
     Producer produce;
     SectionConsumer consume;
   };
-  // The members of this block are written before Start only.
+  // The data members of this block are written only before Start.
   std::vector<ChangeHandler> change_handlers_;
-  Producer offsets_;
+  Producer offsets_producer_;
   std::map<std::string, Section> sections_;
-  std::shared_ptr<SnapshotExchange> snapshots_;
+  std::shared_ptr<SnapshotExchange> snapshot_exchange_;
 
  private:
-  void Schedule();
+  void ScheduleTick();
   void Tick();
   void SendHeartbeat();
   void HandleHeartbeat(const PeerIdentity& from, const Json& body);
   void HandleLink(const PeerIdentity& peer, bool connected);
-  // With mutex_ held, so that changes are told in their order.
+  // mutex_ must be held, so that the handlers get the changes in order.
   void PostChanges(MembershipTable::Changes changes);
-  std::vector<std::string> HoldersOf(const std::string& stream,
-                                     int64_t min_offset) const;
+  std::vector<std::string> PeersToAsk(const std::string& stream,
+                                      int64_t min_offset) const;
 
   const MembershipManagerSettings settings_;
   PeerMesh& mesh_;
   boost::asio::steady_timer timer_;
-  boost::asio::strand<boost::asio::io_context::executor_type> change_events_;
+  boost::asio::strand<boost::asio::io_context::executor_type> change_strand_;
 
-  // Guards the members below; nothing outside of this class is called with
-  // it held.
+  // Guards the members below. No handler, producer or callback runs while it is
+  // held.
   mutable std::mutex mutex_;
   MembershipTable table_;
-  // As told by the members' newest heartbeats.
+  // The offsets in the newest heartbeat of each member, by name.
   std::map<std::string, Json> peer_offsets_;
   uint64_t sequence_ = 0;
   bool ready_ = false;
@@ -90,7 +92,7 @@
   bool stopped_ = false;
 };
 
-void MembershipManager::Impl::Install() {
+void MembershipManager::Impl::RegisterHandlers() {
   mesh_.SetMessageHandler(kHeartbeat,
                           [weak = weak_from_this()](const PeerIdentity& from,
                                                     const Message& message,
@@ -103,18 +105,18 @@
       [weak = weak_from_this()](const PeerIdentity& peer, bool connected) {
         if (const auto self = weak.lock()) self->HandleLink(peer, connected);
       });
-  snapshots_ = std::make_shared<SnapshotExchange>(
+  snapshot_exchange_ = std::make_shared<SnapshotExchange>(
       mesh_, settings_.snapshot_timeout, [weak = weak_from_this()] {
         const auto self = weak.lock();
         return self ? self->OwnOffsets() : Json::object();
       });
-  snapshots_->Install();
+  snapshot_exchange_->RegisterHandlers();
 }
 
 void MembershipManager::Impl::Start() {
   SendHeartbeat();
   const std::lock_guard lock(mutex_);
-  Schedule();
+  ScheduleTick();
 }
 
 void MembershipManager::Impl::Stop() {
@@ -143,35 +145,36 @@
 void MembershipManager::Impl::FetchSnapshot(const std::string& name,
                                             int64_t min_offset,
                                             SnapshotCallback callback) {
-  snapshots_->Fetch(name, min_offset, HoldersOf(name, min_offset),
-                    std::move(callback));
+  snapshot_exchange_->Fetch(name, min_offset, PeersToAsk(name, min_offset),
+                            std::move(callback));
 }
 
-std::vector<std::string> MembershipManager::Impl::HoldersOf(
+std::vector<std::string> MembershipManager::Impl::PeersToAsk(
     const std::string& stream, int64_t min_offset) const {
   const std::vector<PeerIdentity> connected = mesh_.connected_peers();
-  std::vector<std::pair<int64_t, std::string>> holders;
+  std::vector<std::pair<int64_t, std::string>> peers;
   {
     const std::lock_guard lock(mutex_);
     for (const PeerIdentity& peer : connected) {
       const auto offsets = peer_offsets_.find(peer.name);
-      // Not heard so far, so it may hold anything; asked last.
+      // If there was no heartbeat yet, the peer's offset is unknown: it is
+      // asked last.
       int64_t offset = 0;
       if (offsets != peer_offsets_.end()) {
         offset = IntField(offsets->second, stream).value_or(0);
         if (offset < min_offset) continue;
       }
-      holders.emplace_back(offset, peer.name);
+      peers.emplace_back(offset, peer.name);
     }
   }
-  std::sort(holders.rbegin(), holders.rend());
+  std::sort(peers.rbegin(), peers.rend());
   std::vector<std::string> names;
-  names.reserve(holders.size());
-  for (const auto& [offset, name] : holders) names.push_back(name);
+  names.reserve(peers.size());
+  for (const auto& [offset, name] : peers) names.push_back(name);
   return names;
 }
 
-std::vector<MemberView> MembershipManager::Impl::Views(
+std::vector<MemberView> MembershipManager::Impl::MakeViews(
     const Json& own_offsets) const {
   const Time now = Now();
   const std::lock_guard lock(mutex_);
@@ -182,7 +185,7 @@
     view.incarnation = member.identity.incarnation;
     view.failure_domain = member.identity.failure_domain;
     view.state = member.state;
-    view.since =
+    view.time_in_state =
         std::chrono::duration_cast<Milliseconds>(now - member.state_since);
     const auto offsets = peer_offsets_.find(name);
     if (offsets != peer_offsets_.end()) view.offsets = offsets->second;
@@ -198,7 +201,7 @@
   return table_.OwnerOf(key);
 }
 
-void MembershipManager::Impl::Schedule() {
+void MembershipManager::Impl::ScheduleTick() {
   timer_.expires_after(settings_.bounds.heartbeat_interval);
   timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& ec) {
@@ -212,7 +215,7 @@
   const std::lock_guard lock(mutex_);
   if (stopped_) return;
   PostChanges(table_.HandleTick(Now()));
-  Schedule();
+  ScheduleTick();
 }
 
 void MembershipManager::Impl::SendHeartbeat() {
@@ -267,13 +270,13 @@
       table_.HandleLinkDown(ToMemberIdentity(peer));
     }
   }
-  // A new peer learns at once what this entry knows and does.
+  // A new peer gets this entry's state at once.
   if (connected) SendHeartbeat();
 }
 
 void MembershipManager::Impl::PostChanges(MembershipTable::Changes changes) {
   if (changes.empty()) return;
-  boost::asio::post(change_events_, [self = shared_from_this(),
+  boost::asio::post(change_strand_, [self = shared_from_this(),
                                      changes = std::move(changes)] {
     for (const MembershipChange& change : changes) {
       const std::string_view from = change.from ? ToString(*change.from) : "";
@@ -294,7 +297,7 @@
                                      PeerMesh& mesh,
                                      MembershipManagerSettings settings)
     : impl_(std::make_shared<Impl>(io, mesh, std::move(settings))) {
-  impl_->Install();
+  impl_->RegisterHandlers();
 }
 
 MembershipManager::~MembershipManager() { impl_->Stop(); }
@@ -304,7 +307,7 @@
 }
 
 void MembershipManager::SetOffsetsProducer(Producer offsets) {
-  impl_->offsets_ = std::move(offsets);
+  impl_->offsets_producer_ = std::move(offsets);
 }
 
 void MembershipManager::AddHeartbeatSection(std::string name, Producer produce,
@@ -314,7 +317,8 @@
 
 void MembershipManager::AddSnapshotProducer(std::string name,
                                             Producer produce) {
-  impl_->snapshots_->AddSnapshotProducer(std::move(name), std::move(produce));
+  impl_->snapshot_exchange_->AddSnapshotProducer(std::move(name),
+                                                 std::move(produce));
 }
 
 void MembershipManager::Start() { impl_->Start(); }
@@ -340,11 +344,11 @@
 }
 
 std::vector<MemberView> MembershipManager::members() const {
-  return impl_->Views(impl_->OwnOffsets());
+  return impl_->MakeViews(impl_->OwnOffsets());
 }
 
 std::vector<MemberView> MembershipManager::alive_members() const {
-  std::vector<MemberView> views = impl_->Views(Json::object());
+  std::vector<MemberView> views = impl_->MakeViews(Json::object());
   views.erase(std::remove_if(views.begin(), views.end(),
                              [](const MemberView& view) {
                                return view.state != MemberState::kAlive;
@@ -365,7 +369,7 @@
                       {"incarnation", view.incarnation},
                       {"failure_domain", view.failure_domain},
                       {"state", std::string(ToString(view.state))},
-                      {"since_ms", view.since.count()},
+                      {"since_ms", view.time_in_state.count()},
                       {"offsets", view.offsets}});
   }
   return result;
--- a/src/libs/peers/membership_manager.h
+++ b/src/libs/peers/membership_manager.h
@@ -1,8 +1,8 @@
-// The carrier of membership: heartbeats to all peers over the inner protocol,
-// and snapshots of folded streams for entries that join.
+// Group membership of the entries: exchanges heartbeats with all peers over the
+// peer protocol, and serves snapshots of folded streams to joining entries.
 //
-// Handlers and callbacks run on threads of the io_context, outside of the
-// lock. Those for changes run in order, one at a time.
+// Thread-safe after Start. Handlers and callbacks run on threads of the
+// io_context, without a lock held. Change handlers run in order, one at a time.
 #ifndef THORNPLANK_PEERS_MEMBERSHIP_MANAGER_H_
 #define THORNPLANK_PEERS_MEMBERSHIP_MANAGER_H_
 
@@ -27,25 +27,27 @@
 class PeerMesh;
 
 struct MembershipManagerSettings {
-  // As in the settings of the mesh.
+  // The same values as in PeerMeshSettings.
   std::string name;
   std::string incarnation;
   std::string failure_domain;
-  // Interval of heartbeats, and the silence after which a member is suspected
-  // and dead.
+  // The heartbeat interval, and the times without a heartbeat after which a
+  // member is suspected and declared dead.
   MembershipSettings bounds;
-  // For one peer's answer to a request for a snapshot.
+  // Limit for one peer's answer to a request for a snapshot.
   Milliseconds snapshot_timeout{5000};
 };
 
+// The state of one member as this entry sees it.
 struct MemberView {
   std::string name;
   std::string incarnation;
   std::string failure_domain;
   MemberState state = MemberState::kJoining;
-  // How long `state` has lasted.
-  Milliseconds since{0};
-  // Next offset to fold, by stream, as of its last heartbeat.
+  // Time since the last change of `state`.
+  Milliseconds time_in_state{0};
+  // The offset of the next record to fold by stream, from the member's last
+  // heartbeat.
   Json offsets = Json::object();
 };
 
@@ -59,45 +61,50 @@
   using SnapshotCallback =
       std::function<void(std::optional<Json> snapshot, const Error& error)>;
 
-  // Sets handlers on `mesh`, so it comes before the mesh's Start. `mesh` and
-  // `io` must outlive this.
+  // Registers handlers at `mesh`, so construct this before the mesh starts.
+  // `mesh` and `io` must outlive this object.
   MembershipManager(boost::asio::io_context& io, PeerMesh& mesh,
                     MembershipManagerSettings settings);
   ~MembershipManager();
 
-  // These before Start.
+  // The following four functions must be called before Start.
   void AddChangeHandler(ChangeHandler handler);
-  // `{stream: next offset}`, told with each heartbeat.
+  // `offsets` produces `{stream: next offset}`, which is sent with each
+  // heartbeat.
   void SetOffsetsProducer(Producer offsets);
-  // A part of the heartbeat that belongs to another carrier.
+  // Adds a part of the heartbeat that belongs to another component. `consume`
+  // gets this part of the heartbeats of peers.
   void AddHeartbeatSection(std::string name, Producer produce,
                            SectionConsumer consume);
-  // What peers get that ask for the snapshot of stream `name`; null while
-  // there is none.
+  // `produce` returns the snapshot of stream `name` for peers that request it;
+  // null if there is none.
   void AddSnapshotProducer(std::string name, Producer produce);
 
   void Start();
-  // Handlers that are running on other threads may still end after it.
+  // Handlers that are already running on other threads may finish after Stop
+  // has returned.
   void Stop();
 
-  // Both tell the peers at once.
+  // Both notify the peers at once.
   void SetReady(bool ready);
   void SetLeaving();
-  // The names of the entries on the instance list: a hint.
+  // The names of the entries on the instance list, which is only a hint.
   void SetListedNames(const std::vector<std::string>& names);
 
-  // Asks the peers for the snapshot of stream `name`, those with the highest
-  // offsets first, until one answers that has folded `min_offset` or more.
+  // Requests the snapshot of stream `name` from one peer after the other, in
+  // descending order of their offsets, until one answers whose next offset is
+  // at least `min_offset`.
   void FetchSnapshot(const std::string& name, int64_t min_offset,
                      SnapshotCallback callback);
 
-  // All members with this entry, by name.
+  // All members including this entry, ordered by name.
   std::vector<MemberView> members() const;
-  // Those alive, with this entry when it is ready; the own offsets are left
-  // out, so that no producer runs inside this call.
+  // The members that are alive, including this entry if it is ready. This
+  // entry's offsets are left out, so that no producer runs inside the call.
   std::vector<MemberView> alive_members() const;
+  // See MembershipTable::OwnerOf.
   std::optional<std::string> OwnerOf(const std::string& key) const;
-  // `members()` for the status page.
+  // members() as shown on the status page.
   Json ToJson() const;
 
  private:
--- a/src/libs/peers/snapshot_exchange.h
+++ b/src/libs/peers/snapshot_exchange.h
@@ -1,5 +1,7 @@
-// Snapshots of folded streams, given to entries that join and fetched from
-// peers.
+// Serves snapshots of folded streams to joining entries, and fetches such
+// snapshots from peers.
+//
+// Thread-safe once the mesh has started.
 #ifndef THORNPLANK_PEERS_SNAPSHOT_EXCHANGE_H_
 #define THORNPLANK_PEERS_SNAPSHOT_EXCHANGE_H_
 
@@ -16,19 +18,19 @@
 
 namespace thornplank {
 
-// Serves and sends "state-request" calls.
+// Handles and makes "state-request" calls.
 class SnapshotExchange : public std::enable_shared_from_this<SnapshotExchange> {
  public:
-  // `offsets` gives this entry's own next offsets by stream.
+  // `offsets` produces this entry's next offsets by stream.
   SnapshotExchange(PeerMesh& mesh, Milliseconds timeout,
                    std::function<Json()> offsets);
 
-  // Sets the handler on the mesh.
-  void Install();
-  // Before the mesh starts.
+  // Both must be called before the mesh starts.
+  void RegisterHandlers();
   void AddSnapshotProducer(std::string name,
                            MembershipManager::Producer produce);
-  // Asks `peers` in their order until one answers with `min_offset` or more.
+  // Asks `peers` in this order until one answers with a snapshot whose next
+  // offset is at least `min_offset`.
   void Fetch(const std::string& stream, int64_t min_offset,
              std::vector<std::string> peers,
              MembershipManager::SnapshotCallback callback);
@@ -37,22 +39,22 @@
   struct Request {
     std::string stream;
     int64_t min_offset = 0;
-    // Still to be asked; the next one last.
+    // Peers that are still to be asked, in reverse order.
     std::vector<std::string> peers;
     MembershipManager::SnapshotCallback callback;
     Error last_error;
   };
 
-  Json Answer(const std::string& stream) const;
-  void AskNext(const std::shared_ptr<Request>& request);
-  // False when the answer of `peer` does not serve; then the next is asked.
-  bool Accept(const Request& request, const std::string& peer,
-              const Json& answer, Error* error) const;
+  Json MakeAnswer(const std::string& stream) const;
+  void AskNextPeer(const std::shared_ptr<Request>& request);
+  // Returns false and sets `*error` if the answer of `peer` is not usable.
+  bool AcceptAnswer(const Request& request, const std::string& peer,
+                    const Json& answer, Error* error) const;
 
   PeerMesh& mesh_;
   const Milliseconds timeout_;
-  const std::function<Json()> offsets_;
-  // Written before the mesh starts, then only read.
+  const std::function<Json()> own_offsets_;
+  // By stream. Written only before the mesh starts.
   std::map<std::string, MembershipManager::Producer> producers_;
 };
 
--- a/tests/auto/peers/tst_membership_manager.cc
+++ b/tests/auto/peers/tst_membership_manager.cc
@@ -66,11 +66,12 @@
     entries.push_back(std::make_unique<Entry>(threads.io(), name, "1"));
   }
   std::mutex mutex;
-  std::vector<std::string> told;
+  std::vector<std::string> reported_changes;
   entries[0]->members.AddChangeHandler([&](const MembershipChange& change) {
     const std::lock_guard lock(mutex);
     if (change.name != "c") return;
-    told.push_back(change.incarnation + std::string(ToString(change.to)));
+    reported_changes.push_back(change.incarnation +
+                               std::string(ToString(change.to)));
   });
   const JoinAtExit join(threads);
   for (const auto& entry : entries) entry->Start();
@@ -87,7 +88,7 @@
   CHECK(WaitUntil([&] { return entries[0]->alive() == "a"; }));
   CHECK(WaitUntil([&] {
     const std::lock_guard lock(mutex);
-    return !told.empty() && told.back() == "1dead";
+    return !reported_changes.empty() && reported_changes.back() == "1dead";
   }));
   entries[2] = std::make_unique<Entry>(threads.io(), "c", "2");
   entries[2]->Start();
@@ -95,7 +96,7 @@
   CHECK(WaitUntil([&] { return entries[0]->alive() == "ac"; }));
   CHECK(WaitUntil([&] {
     const std::lock_guard lock(mutex);
-    return told.back() == "2alive";
+    return reported_changes.back() == "2alive";
   }));
 }
 
