--- a/src/libs/jobs/coordinator.h
+++ b/src/libs/jobs/coordinator.h
@@ -1,12 +1,13 @@
-// The coordinator of one epoch: takes over, plans, and orders worker calls.
+// The coordinator of one epoch: takes over the running gangs, schedules jobs
+// and decides on worker calls.
 //
-// No I/O: it holds the scheduler and the gang executor, is fed with what the
-// stream and the workers say, and gives out worker calls and stream records
-// for the carrier to send. It lives from the moment at which the stream says
-// that this entry won the epoch until it steps down; a coordinator that was
-// dropped has nothing left to send.
+// No I/O: it owns the scheduler and the gang executor, takes input from the job
+// stream and the workers, and returns the worker calls and stream records that
+// JobManager is to send. It exists from the moment at which the stream shows
+// that this entry won the epoch until the entry steps down. Destroying it
+// discards everything that was not sent.
 //
-// Not thread-safe; JobManager calls it under its mutex.
+// Not thread-safe; JobManager calls it with its mutex held.
 #ifndef THORNPLANK_JOBS_COORDINATOR_H_
 #define THORNPLANK_JOBS_COORDINATOR_H_
 
@@ -25,7 +26,7 @@
 
 namespace thornplank {
 
-// What the scheduler plans with besides jobs.
+// Inputs of the scheduler other than jobs.
 struct PlanningInputs {
   std::vector<WorkerInfo> workers;
   std::vector<AccountGuarantee> guarantees;
@@ -41,89 +42,97 @@
   void SetGuarantees(const std::vector<AccountGuarantee>& accounts, Time now);
   void SetEvents(const std::vector<EventReservation>& events, Time now);
 
-  // A job of the stream, or an urgent one while the log is down. Idempotent.
+  // Adds a job of the stream or, while the log is down, an urgent job.
+  // Idempotent.
   void Submit(const JobEntry& entry, Time now);
   void Cancel(const std::string& job, Time now);
-  void CallDone(const WorkerCall& call,
-                const std::optional<WorkerReport>& report,
-                WorkerRefusal refusal, const std::string& reason, Time now);
-
-  // Ends the takeover when every worker was heard or the time is up, from the
-  // fold as it stands; then places what fits. `wall_now` belongs to the same
-  // moment as `now`.
+  void HandleCallResult(const WorkerCall& call,
+                        const std::optional<WorkerReport>& report,
+                        WorkerRefusal refusal, const std::string& reason,
+                        Time now);
+
+  // Completes the takeover, based on the current `fold`, once every worker has
+  // answered or the takeover timeout has passed. After that, runs the scheduler
+  // when its next tick is due. `wall_now` is the wall time at `now`.
   void Advance(const JobStreamFold& fold, Time now, WallTime wall_now);
 
-  // What to send now, each once.
+  // Return what is to be sent now; each call and record is returned once.
   std::vector<WorkerCall> TakeCalls(Time now);
   std::vector<JobStreamRecord> TakeRecords();
 
   int64_t epoch() const { return epoch_; }
+  // Whether the takeover is complete, so that jobs are scheduled.
   bool planning() const { return planning_; }
-  // Enough workers have seen a newer epoch: this coordinator must go.
+  // Whether enough workers have seen a newer epoch: the entry must step down.
   bool superseded() const;
   std::optional<JobStatus> job(const std::string& id) const;
   int free_accelerators() const { return scheduler_.free_accelerators(); }
   size_t leases() const { return executor_.leases(); }
 
  private:
-  // What it remembers of a job until it is final.
-  struct KnownJob {
+  // A job that is not final.
+  struct TrackedJob {
     std::string account;
     Json task;
+    // Of the newest record of the job.
     int64_t revision = 0;
-    // Saved by checkpoints that completed on every member.
+    // Saved by checkpoints that were completed on every member.
     Milliseconds progress{0};
   };
 
-  bool TakeoverDone(Time now) const;
-  void TakeOver(const JobStreamFold& fold, Time now, WallTime wall_now);
-  std::map<std::string, AdoptedGang> FindGangs(Time now);
-  void AddUnheardMembers(const JobStreamFold& fold, Time now,
-                         std::map<std::string, AdoptedGang>* gangs);
-  void SettlePhase(const JobStreamFold& fold, WallTime wall_now,
-                   AdoptedGang* gang) const;
-  std::optional<Duration> UncountedProgress(const JobEntry& entry,
-                                            const AdoptedGang& gang) const;
-
-  void ResyncRecords(const JobEntry& entry);
-
-  void Handle(const WorkerEvents& events, Time now);
-  void HandleOne(const MemberFared& event, Time now);
-  void HandleOne(const ReportArrived& event, Time now);
-  void HandleOne(const WorkerWentSilent& event, Time now);
-  void HandleOne(const WorkerCameBack& event, Time now);
-  void HandleOne(const TokenRefused& event, Time now);
-  void Carry(const SchedulerActions& actions, Time now);
-  void CarryOne(const GrantGang& action, Time now);
-  void CarryOne(const LiftThrottle& action, Time now);
-  void CarryOne(const CheckpointGang& action, Time now);
-  void CarryOne(const StopGang& action, Time now);
-  void CarryOne(const StopLease& action, Time now);
-  void CarryOne(const PhaseChanged& action, Time now);
-  void CarryOne(const ReportShortfall& action, Time now);
-  void CarryOne(const WorkerQuarantineChanged& action, Time now);
+  bool TakeoverMayComplete(Time now) const;
+  void CompleteTakeover(const JobStreamFold& fold, Time now, WallTime wall_now);
+  std::map<std::string, AdoptedGang> AdoptReportedGangs(Time now);
+  void AddUnreportedMembers(const JobStreamFold& fold, Time now,
+                            std::map<std::string, AdoptedGang>* gangs);
+  void ReconcilePhase(const JobStreamFold& fold, WallTime wall_now,
+                      AdoptedGang* gang) const;
+  std::optional<Duration> UnrecordedProgress(const JobEntry& entry,
+                                             const AdoptedGang& gang) const;
+
+  void AddMissingRecords(const JobEntry& entry);
+
+  void HandleWorkerEvents(const WorkerEvents& events, Time now);
+  void HandleEvent(const MemberOutcomeEvent& event, Time now);
+  void HandleEvent(const WorkerReportEvent& event, Time now);
+  void HandleEvent(const WorkerLostEvent& event, Time now);
+  void HandleEvent(const WorkerRecoveredEvent& event, Time now);
+  void HandleEvent(const TokenRefusedEvent& event, Time now);
+  void ExecuteActions(const SchedulerActions& actions, Time now);
+  void ExecuteAction(const GrantGang& action, Time now);
+  void ExecuteAction(const LiftThrottle& action, Time now);
+  void ExecuteAction(const CheckpointGang& action, Time now);
+  void ExecuteAction(const StopGang& action, Time now);
+  void ExecuteAction(const StopLease& action, Time now);
+  void ExecuteAction(const PhaseChanged& action, Time now);
+  void ExecuteAction(const ReportShortfall& action, Time now);
+  void ExecuteAction(const WorkerQuarantineChanged& action, Time now);
 
   const int64_t epoch_;
   const Time takeover_deadline_;
   PlanningInputs inputs_;
   JobScheduler scheduler_;
   GangExecutor executor_;
-  // False during the takeover: the scheduler is not fed yet, and what arrives
-  // is kept in heard_, silent_ and early_.
+  // False during the takeover: nothing is passed to the scheduler yet, and
+  // input is kept in reports_, lost_workers_ and early_jobs_.
   bool planning_ = false;
   Time next_tick_;
-  std::map<std::string, ReportArrived> heard_;
-  std::map<std::string, Time> silent_;
-  std::vector<JobEntry> early_;
-  // Jobs whose next record may still count; not those that the stream holds
-  // as final.
-  std::map<std::string, KnownJob> jobs_;
-  // Actions not carried out yet, in order. Carrying one out may add others.
-  std::deque<SchedulerAction> queue_;
-  bool carrying_ = false;
+  // The newest report by worker.
+  std::map<std::string, WorkerReportEvent> reports_;
+  // When the leases of a lost worker lapse, by worker.
+  std::map<std::string, Time> lost_workers_;
+  // Jobs submitted before the takeover was complete.
+  std::vector<JobEntry> early_jobs_;
+  // By id. Jobs that are final in the stream are left out: further records do
+  // not change them.
+  std::map<std::string, TrackedJob> jobs_;
+  // Actions that are still to be executed, in order. Executing one may add
+  // others.
+  std::deque<SchedulerAction> pending_actions_;
+  bool executing_actions_ = false;
   std::vector<JobStreamRecord> records_;
-  // Workers that refused our token as old.
-  std::set<std::string> refusing_;
+  // Workers that refused this epoch's token as stale.
+  std::set<std::string> workers_refusing_token_;
 };
 
 }  // namespace thornplank
--- a/src/libs/jobs/gang_executor.h
+++ b/src/libs/jobs/gang_executor.h
@@ -1,11 +1,13 @@
-// Turns orders about gangs into calls to workers, one call per worker at a
-// time.
+// Turns requests about gangs into calls to workers, with at most one call in
+// flight per worker.
 //
-// No I/O: calls come out of NextCalls and their answers go into CallDone.
-// With one call in flight per worker and a new sequence number for each, a
-// call that was delayed on its way can never undo a later one: the worker has
-// seen a newer token and refuses it. An order is kept until it is carried out,
-// so a lost answer is repeated, under the same lease ids.
+// No I/O: NextCalls returns the calls to send, and HandleCallResult takes their
+// results. Each call to a worker has a new sequence number, so a delayed call
+// cannot undo a later one: the worker has seen a newer token and refuses it. A
+// request is kept until it is carried out: if a reply is lost, the call is
+// repeated with the same lease ids.
+//
+// Not thread-safe.
 #ifndef THORNPLANK_JOBS_GANG_EXECUTOR_H_
 #define THORNPLANK_JOBS_GANG_EXECUTOR_H_
 
@@ -29,36 +31,41 @@
  public:
   GangExecutor(int64_t epoch, LeaseSettings settings, uint64_t seed);
 
-  // A worker that is missing is kept while leases of ours are on it. New ones
-  // are fenced before anything else.
+  // Replaces the list of workers. A worker that is no longer listed is kept
+  // while it holds leases of this executor or a call to it is in flight. A new
+  // worker is fenced before any other call.
   void SetWorkers(const std::vector<WorkerInfo>& workers, Time now);
 
-  // `task` is handed to every member.
+  // Requests a throttled lease for every member; `task` goes to each of them.
+  // Returns a refusal for each member whose worker is unknown or lost.
   WorkerEvents Grant(const GrantGang& gang, const std::string& account,
                      const Json& task, Time now);
-  void Lift(const std::string& gang_id);
+  void LiftThrottle(const std::string& gang_id);
   void Checkpoint(const std::string& gang_id);
-  // Members whose grant was never sent are gone at once.
+  // Returns the outcome kGone for each member whose grant was never sent.
   WorkerEvents Stop(const std::string& gang_id);
   void StopLease(const std::string& worker, const std::string& lease_id);
-  // A lease found at takeover, or one that the stream says is there at a
-  // worker that has not answered yet.
+  // Takes over a lease that the worker reported, or that the job stream records
+  // for a worker that has not answered yet.
   void Adopt(const std::string& worker, const LeaseReport& lease, Time now);
 
-  // The calls to send now. Each must be answered by CallDone once.
+  // The calls to send now. The result of each must be passed to
+  // HandleCallResult exactly once.
   std::vector<WorkerCall> NextCalls(Time now);
-  // `report` is set exactly when `refusal` is kNone.
-  WorkerEvents CallDone(const WorkerCall& call,
-                        const std::optional<WorkerReport>& report,
-                        WorkerRefusal refusal, const std::string& reason,
-                        Time now);
+  // `report` is set if and only if `refusal` is kNone.
+  WorkerEvents HandleCallResult(const WorkerCall& call,
+                                const std::optional<WorkerReport>& report,
+                                WorkerRefusal refusal,
+                                const std::string& reason, Time now);
 
-  // Whether `worker` has answered the fence of this epoch.
+  // Whether `worker` has answered a call of this epoch, so that it refuses the
+  // calls of older epochs.
   bool fenced(const std::string& worker) const;
   size_t leases() const;
 
  private:
-  enum class Want { kHeld, kRunning, kCheckpointed, kStopped };
+  // The state that a lease is to reach. kHeld: granted, but throttled.
+  enum class Goal { kHeld, kRunning, kCheckpointed, kStopped };
 
   struct Lease {
     std::string gang_id;
@@ -66,74 +73,84 @@
     std::string account;
     int accelerators = 0;
     Json task;
-    Want want = Want::kHeld;
-    // The worker has confirmed it. While false, `grants_sent` tells whether
-    // it may be there all the same.
+    Goal goal = Goal::kHeld;
+    // The worker has confirmed the grant. While false, the worker may hold the
+    // lease anyway if `grants_sent` is above 0.
     bool confirmed = false;
     int grants_sent = 0;
-    bool lifted = false;
-    bool checkpoint_told = false;
-    // Meaningful once checkpoint_told.
-    Time checkpoint_told_at;
-    // When the task should end by its own run time; nullopt when unknown.
-    std::optional<Time> ends_at;
-    // The latest moment at which a grant or renewal of it was sent.
-    Time extended_at;
-    // A stop that left it there is repeated from then on.
-    Time stop_again_at;
+    bool throttle_lifted = false;
+    // The worker has confirmed the request for a checkpoint.
+    bool checkpoint_begun = false;
+    // Valid only if checkpoint_begun.
+    Time checkpoint_begun_at;
+    // When the task should end according to its run time; nullopt if unknown.
+    std::optional<Time> expected_end;
+    // When the last grant or renewal of this lease was sent.
+    Time extension_sent_at;
+    // A stop after which the worker still held the lease is repeated from this
+    // time on.
+    Time next_stop_at;
   };
 
-  struct Slot {
+  struct WorkerState {
     std::string address;
     std::map<std::string, Lease> leases;
     // Invariant: at most one call in flight.
     bool in_flight = false;
     bool fenced = false;
     bool listed = true;
-    // No grant and no renewal goes to a lost worker, so its leases lapse.
+    // A lost worker gets no grants and no renewals, so its leases lapse.
     bool lost = false;
-    Time lapse_at;
+    // Valid only if lost: from then on no lease of the worker is still held.
+    Time leases_lapse_at;
+    // Failed calls in a row.
     int failures = 0;
-    Time answered_at;
+    Time last_answer_at;
+    // No call is sent before this time.
     Time retry_at;
     Time renew_at;
-    // Its place in timers_.
-    std::optional<Time> timer;
+    // The time of this worker's entry in timers_, if it has one.
+    std::optional<Time> timer_at;
   };
 
-  // Looks at one worker for NextCalls.
-  void Visit(const std::string& worker, Slot* slot, Time now,
-             std::vector<WorkerCall>* calls);
-  // The worker is visited next at `when`, unless it is touched before.
-  void SetTimer(const std::string& worker, Slot* slot,
+  // Adds the next call to `worker`, if one is due, and otherwise sets its
+  // timer.
+  void AddNextCall(const std::string& worker, WorkerState* state, Time now,
+                   std::vector<WorkerCall>* calls);
+  // NextCalls examines the worker again at `when`, or earlier if the worker is
+  // added to changed_workers_.
+  void SetTimer(const std::string& worker, WorkerState* state,
                 std::optional<Time> when);
-  std::optional<WorkerCall> NextCall(Slot* slot, Time now);
-  std::optional<WorkerCall> GrantCall(Slot* slot, Time now);
-  WorkerCall RenewCall(Slot* slot, Time now);
-  void Succeeded(const WorkerCall& call, const WorkerReport& report, Slot* slot,
-                 Time now, WorkerEvents* events);
-  void GrantSucceeded(const WorkerCall& call, Slot* slot, WorkerEvents* events);
-  void StopSucceeded(const WorkerCall& call, const WorkerReport& report,
-                     Slot* slot, Time now, WorkerEvents* events);
-  void DropMissing(const WorkerReport& report, Slot* slot);
-  void Failed(const WorkerCall& call, WorkerRefusal refusal,
-              const std::string& reason, Slot* slot, Time now,
-              WorkerEvents* events);
-  void RefuseGrant(const WorkerCall& call, bool proved,
-                   const std::string& reason, Slot* slot, WorkerEvents* events);
-  void Lose(const std::string& worker, Slot* slot, Time now,
-            WorkerEvents* events);
-  Duration RenewalDelay(const Slot& slot, Time now);
+  std::optional<WorkerCall> NextCall(WorkerState* state, Time now);
+  std::optional<WorkerCall> GrantCall(WorkerState* state, Time now);
+  WorkerCall RenewCall(WorkerState* state, Time now);
+  void HandleSuccess(const WorkerCall& call, const WorkerReport& report,
+                     WorkerState* state, Time now, WorkerEvents* events);
+  void HandleGrantSuccess(const WorkerCall& call, WorkerState* state,
+                          WorkerEvents* events);
+  void HandleStopSuccess(const WorkerCall& call, const WorkerReport& report,
+                         WorkerState* state, Time now, WorkerEvents* events);
+  void DropMissingLeases(const WorkerReport& report, WorkerState* state);
+  void HandleFailure(const WorkerCall& call, WorkerRefusal refusal,
+                     const std::string& reason, WorkerState* state, Time now,
+                     WorkerEvents* events);
+  void HandleGrantFailure(const WorkerCall& call, bool proved_not_granted,
+                          const std::string& reason, WorkerState* state,
+                          WorkerEvents* events);
+  void MarkLost(const std::string& worker, WorkerState* state, Time now,
+                WorkerEvents* events);
+  Duration RenewalDelay(const WorkerState& state, Time now);
 
   const int64_t epoch_;
   const LeaseSettings settings_;
   std::mt19937_64 random_;
   int64_t sequence_ = 0;
-  std::map<std::string, Slot> slots_;
-  // Workers for which something has changed since their last visit, and those
-  // for which something comes due. Every worker that is in neither has nothing
-  // to be sent, so that NextCalls costs as much as there is to do.
-  std::set<std::string> touched_;
+  std::map<std::string, WorkerState> workers_;
+  // Workers whose state has changed since NextCalls last examined them.
+  std::set<std::string> changed_workers_;
+  // Times at which NextCalls examines a worker, one at most per worker. Nothing
+  // is to be sent to a worker that is in neither set, so the cost of NextCalls
+  // depends only on the work that is due.
   std::set<std::pair<Time, std::string>> timers_;
 };
 
--- a/src/libs/jobs/job_access.h
+++ b/src/libs/jobs/job_access.h
@@ -1,4 +1,6 @@
-// What the HTTP handlers of jobs need from the carrier.
+// The interface of JobManager towards the HTTP handlers of jobs.
+//
+// Thread-safe.
 #ifndef THORNPLANK_JOBS_JOB_ACCESS_H_
 #define THORNPLANK_JOBS_JOB_ACCESS_H_
 
@@ -16,14 +18,15 @@
 // How a submission or a cancellation ended.
 struct JobChangeResult {
   enum class Outcome {
-    // Folded from the stream, or held by two entries at least (urgent jobs
-    // while the log is down): it survives the death of any one entry.
+    // The change was read back from the stream or, for urgent jobs while the
+    // log is down, is held by at least two entries: it survives the loss of any
+    // single entry.
     kAccepted,
-    // The id stands for another job.
+    // The id belongs to a different job.
     kConflict,
-    // Proved to have no effect; `retry_after` says when to come back.
+    // Proved to have no effect; retry after retry_after().
     kNotRun,
-    // It may take effect later. Repeating it under the same id is safe.
+    // The change may take effect later. Repeating it with the same id is safe.
     kUnknown,
     kNoSuchJob,
   };
@@ -39,21 +42,21 @@
 
   virtual ~JobAccess() = default;
 
-  // `job` is checked and has an id.
+  // `job` must be validated and have an id.
   virtual void Submit(const JobRequest& job, ChangeCallback callback) = 0;
-  // `by` is the name of the token that asked.
+  // `by` is the name of the caller's token.
   virtual void Cancel(const std::string& id, const std::string& by,
                       ChangeCallback callback) = 0;
   virtual std::optional<JobEntry> Find(const std::string& id) const = 0;
-  // The newest `limit` jobs of `account` ("": of all), in order of
-  // submission.
+  // The newest `limit` jobs of `account`, or of all accounts if it is empty, in
+  // order of submission.
   virtual std::vector<JobEntry> List(const std::string& account,
                                      size_t limit) const = 0;
-  // Why the job can never run, or nullopt.
+  // The reason why the job can never run; nullopt if there is none.
   virtual std::optional<std::string> CheckCanRun(const JobSpec& job) const = 0;
   // An id that no other job has.
   virtual std::string NewJobId() = 0;
-  // Whether the fold can answer reads.
+  // Whether this entry has read the job stream and can answer reads.
   virtual bool ready() const = 0;
   virtual std::chrono::seconds retry_after() const = 0;
 };
--- a/src/libs/jobs/job_manager.cc
+++ b/src/libs/jobs/job_manager.cc
@@ -1,4 +1,4 @@
-// JobManager hands everything to its Impl.
+// JobManager forwards all calls to its Impl.
 #include "jobs/job_manager.h"
 
 #include <utility>
@@ -14,7 +14,7 @@
                        JobManagerSettings settings, MetricsRegistry& metrics)
     : impl_(
           std::make_shared<Impl>(io, http, log, std::move(settings), metrics)) {
-  impl_->Open(mesh, metrics);
+  impl_->Initialize(mesh, metrics);
 }
 
 JobManager::~JobManager() { impl_->Stop(); }
--- a/src/libs/jobs/job_manager.h
+++ b/src/libs/jobs/job_manager.h
@@ -1,10 +1,12 @@
-// The carrier of jobs: between the job stream, the scheduler, the workers and
-// the HTTP interface of this entry.
+// Connects the job stream, the scheduler, the workers and this entry's HTTP
+// interface for jobs.
 //
-// Every entry follows the stream and answers reads from its fold. One of them
-// is the coordinator, by an epoch in the stream; it alone plans and calls
-// workers. One mutex guards all of it; nothing is sent and no callback runs
-// while it is held. See docs/design/jobs.md.
+// Every entry follows the job stream and answers reads from its fold of it. The
+// entry that holds the newest epoch in the stream is the coordinator; only the
+// coordinator schedules jobs and calls workers. See docs/design/jobs.md.
+//
+// Thread-safe: one mutex guards all state, and nothing is sent and no callback
+// runs while it is held.
 #ifndef THORNPLANK_JOBS_JOB_MANAGER_H_
 #define THORNPLANK_JOBS_JOB_MANAGER_H_
 
@@ -44,39 +46,44 @@
   // Adds the routes under /v1/jobs.
   void RegisterRoutes(ApiRouter& router);
 
-  // What is planned with; kept on every entry, used by the coordinator. A
+  // Inputs of the scheduler; kept on every entry, used by the coordinator. A
   // coordinator without a list of workers waits for one.
   void SetWorkers(const std::vector<WorkerInfo>& workers);
   void SetGuarantees(const std::vector<AccountGuarantee>& accounts);
   void SetEvents(const std::vector<EventReservation>& events);
-  // The entries that are alive by observation, this one included or not.
+  // The entries that are observed to be alive. This entry counts as alive,
+  // whether listed or not.
   void SetLiveEntries(const std::vector<std::string>& names);
 
-  // Follows the stream from the fold's offset on.
+  // Starts to follow the stream, at jobs_offset().
   void Start();
-  // A planned stop: resigns when this entry is the coordinator, claims nothing
-  // any more, then calls `done` once. Runs go on under the next coordinator.
+  // Prepares a planned stop: claims no further epoch, resigns if this entry is
+  // the coordinator, then calls `done` once. Running jobs continue under the
+  // next coordinator.
   void Drain(std::function<void()> done);
-  // Stops the follower and the timer; nothing is sent afterwards.
+  // Stops following the stream. Afterwards nothing is sent.
   void Stop();
 
   bool is_coordinator() const;
-  // The newest epoch of the stream; 0 when there was none yet.
+  // The newest epoch in the stream; 0 if there is none.
   int64_t epoch() const;
-  // Name of the coordinator by the stream, or "".
+  // The name of the coordinator according to the stream; empty if there is
+  // none.
   std::string coordinator() const;
-  // The offset of the stream up to which this entry has folded.
+  // The offset of the next record to fold.
   int64_t jobs_offset() const;
-  // Whether the fold is complete and has once reached the end of the stream,
-  // or has taken the fold of a peer that was ready.
+  // Whether the fold is complete and has reached the end of the stream once, or
+  // covers the snapshot of a peer that was ready.
   bool ready() const;
-  // What readiness waits for, or "".
+  // What readiness waits for; empty if ready.
   std::string not_ready_reason() const;
 
-  // The fold for an entry that joins, {"parts":[…]}; null unless ready.
+  // A snapshot of the fold for a joining entry, {"parts":[…]}; null unless
+  // ready.
   Json ProduceSnapshot() const;
-  // Takes a peer's snapshot. One that covers less than what is folded changes
-  // nothing (true). False and `*error` when it cannot be read.
+  // Restores the fold from a peer's snapshot. A snapshot that covers no more
+  // than the fold changes nothing, and the function returns true. Returns false
+  // and sets `*error` if the snapshot cannot be read.
   bool ConsumeSnapshot(const Json& snapshot, Error* error);
 
  private:
--- a/src/libs/jobs/job_manager_access.cc
+++ b/src/libs/jobs/job_manager_access.cc
@@ -1,4 +1,5 @@
-// Submissions, cancellations and reads of the HTTP handlers and the peers.
+// JobManager's functions for HTTP handlers and peers: submissions,
+// cancellations, reads and snapshots.
 #include <algorithm>
 #include <utility>
 
@@ -11,9 +12,9 @@
 using Clock = std::chrono::steady_clock;
 using Outcome = JobChangeResult::Outcome;
 
-// A caller waits this much longer than its record, so that the fate of the
-// record is known first.
-constexpr Milliseconds kFoldMargin{500};
+// A caller waits this much longer than the deadline of its record, so that the
+// outcome of the append is known first.
+constexpr Milliseconds kReadBackMargin{500};
 
 JobChangeResult NotRun(const std::string& reason) {
   return {Outcome::kNotRun, JobPhase::kWaiting, reason};
@@ -28,8 +29,8 @@
   bool log_down = false;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const LogTrouble trouble = JudgeLog(now);
-    log_down = trouble != LogTrouble::kNone;
+    const LogProblem problem = EvaluateLogHealth(now);
+    log_down = problem != LogProblem::kNone;
     if (!fold_.complete()) {
       result = NotRun("the job stream is not folded yet");
     } else if (fold_.jobs().IsKnown(job.spec.id)) {
@@ -37,11 +38,12 @@
     } else if (draining_) {
       result = NotRun("this entry is stopping");
     } else if (log_down && job.spec.priority != Priority::kUrgent) {
-      result = NotRun("the log is down (" + std::string(ToText(trouble)) +
+      result = NotRun("the log is down (" + std::string(ToText(problem)) +
                       "); only urgent jobs are taken");
     } else if (!log_down) {
       waiters_.Add({record_id, job, false,
-                    now + settings_.submit_timeout + kFoldMargin, callback});
+                    now + settings_.submit_timeout + kReadBackMargin,
+                    callback});
     }
   }
   if (result) {
@@ -61,8 +63,8 @@
   writer_.Append(record_id, EncodeJobRecord(SubmittedRecord{job}), deadline,
                  [weak = weak_from_this(), id = job.spec.id, record_id](
                      AppendState state, int64_t, const Error& error) {
-                   // An append that is confirmed or unknown is settled by the
-                   // fold.
+                   // If the record was appended, or may have been, the waiter
+                   // is answered when the record is read back.
                    if (state != AppendState::kNotAppended) return;
                    if (const auto self = weak.lock()) {
                      self->SubmissionFailed(id, record_id, error);
@@ -79,15 +81,15 @@
     waiters = waiters_.TakeByRecord(job, record_id);
   }
   for (JobWaiters::Waiter& waiter : waiters) {
-    if (!waiter.for_end && waiter.job.spec.priority == Priority::kUrgent) {
+    if (!waiter.until_final && waiter.job.spec.priority == Priority::kUrgent) {
       urgent_->Submit(waiter.job, std::move(waiter.callback));
       continue;
     }
-    AnswerFailed(std::move(waiter), true, error.ToString());
+    RejectWaiter(std::move(waiter), true, error.ToString());
   }
 }
 
-void JobManager::Impl::AnswerFailed(JobWaiters::Waiter waiter,
+void JobManager::Impl::RejectWaiter(JobWaiters::Waiter waiter,
                                     bool proved_not_appended,
                                     const std::string& reason) {
   const Outcome outcome =
@@ -111,7 +113,8 @@
       JobRequest job;
       job.spec.id = id;
       waiters_.Add({record_id, job, true,
-                    now + settings_.submit_timeout + kFoldMargin, callback});
+                    now + settings_.submit_timeout + kReadBackMargin,
+                    callback});
     }
   }
   if (result) {
@@ -133,9 +136,9 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const JobEntry* entry = fold_.jobs().Find(id);
   if (entry != nullptr) return *entry;
-  const auto held = held_.find(id);
-  if (held == held_.end()) return std::nullopt;
-  return HeldEntry(held->second);
+  const auto held = held_urgent_jobs_.find(id);
+  if (held == held_urgent_jobs_.end()) return std::nullopt;
+  return MakeHeldEntry(held->second);
 }
 
 std::vector<JobEntry> JobManager::Impl::List(const std::string& account,
@@ -147,9 +150,9 @@
       if (!account.empty() && entry.request.spec.account != account) continue;
       found.push_back(entry);
     }
-    for (const auto& [id, job] : held_) {
+    for (const auto& [id, job] : held_urgent_jobs_) {
       if (!account.empty() && job.spec.account != account) continue;
-      found.push_back(HeldEntry(job));
+      found.push_back(MakeHeldEntry(job));
     }
   }
   std::sort(found.begin(), found.end(),
@@ -183,7 +186,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!fold_.complete()) return "the job stream has no snapshot to begin at";
-    if (from_peer_) return "";
+    if (restored_from_peer_) return "";
   }
   if (!follower_ || !follower_->caught_up()) {
     return "the job stream has not been read to its end";
@@ -212,7 +215,8 @@
 }
 
 Json JobManager::Impl::ProduceSnapshot() const {
-  // Two that join while the log is down must not call each other complete.
+  // Otherwise two entries that join while the log is down could make each other
+  // ready with incomplete folds.
   if (!ready()) return Json();
   std::vector<SnapshotPartRecord> parts;
   {
@@ -248,35 +252,35 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const bool restored = fold_.Restore(parts);
-    from_peer_ = fold_.complete();
+    restored_from_peer_ = fold_.complete();
     if (!restored) return true;
-    HandleChange({FoldChange::Kind::kRestored, ""}, Clock::now(), &answers);
+    HandleFoldChange({FoldChange::Kind::kRestored, ""}, Clock::now(), &answers);
   }
   for (const auto& answer : answers) answer();
   return true;
 }
 
-LogTrouble JobManager::Impl::JudgeLog(Time now) const {
-  if (!follower_) return LogTrouble::kNotRead;
+LogProblem JobManager::Impl::EvaluateLogHealth(Time now) const {
+  if (!follower_) return LogProblem::kNotRead;
   const std::optional<Time> failing =
       writer_.pending() == 0 ? std::nullopt : writer_.failing_since();
-  return log_health_.Judge(follower_->last_success(), failing, now);
+  return log_health_.Evaluate(follower_->last_success(), failing, now);
 }
 
-// The submission is appended before the scheduler sees the job: the record of
-// its placement counts only when it comes after that.
+// The submission is queued for the stream before the scheduler gets the job,
+// since the record of a placement is ignored if it precedes the submission.
 bool JobManager::Impl::PlanUrgent(const JobRequest& job) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!coordinator_ || verifying_) return false;
+    if (!coordinator_ || verifying_epoch_) return false;
     if (fold_.jobs().IsKnown(job.spec.id)) return true;
   }
   HoldUrgent(job);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (coordinator_) coordinator_->Submit(HeldEntry(job), Clock::now());
+    if (coordinator_) coordinator_->Submit(MakeHeldEntry(job), Clock::now());
   }
-  SchedulePump();
+  ScheduleTurn();
   return true;
 }
 
@@ -284,18 +288,18 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (fold_.jobs().IsKnown(job.spec.id)) return;
-    if (!held_.emplace(job.spec.id, job).second) return;
+    if (!held_urgent_jobs_.emplace(job.spec.id, job).second) return;
   }
   writer_.Append(NewRecordId(), EncodeJobRecord(SubmittedRecord{job}),
-                 Clock::now() + settings_.append_patience,
+                 Clock::now() + settings_.append_timeout,
                  [](AppendState state, int64_t, const Error& error) {
                    if (state == AppendState::kAppended) return;
                    LogEvent(events::kJobRecordLost, error);
                  });
 }
 
-// Its place in the order of arrival is after all that is folded.
-JobEntry JobManager::Impl::HeldEntry(const JobRequest& job) const {
+// The job is ordered after all jobs that the fold contains.
+JobEntry JobManager::Impl::MakeHeldEntry(const JobRequest& job) const {
   JobEntry entry;
   entry.request = job;
   entry.request.spec.submitted_order = fold_.next_offset();
--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -14,11 +14,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-// How long a claim or a resignation waits to be appended.
-constexpr std::chrono::seconds kElectionAppendTime{2};
-// A part of a snapshot that is not appended by then waits for the next one.
-constexpr std::chrono::seconds kSnapshotAppendTime{30};
-constexpr std::chrono::seconds kOffsetReadTime{2};
+// How long an epoch claim or a resignation may wait to be appended.
+constexpr std::chrono::seconds kElectionAppendTimeout{2};
+// How long a part of a snapshot may wait to be appended. After that the
+// snapshot is abandoned, and a later one replaces it.
+constexpr std::chrono::seconds kSnapshotAppendTimeout{30};
+constexpr std::chrono::seconds kOffsetReadTimeout{2};
 
 }  // namespace
 
@@ -48,7 +49,7 @@
       last_turn_(Clock::now()),
       snapshots_(settings_.snapshot_records, settings_.snapshot_interval) {}
 
-void JobManager::Impl::Open(PeerMesh* mesh, MetricsRegistry& metrics) {
+void JobManager::Impl::Initialize(PeerMesh* mesh, MetricsRegistry& metrics) {
   const std::weak_ptr<Impl> weak = weak_from_this();
   UrgentJobs::Hooks hooks;
   hooks.coordinator = [weak] {
@@ -66,7 +67,7 @@
   };
   urgent_ = std::make_shared<UrgentJobs>(
       settings_.name, mesh, settings_.leases.call_timeout, std::move(hooks));
-  urgent_->Start();
+  urgent_->RegisterHandlers();
   const auto gauge = [&](const std::string& name, const std::string& help,
                          double (*read)(const Impl&)) {
     metrics.AddGauge(name, help, {}, [weak, read] {
@@ -107,7 +108,8 @@
 }
 
 void JobManager::Impl::Drain(std::function<void()> done) {
-  // On the strand: the resignation goes after every record of a turn before.
+  // On the strand, so that the resignation follows the records of all earlier
+  // turns.
   boost::asio::post(strand_, [self = shared_from_this(),
                               done = std::move(done)]() mutable {
     std::optional<ResignRecord> resign;
@@ -119,16 +121,16 @@
         records = self->coordinator_->TakeRecords();
         resign = ResignRecord{self->coordinator_->epoch(), self->settings_.name,
                               self->settings_.incarnation};
-        self->StepDown("planned stop");
+        self->StepDown("this entry is stopping");
       }
     }
-    for (const JobStreamRecord& record : records) self->AppendPlanned(record);
+    for (const JobStreamRecord& record : records) self->AppendRecord(record);
     if (!resign) {
       done();
       return;
     }
     self->writer_.Append(self->NewRecordId(), EncodeJobRecord(*resign),
-                         Clock::now() + kElectionAppendTime,
+                         Clock::now() + kElectionAppendTimeout,
                          [done = std::move(done)](AppendState, int64_t,
                                                   const Error&) { done(); });
   });
@@ -172,27 +174,27 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const Time now = Clock::now();
-    if (IsOwnRecord(record.id)) log_health_.OnOwnRecord(now);
-    HandleChange(fold_.Fold(record), now, &answers);
+    if (IsOwnRecord(record.id)) log_health_.HandleOwnRecord(now);
+    HandleFoldChange(fold_.Fold(record), now, &answers);
   }
   for (const auto& answer : answers) answer();
-  SchedulePump();
+  ScheduleTurn();
 }
 
 void JobManager::Impl::OnGap(int64_t from, int64_t first_kept) {
   LogEvent(events::kJobStreamGap, {{"from", from}, {"first_kept", first_kept}});
   const std::lock_guard<std::mutex> lock(mutex_);
   fold_.SkipLostRecords(first_kept);
-  if (!fold_.complete() && coordinator_) StepDown("records were lost unread");
+  if (!fold_.complete() && coordinator_) StepDown("log records were missed");
 }
 
-void JobManager::Impl::HandleChange(const FoldChange& change, Time now,
-                                    JobWaiters::Answers* answers) {
+void JobManager::Impl::HandleFoldChange(const FoldChange& change, Time now,
+                                        JobWaiters::Answers* answers) {
   switch (change.kind) {
     case FoldChange::Kind::kNone:
       return;
     case FoldChange::Kind::kSubmitted:
-      held_.erase(change.job);
+      held_urgent_jobs_.erase(change.job);
       if (coordinator_) {
         coordinator_->Submit(*fold_.jobs().Find(change.job), now);
       }
@@ -205,24 +207,24 @@
       break;
     case FoldChange::Kind::kEpoch:
     case FoldChange::Kind::kResigned:
-      EpochMoved(now);
+      HandleEpochChange(now);
       return;
     case FoldChange::Kind::kRestored:
-      // Whatever was planned with is out of date.
-      if (coordinator_) StepDown("the fold was replaced");
-      EpochMoved(now);
+      // The coordinator's state is based on the replaced fold.
+      if (coordinator_) StepDown("the job table was restored from a snapshot");
+      HandleEpochChange(now);
       *answers = waiters_.TakeAllFulfilled(fold_.jobs());
       return;
   }
   *answers = waiters_.TakeFulfilled(fold_.jobs(), change.job);
 }
 
-void JobManager::Impl::EpochMoved(Time now) {
+void JobManager::Impl::HandleEpochChange(Time now) {
   const CoordinatorEpoch& epoch = fold_.epochs().current();
   election_.SetEpoch(epoch, now);
   const bool ours =
       fold_.epochs().IsHeldBy(settings_.name, settings_.incarnation) &&
-      epoch.number != given_up_epoch_ && !draining_;
+      epoch.number != abandoned_epoch_ && !draining_;
   if (coordinator_ && (!ours || coordinator_->epoch() != epoch.number)) {
     StepDown("epoch " + std::to_string(epoch.number) + " belongs to " +
              epoch.holder);
@@ -234,13 +236,13 @@
   LogEvent(events::kEpochWon, {{"epoch", epoch.number}});
 }
 
-// With the object gone nothing more of its epoch is sent; the answers of its
-// calls are dropped.
+// Without the coordinator nothing more is sent under its epoch, and the results
+// of calls in flight are ignored.
 void JobManager::Impl::StepDown(const std::string& why) {
   LogEvent(events::kSteppedDown,
            {{"epoch", coordinator_->epoch()}, {"reason", why}});
   coordinator_.reset();
-  verifying_ = false;
+  verifying_epoch_ = false;
 }
 
 void JobManager::Impl::ArmTimer() {
@@ -248,37 +250,38 @@
   timer_.async_wait([weak = weak_from_this()](boost::system::error_code error) {
     const auto self = weak.lock();
     if (error || !self || self->stopped_) return;
-    self->Pump();
+    self->RunTurn();
     self->ArmTimer();
   });
 }
 
-void JobManager::Impl::SchedulePump() {
-  if (pump_scheduled_.exchange(true)) return;
+void JobManager::Impl::ScheduleTurn() {
+  if (turn_scheduled_.exchange(true)) return;
   boost::asio::post(strand_, [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self) return;
-    self->pump_scheduled_ = false;
-    self->Pump();
+    self->turn_scheduled_ = false;
+    self->RunTurn();
   });
 }
 
-// On the strand, so that records and calls leave in the order of the turns.
-void JobManager::Impl::Pump() {
+// Runs on the strand, so that records and calls are sent in the order of the
+// turns.
+void JobManager::Impl::RunTurn() {
   if (stopped_) return;
-  SendOut(Turn(Clock::now()));
+  SendOutbox(PrepareTurn(Clock::now()));
 }
 
-JobManager::Impl::Outbox JobManager::Impl::Turn(Time now) {
+JobManager::Impl::Outbox JobManager::Impl::PrepareTurn(Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Outbox outbox;
   outbox.next_offset = fold_.next_offset();
   outbox.expired = waiters_.TakeExpired(now);
-  NoticePause(now, &outbox);
+  CheckForPause(now, &outbox);
   last_turn_ = now;
   const bool log_down = LogDown(now);
-  // Whether their records were appended is unknown and does not matter: the
-  // fold takes a job once.
+  // It is unknown whether their records were appended. This does not matter,
+  // since the fold ignores a second submission of the same job.
   if (log_down) outbox.urgent = waiters_.TakeUrgent();
   const bool may_claim = live_entries_known_ && !draining_ && !log_down &&
                          fold_.complete() && follower_->caught_up();
@@ -288,7 +291,7 @@
           EpochRecord{*number, settings_.name, settings_.incarnation};
     }
   }
-  if (!coordinator_ || verifying_) return outbox;
+  if (!coordinator_ || verifying_epoch_) return outbox;
   Plan(now, &outbox);
   if (coordinator_ &&
       now >= retention_checked_at_ + settings_.retention_check_interval) {
@@ -298,12 +301,14 @@
   return outbox;
 }
 
-// A holder that was paused may have been replaced meanwhile: before it sends
-// anything it asks the stream. While the log is down there is no newer epoch.
-void JobManager::Impl::NoticePause(Time now, Outbox* outbox) {
-  if (verifying_ && verify_offset_ && fold_.next_offset() >= *verify_offset_) {
-    verifying_ = false;
-    verify_offset_.reset();
+// Another entry may have won a newer epoch while this process was paused, so
+// the coordinator checks the stream before it sends anything. If the log is
+// down, no newer epoch can have been appended.
+void JobManager::Impl::CheckForPause(Time now, Outbox* outbox) {
+  if (verifying_epoch_ && epoch_check_offset_ &&
+      fold_.next_offset() >= *epoch_check_offset_) {
+    verifying_epoch_ = false;
+    epoch_check_offset_.reset();
   }
   if (!coordinator_ || now - last_turn_ < settings_.pause_threshold) return;
   LogEvent(
@@ -311,18 +316,18 @@
       {{"epoch", coordinator_->epoch()},
        {"paused_ms",
         std::chrono::duration_cast<Milliseconds>(now - last_turn_).count()}});
-  verifying_ = true;
-  verify_offset_.reset();
-  outbox->check_epoch = true;
+  verifying_epoch_ = true;
+  epoch_check_offset_.reset();
+  outbox->verify_epoch = true;
 }
 
 void JobManager::Impl::Plan(Time now, Outbox* outbox) {
   coordinator_->Advance(fold_, now, std::chrono::system_clock::now());
   decision_time_.Observe(Clock::now() - now);
   if (coordinator_->superseded()) {
-    given_up_epoch_ = coordinator_->epoch();
+    abandoned_epoch_ = coordinator_->epoch();
     outbox->resign =
-        ResignRecord{given_up_epoch_, settings_.name, settings_.incarnation};
+        ResignRecord{abandoned_epoch_, settings_.name, settings_.incarnation};
     StepDown("workers have seen a newer token");
     return;
   }
@@ -330,10 +335,10 @@
   outbox->calls = coordinator_->TakeCalls(now);
 }
 
-void JobManager::Impl::SendOut(Outbox outbox) {
+void JobManager::Impl::SendOutbox(Outbox outbox) {
   const auto append = [this](const JobStreamRecord& record) {
     writer_.Append(NewRecordId(), EncodeJobRecord(record),
-                   Clock::now() + kElectionAppendTime,
+                   Clock::now() + kElectionAppendTimeout,
                    [](AppendState, int64_t, const Error&) {});
   };
   if (outbox.claim) {
@@ -341,15 +346,15 @@
     append(*outbox.claim);
   }
   if (outbox.resign) append(*outbox.resign);
-  for (const JobStreamRecord& record : outbox.records) AppendPlanned(record);
+  for (const JobStreamRecord& record : outbox.records) AppendRecord(record);
   for (const WorkerCall& call : outbox.calls) SendCall(call);
   for (JobWaiters::Waiter& waiter : outbox.expired) {
-    AnswerFailed(std::move(waiter), false, "the log did not answer in time");
+    RejectWaiter(std::move(waiter), false, "the log did not answer in time");
   }
   for (JobWaiters::Waiter& waiter : outbox.urgent) {
     urgent_->Submit(waiter.job, std::move(waiter.callback));
   }
-  if (outbox.check_retention || outbox.check_epoch) {
+  if (outbox.check_retention || outbox.verify_epoch) {
     ReadOffsets(outbox.check_retention, outbox.next_offset);
   }
 }
@@ -361,28 +366,29 @@
                                       WorkerRefusal refusal,
                                       const Error& error) {
         if (const auto self = weak.lock()) {
-          self->CallDone(call, report, refusal, error);
+          self->HandleCallResult(call, report, refusal, error);
         }
       });
 }
 
-void JobManager::Impl::CallDone(const WorkerCall& call,
-                                const std::optional<WorkerReport>& report,
-                                WorkerRefusal refusal, const Error& error) {
+void JobManager::Impl::HandleCallResult(
+    const WorkerCall& call, const std::optional<WorkerReport>& report,
+    WorkerRefusal refusal, const Error& error) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!coordinator_ || coordinator_->epoch() != call.token.epoch) return;
     const Time now = Clock::now();
-    coordinator_->CallDone(call, report, refusal, error.ToString(), now);
+    coordinator_->HandleCallResult(call, report, refusal, error.ToString(),
+                                   now);
     decision_time_.Observe(Clock::now() - now);
   }
-  SchedulePump();
+  ScheduleTurn();
 }
 
-void JobManager::Impl::AppendPlanned(const JobStreamRecord& record) {
+void JobManager::Impl::AppendRecord(const JobStreamRecord& record) {
   if (std::holds_alternative<PlacedRecord>(record)) placements_.Add();
   writer_.Append(NewRecordId(), EncodeJobRecord(record),
-                 Clock::now() + settings_.append_patience,
+                 Clock::now() + settings_.append_timeout,
                  [weak = weak_from_this()](AppendState state, int64_t,
                                            const Error& error) {
                    if (state == AppendState::kAppended) return;
@@ -391,42 +397,45 @@
                  });
 }
 
-// Reads nothing but the offsets of the stream.
+// Reads at most one record; only the offsets in the result are used.
 void JobManager::Impl::ReadOffsets(bool check_retention, int64_t next_offset) {
-  log_.Read(settings_.stream, next_offset, 1, Duration::zero(), kOffsetReadTime,
+  log_.Read(settings_.stream, next_offset, 1, Duration::zero(),
+            kOffsetReadTimeout,
             [weak = weak_from_this(), check_retention](
                 const std::optional<LogReadResult>& result, const Error&) {
               if (const auto self = weak.lock()) {
-                self->OffsetsRead(check_retention, result);
+                self->HandleOffsets(check_retention, result);
               }
             });
 }
 
-void JobManager::Impl::OffsetsRead(bool check_retention,
-                                   const std::optional<LogReadResult>& result) {
+void JobManager::Impl::HandleOffsets(
+    bool check_retention, const std::optional<LogReadResult>& result) {
   auto parts = std::make_shared<std::vector<SnapshotPartRecord>>();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (verifying_ && !verify_offset_) {
-      verify_offset_ = result ? result->next_offset : 0;
+    if (verifying_epoch_ && !epoch_check_offset_) {
+      epoch_check_offset_ = result ? result->next_offset : 0;
     }
     const bool may_snapshot = check_retention && result && coordinator_ &&
-                              coordinator_->planning() && !snapshot_under_way_;
+                              coordinator_->planning() &&
+                              !snapshot_in_progress_;
     const Time now = Clock::now();
     if (may_snapshot &&
-        snapshots_.Due(result->first_offset, result->next_offset,
-                       fold_.newest_snapshot_end(), now)) {
+        snapshots_.IsDue(result->first_offset, result->next_offset,
+                         fold_.newest_snapshot_end(), now)) {
       *parts =
           fold_.MakeSnapshot(NewRecordId(), settings_.snapshot_jobs_per_part);
-      snapshot_under_way_ = !parts->empty();
-      snapshots_.Appended(now);
+      snapshot_in_progress_ = !parts->empty();
+      snapshots_.MarkAppended(now);
     }
   }
   if (!parts->empty()) AppendSnapshot(parts, 0);
-  SchedulePump();
+  ScheduleTurn();
 }
 
-// One part after the other, so that a snapshot never makes one huge batch.
+// Appends the parts one after the other, so that a snapshot does not form a
+// single huge batch.
 void JobManager::Impl::AppendSnapshot(
     const std::shared_ptr<std::vector<SnapshotPartRecord>>& parts,
     size_t next) {
@@ -434,11 +443,11 @@
     LogEvent(events::kJobSnapshotAppended,
              {{"covers", parts->front().covers}, {"parts", parts->size()}});
     const std::lock_guard<std::mutex> lock(mutex_);
-    snapshot_under_way_ = false;
+    snapshot_in_progress_ = false;
     return;
   }
   writer_.Append(NewRecordId(), EncodeJobRecord((*parts)[next]),
-                 Clock::now() + kSnapshotAppendTime,
+                 Clock::now() + kSnapshotAppendTimeout,
                  [weak = weak_from_this(), parts, next](AppendState state,
                                                         int64_t, const Error&) {
                    const auto self = weak.lock();
@@ -448,7 +457,7 @@
                      return;
                    }
                    const std::lock_guard<std::mutex> lock(self->mutex_);
-                   self->snapshot_under_way_ = false;
+                   self->snapshot_in_progress_ = false;
                  });
 }
 
--- a/src/libs/jobs/job_manager_impl.h
+++ b/src/libs/jobs/job_manager_impl.h
@@ -1,7 +1,8 @@
-// The inside of JobManager; see job_manager.h.
+// The implementation of JobManager; see job_manager.h.
 //
-// job_manager_impl.cc holds the loop between stream, coordinator and workers,
-// job_manager_access.cc what the HTTP handlers and the peers ask for.
+// job_manager_impl.cc contains the loop between stream, coordinator and
+// workers; job_manager_access.cc contains the functions that serve HTTP
+// handlers and peers.
 #ifndef THORNPLANK_JOBS_JOB_MANAGER_IMPL_H_
 #define THORNPLANK_JOBS_JOB_MANAGER_IMPL_H_
 
@@ -36,8 +37,8 @@
   Impl(boost::asio::io_context& io, HttpClient& http, LogClient& log,
        JobManagerSettings settings, MetricsRegistry& metrics);
 
-  // Once, before anything else.
-  void Open(PeerMesh* mesh, MetricsRegistry& metrics);
+  // To be called once, before any other function.
+  void Initialize(PeerMesh* mesh, MetricsRegistry& metrics);
   void Start();
   void Drain(std::function<void()> done);
   void Stop();
@@ -70,60 +71,66 @@
   bool ConsumeSnapshot(const Json& snapshot, Error* error);
 
  private:
-  // What one turn of the loop leaves to be sent without the lock.
+  // What one turn of the loop has to send after it has released the mutex.
   struct Outbox {
     std::vector<WorkerCall> calls;
     std::vector<JobStreamRecord> records;
     std::vector<SnapshotPartRecord> snapshot;
     std::optional<EpochRecord> claim;
     std::optional<ResignRecord> resign;
+    // Waiters whose deadline has passed.
     std::vector<JobWaiters::Waiter> expired;
-    // Submitted just before the log went down.
+    // Submissions of urgent jobs that were waiting when the log went down.
     std::vector<JobWaiters::Waiter> urgent;
+    // Read the stream's offsets to see whether a snapshot is due.
     bool check_retention = false;
-    bool check_epoch = false;
+    // Read the stream's offsets to check for a newer epoch after a pause.
+    bool verify_epoch = false;
+    // Of the fold.
     int64_t next_offset = 0;
   };
 
   void OnRecord(const LogRecord& record);
   void OnGap(int64_t from, int64_t first_kept);
-  void HandleChange(const FoldChange& change, Time now,
-                    JobWaiters::Answers* answers);
-  void EpochMoved(Time now);
+  void HandleFoldChange(const FoldChange& change, Time now,
+                        JobWaiters::Answers* answers);
+  void HandleEpochChange(Time now);
   void StepDown(const std::string& why);
 
   void ArmTimer();
-  void SchedulePump();
-  void Pump();
-  Outbox Turn(Time now);
-  void NoticePause(Time now, Outbox* outbox);
+  void ScheduleTurn();
+  void RunTurn();
+  Outbox PrepareTurn(Time now);
+  void CheckForPause(Time now, Outbox* outbox);
   void Plan(Time now, Outbox* outbox);
-  void SendOut(Outbox outbox);
+  void SendOutbox(Outbox outbox);
   void SendCall(const WorkerCall& call);
-  void CallDone(const WorkerCall& call,
-                const std::optional<WorkerReport>& report,
-                WorkerRefusal refusal, const Error& error);
-  void AppendPlanned(const JobStreamRecord& record);
+  void HandleCallResult(const WorkerCall& call,
+                        const std::optional<WorkerReport>& report,
+                        WorkerRefusal refusal, const Error& error);
+  void AppendRecord(const JobStreamRecord& record);
   void ReadOffsets(bool check_retention, int64_t next_offset);
-  void OffsetsRead(bool check_retention,
-                   const std::optional<LogReadResult>& result);
+  void HandleOffsets(bool check_retention,
+                     const std::optional<LogReadResult>& result);
   void AppendSnapshot(
       const std::shared_ptr<std::vector<SnapshotPartRecord>>& parts,
       size_t next);
 
-  // Whether the log cannot be used now, and why. With mutex_ held.
-  LogTrouble JudgeLog(Time now) const;
-  bool LogDown(Time now) const { return JudgeLog(now) != LogTrouble::kNone; }
+  // Whether and why the log counts as down. mutex_ must be held.
+  LogProblem EvaluateLogHealth(Time now) const;
+  bool LogDown(Time now) const {
+    return EvaluateLogHealth(now) != LogProblem::kNone;
+  }
   bool IsOwnRecord(const std::string& record_id) const;
   void AppendSubmission(const JobRequest& job, const std::string& record_id,
                         Time deadline);
   void SubmissionFailed(const std::string& job, const std::string& record_id,
                         const Error& error);
-  void AnswerFailed(JobWaiters::Waiter waiter, bool proved_not_appended,
+  void RejectWaiter(JobWaiters::Waiter waiter, bool proved_not_appended,
                     const std::string& reason);
   bool PlanUrgent(const JobRequest& job);
   void HoldUrgent(const JobRequest& job);
-  JobEntry HeldEntry(const JobRequest& job) const;
+  JobEntry MakeHeldEntry(const JobRequest& job) const;
   std::string NewRecordId();
   std::string RecordIdPrefix() const;
 
@@ -134,7 +141,7 @@
   LogClient& log_;
   WorkerClient workers_;
   StreamWriter writer_;
-  // With mutex_ held.
+  // Guarded by mutex_.
   LogHealth log_health_;
   std::unique_ptr<StreamFollower> follower_;
   std::shared_ptr<UrgentJobs> urgent_;
@@ -143,35 +150,38 @@
   Counter& records_lost_;
   Summary& decision_time_;
   std::atomic<uint64_t> next_id_{1};
-  std::atomic<bool> pump_scheduled_{false};
+  std::atomic<bool> turn_scheduled_{false};
   std::atomic<bool> stopped_{false};
 
-  // Guards everything below. Nothing is sent, and no callback runs, with it
-  // held.
+  // Guards the members below and log_health_. Nothing is sent and no callback
+  // runs while it is held.
   mutable std::mutex mutex_;
   JobStreamFold fold_;
   CoordinatorElection election_;
-  // Set exactly while this entry holds the newest epoch it knows of and has
+  // Set if and only if this entry holds the newest epoch it knows of and has
   // not stepped down from it.
   std::unique_ptr<Coordinator> coordinator_;
-  // The epoch that this entry gave up though the stream does not say so yet.
-  int64_t given_up_epoch_ = 0;
+  // The epoch from which this entry stepped down before the stream showed its
+  // resignation.
+  int64_t abandoned_epoch_ = 0;
   std::shared_ptr<const PlanningInputs> inputs_;
   bool live_entries_known_ = false;
-  // A ready peer's fold was taken over or covers no more than this one.
-  bool from_peer_ = false;
+  // The fold was restored from a ready peer, or covered that peer's snapshot.
+  bool restored_from_peer_ = false;
   bool draining_ = false;
   JobWaiters waiters_;
-  // Urgent jobs that the stream does not have yet.
-  std::map<std::string, JobRequest> held_;
-  // After a pause nothing is sent to workers until the stream was asked for a
-  // newer epoch and its answer, up to this offset, was folded.
-  bool verifying_ = false;
-  std::optional<int64_t> verify_offset_;
+  // Urgent jobs that were not read back from the stream yet, by id.
+  std::map<std::string, JobRequest> held_urgent_jobs_;
+  // After a pause of this process nothing is sent to workers until the fold has
+  // reached epoch_check_offset_, which is the end of the stream as read after
+  // the pause: an epoch that another entry won meanwhile is then known.
+  bool verifying_epoch_ = false;
+  // nullopt until the read has ended; 0 if it failed.
+  std::optional<int64_t> epoch_check_offset_;
   Time last_turn_;
   Time retention_checked_at_;
   SnapshotSchedule snapshots_;
-  bool snapshot_under_way_ = false;
+  bool snapshot_in_progress_ = false;
 };
 
 }  // namespace thornplank
--- a/src/libs/jobs/job_manager_settings.h
+++ b/src/libs/jobs/job_manager_settings.h
@@ -1,4 +1,4 @@
-// Settings of the carrier of jobs.
+// Settings of JobManager.
 #ifndef THORNPLANK_JOBS_JOB_MANAGER_SETTINGS_H_
 #define THORNPLANK_JOBS_JOB_MANAGER_SETTINGS_H_
 
@@ -15,46 +15,52 @@
 
 namespace thornplank {
 
-// Leases and calls at workers.
+// Leases at workers and calls to them.
 //
-// The longest that a survivor of a gang runs after a member was lost, with
-// these defaults: the loss shows in `calls_before_lost` failed calls, the
-// first of which starts at most a renewal interval with its jitter after the
-// last answer: 4.4 s + 2 x 2 s = 8.4 s, and not before `lost_after`. The
-// survivor then meets the stop within a call in flight and the stop itself,
-// 2 x 2 s: 12.4 s in all. A survivor that cannot be reached either runs on
-// until its lease lapses: at most 8.4 s + 15 s = 23.4 s. A task that fails or
-// a lease that is gone at a worker that answers shows in the next report:
-// 4.4 s + 2 s, and 4 s for the stop. See docs/design/jobs.md.
+// How long the remaining members of a gang run after one member was lost, at
+// most, with these defaults:
+// - A worker counts as lost after `failures_before_lost` failed calls, but not
+//   before `lost_after`. The first of these calls starts at most one renewal
+//   interval with its jitter after the last answer: 4.4 s + 2 x 2 s = 8.4 s.
+// - The other workers get the stop after at most one call in flight and the
+//   call of the stop itself, 2 x 2 s: 12.4 s in all.
+// - A remaining member whose worker is unreachable too runs until its lease
+//   lapses: 8.4 s + 15 s = 23.4 s.
+// - A failed task, or a lease that is gone at a worker that answers, is seen in
+//   the next report: 4.4 s + 2 s, and 4 s for the stop.
+// See docs/design/jobs.md.
 struct LeaseSettings {
   Duration term = std::chrono::seconds(15);
   Duration renewal_interval = std::chrono::seconds(4);
-  // Share of the interval by which each renewal is moved at random, so that
-  // workers are not renewed all at once.
+  // The largest fraction of the interval by which a renewal is shifted at
+  // random, so that not all workers are called at the same time.
   double renewal_jitter = 0.1;
   // A worker without leases is asked for its report this often.
   Duration idle_probe_interval = std::chrono::seconds(20);
-  // While a checkpoint is under way its worker is asked again after a quarter
-  // of the time that it has taken so far, and not before this.
-  Duration min_checkpoint_probe = std::chrono::milliseconds(50);
+  // While a checkpoint is in progress, its worker is asked again after a
+  // quarter of the time that the checkpoint has taken so far, but not earlier
+  // than this.
+  Duration min_checkpoint_probe_interval = std::chrono::milliseconds(50);
   Duration call_timeout = std::chrono::seconds(2);
   Duration retry_delay = std::chrono::milliseconds(200);
-  // A worker is lost after this many failed calls in a row and this long
-  // without an answer.
-  int calls_before_lost = 2;
+  // A worker counts as lost once at least this many calls in a row have failed
+  // and it has not answered for at least `lost_after`.
+  int failures_before_lost = 2;
   Duration lost_after = std::chrono::seconds(5);
-  // Added to the term when waiting for the leases of a lost worker to lapse:
-  // its clock may run slower than ours.
+  // Added to the term when waiting for the leases of a lost worker to lapse,
+  // because its clock may run slower than the clock of this entry.
   Duration lapse_margin = std::chrono::seconds(1);
-  // Tries of a grant whose answer is lost before the member counts as refused
-  // and its lease is stopped.
+  // How often a grant is sent if its answer is lost each time, before the
+  // member counts as refused and its lease is stopped.
   int grant_attempts = 2;
 };
 
 struct JobManagerSettings {
-  // This entry's instance name, and an id that is new at each start.
+  // This entry's instance name.
   std::string name;
+  // An id that is new each time the process starts.
   std::string incarnation;
+  // The name of the job stream.
   std::string stream = "jobs";
   LeaseSettings leases;
   ElectionSettings election;
@@ -63,27 +69,29 @@
   StreamFollowerSettings follower;
   StreamWriterSettings writer;
   uint64_t seed = 1;
-  // How often due work is looked for when nothing happens.
+  // Interval of the check for due work when no event triggers it.
   Milliseconds tick_interval{50};
-  // Without an answer of the log for this long it counts as down.
+  // The log counts as down if no read has succeeded for this long.
   Milliseconds log_down_after{5000};
-  // From POST /v1/jobs to the answer at the latest.
+  // How long a submission or cancellation may wait to be appended.
   Milliseconds submit_timeout{5000};
-  // Retry-After of what is refused while the log is down.
+  // Value of the Retry-After header of refused requests.
   std::chrono::seconds retry_after{5};
-  // How long a coordinator's records wait for the log to come back.
-  Duration append_patience = std::chrono::hours(2);
-  // A takeover waits this long for workers that do not answer.
+  // How long a coordinator's records and held urgent jobs wait for the log to
+  // become available again.
+  Duration append_timeout = std::chrono::hours(2);
+  // How long a takeover waits for workers that do not answer.
   Milliseconds takeover_timeout{3000};
-  // Ticks further apart than this mean that the process was paused.
+  // If two ticks are at least this far apart, the process was paused.
   Milliseconds pause_threshold{1000};
-  // A snapshot is appended after this many records, after this long, or when
-  // retention has come within a quarter of the kept records.
+  // A snapshot is appended after this many records, after this time, or when
+  // less than a quarter of the records kept by retention lie before the end of
+  // what the newest snapshot covers.
   int64_t snapshot_records = 5000;
   Duration snapshot_interval = std::chrono::minutes(10);
   Milliseconds retention_check_interval{5000};
   size_t snapshot_jobs_per_part = 100;
-  // Bytes of one POST body field list; larger bodies are refused by the server.
+  // The most jobs that GET /v1/jobs returns.
   size_t max_listed_jobs = 1000;
 };
 
--- a/src/libs/jobs/job_routes.cc
+++ b/src/libs/jobs/job_routes.cc
@@ -1,4 +1,4 @@
-// Handlers of /v1/jobs.
+// Handlers of the routes under /v1/jobs.
 #include "jobs/job_routes.h"
 
 #include <utility>
@@ -59,15 +59,15 @@
   return response;
 }
 
-// Whether `caller` may see or change what belongs to `account`.
+// Whether `caller` may read or change jobs of `account`.
 bool MayAct(const Caller& caller, const std::string& account) {
   return caller.role != Role::kCaller || caller.account == account;
 }
 
-// Puts the account in force into the job; false and `*refusal` when the caller
-// may not act for it.
-bool SettleAccount(const Caller& caller, JobRequest* job,
-                   HttpResponse* refusal) {
+// Sets the job's account to the caller's if the job names none. Returns false
+// and sets `*refusal` if the caller may not act for the account.
+bool ResolveAccount(const Caller& caller, JobRequest* job,
+                    HttpResponse* refusal) {
   if (caller.role == Role::kViewer) {
     *refusal = Forbidden("a viewer changes nothing");
     return false;
@@ -96,7 +96,7 @@
     return;
   }
   HttpResponse refusal;
-  if (!SettleAccount(caller, &*job, &refusal)) {
+  if (!ResolveAccount(caller, &*job, &refusal)) {
     respond(std::move(refusal));
     return;
   }
@@ -114,11 +114,13 @@
   });
 }
 
-// The job, or nullopt after an answer was sent: 503 before the fold is ready,
-// 404 also for a job of another account, whose ids are not given away.
-std::optional<JobEntry> FindFor(const std::shared_ptr<JobAccess>& access,
-                                const Caller& caller, const std::string& id,
-                                const HttpServer::Responder& respond) {
+// The job, or nullopt after an error response was sent: 503 before the entry is
+// ready, 404 if there is no such job. A job of another account is reported as
+// 404 too, so that the response does not reveal that its id exists.
+std::optional<JobEntry> FindVisibleJob(const std::shared_ptr<JobAccess>& access,
+                                       const Caller& caller,
+                                       const std::string& id,
+                                       const HttpServer::Responder& respond) {
   if (!access->ready()) {
     respond(NotRun("the job stream is not folded yet", access->retry_after()));
     return std::nullopt;
@@ -133,7 +135,8 @@
 
 void HandleRead(const std::shared_ptr<JobAccess>& access, const Caller& caller,
                 const std::string& id, const HttpServer::Responder& respond) {
-  const std::optional<JobEntry> entry = FindFor(access, caller, id, respond);
+  const std::optional<JobEntry> entry =
+      FindVisibleJob(access, caller, id, respond);
   if (entry) respond(JsonResponse(200, Dump(JobToJson(*entry))));
 }
 
@@ -166,7 +169,7 @@
     respond(Forbidden("a viewer changes nothing"));
     return;
   }
-  if (!FindFor(access, caller, id, respond)) return;
+  if (!FindVisibleJob(access, caller, id, respond)) return;
   access->Cancel(id, caller.token_name,
                  [id, respond, retry = access->retry_after()](
                      const JobChangeResult& result) {
--- a/src/libs/jobs/job_routes.h
+++ b/src/libs/jobs/job_routes.h
@@ -1,5 +1,5 @@
-// The HTTP interface of jobs: checks the caller and the body, asks JobAccess,
-// and writes the answer. See docs/PROTOCOLS.md section 2.
+// The HTTP interface for jobs: checks the caller and the body, calls JobAccess
+// and writes the response. See docs/PROTOCOLS.md section 2.
 #ifndef THORNPLANK_JOBS_JOB_ROUTES_H_
 #define THORNPLANK_JOBS_JOB_ROUTES_H_
 
@@ -12,11 +12,11 @@
 
 namespace thornplank {
 
-// Adds the routes under /v1/jobs. `access` is kept by the handlers.
+// Adds the routes under /v1/jobs. The handlers share ownership of `access`.
 void AddJobRoutes(const std::shared_ptr<JobAccess>& access,
                   size_t max_listed_jobs, ApiRouter* router);
 
-// The form of a job in answers.
+// The representation of a job in responses.
 Json JobToJson(const JobEntry& entry);
 
 }  // namespace thornplank
--- a/src/libs/jobs/job_waiters.cc
+++ b/src/libs/jobs/job_waiters.cc
@@ -1,4 +1,4 @@
-// Matching of waiting callers with the fold.
+// Matching of waiting callers with the job table.
 #include "jobs/job_waiters.h"
 
 #include <set>
@@ -9,15 +9,16 @@
 
 using Outcome = JobChangeResult::Outcome;
 
-bool Fulfilled(const JobTable& jobs, const JobWaiters::Waiter& waiter) {
+bool IsFulfilled(const JobTable& jobs, const JobWaiters::Waiter& waiter) {
   const std::string& id = waiter.job.spec.id;
-  if (!waiter.for_end) return jobs.IsKnown(id);
+  if (!waiter.until_final) return jobs.IsKnown(id);
   const JobEntry* entry = jobs.Find(id);
   return entry == nullptr || IsFinal(entry->phase);
 }
 
-JobChangeResult Result(const JobTable& jobs, const JobWaiters::Waiter& waiter) {
-  if (!waiter.for_end) return SubmissionResult(jobs, waiter.job);
+JobChangeResult MakeResult(const JobTable& jobs,
+                           const JobWaiters::Waiter& waiter) {
+  if (!waiter.until_final) return SubmissionResult(jobs, waiter.job);
   const JobEntry* entry = jobs.Find(waiter.job.spec.id);
   if (entry == nullptr) return {Outcome::kNoSuchJob, JobPhase::kWaiting, ""};
   return {Outcome::kAccepted, entry->phase, entry->reason};
@@ -40,12 +41,13 @@
   auto [next, end] = waiters_.equal_range(job);
   while (next != end) {
     Waiter& waiter = next->second;
-    if (!Fulfilled(jobs, waiter)) {
+    if (!IsFulfilled(jobs, waiter)) {
       ++next;
       continue;
     }
-    answers.push_back([callback = std::move(waiter.callback),
-                       result = Result(jobs, waiter)] { callback(result); });
+    answers.push_back(
+        [callback = std::move(waiter.callback),
+         result = MakeResult(jobs, waiter)] { callback(result); });
     next = waiters_.erase(next);
   }
   return answers;
@@ -93,7 +95,7 @@
   std::vector<Waiter> taken;
   for (auto next = waiters_.begin(); next != waiters_.end();) {
     const Waiter& waiter = next->second;
-    if (waiter.for_end || waiter.job.spec.priority != Priority::kUrgent) {
+    if (waiter.until_final || waiter.job.spec.priority != Priority::kUrgent) {
       ++next;
       continue;
     }
--- a/src/libs/jobs/job_waiters.h
+++ b/src/libs/jobs/job_waiters.h
@@ -1,6 +1,6 @@
-// Callers that wait for their record to come back through the stream.
+// Callers that wait until their record is read back from the stream.
 //
-// Not thread-safe; what is taken out is to be called without a lock.
+// Not thread-safe. The returned callbacks must be called without a lock held.
 #ifndef THORNPLANK_JOBS_JOB_WAITERS_H_
 #define THORNPLANK_JOBS_JOB_WAITERS_H_
 
@@ -18,26 +18,31 @@
 class JobWaiters {
  public:
   struct Waiter {
-    // Id of the record that was appended.
+    // Id of the appended record.
     std::string record_id;
+    // Only the id is set for a cancellation.
     JobRequest job;
-    // Waits for the job to be final rather than to be known.
-    bool for_end = false;
+    // Waits until the job is final (a cancellation) rather than until the job
+    // is known (a submission).
+    bool until_final = false;
     Time deadline;
     JobAccess::ChangeCallback callback;
   };
-  // A callback with its result, ready to be called.
+  // Callbacks, each bound to its result.
   using Answers = std::vector<std::function<void()>>;
 
   void Add(Waiter waiter);
-  // Those whose wish the table now fulfils.
+  // Remove the waiters whose condition `jobs` fulfils, for one job or for all,
+  // and return their callbacks.
   Answers TakeFulfilled(const JobTable& jobs, const std::string& job);
   Answers TakeAllFulfilled(const JobTable& jobs);
-  // Takes the waiter of one record about `job`, if it still waits.
+  // Removes and returns the waiter for one record of `job`; empty if there is
+  // none any more.
   std::vector<Waiter> TakeByRecord(const std::string& job,
                                    const std::string& record_id);
+  // Removes and returns the waiters whose deadline has passed.
   std::vector<Waiter> TakeExpired(Time now);
-  // Takes the submissions of urgent jobs.
+  // Removes and returns the submissions of urgent jobs.
   std::vector<Waiter> TakeUrgent();
   size_t size() const { return waiters_.size(); }
 
@@ -46,7 +51,7 @@
   std::multimap<std::string, Waiter> waiters_;
 };
 
-// The answer to a submission of `job` once the table knows its id.
+// The result of a submission of `job` when `jobs` knows the job's id.
 JobChangeResult SubmissionResult(const JobTable& jobs, const JobRequest& job);
 
 }  // namespace thornplank
--- a/src/libs/jobs/log_health.cc
+++ b/src/libs/jobs/log_health.cc
@@ -1,4 +1,4 @@
-// Evidence against bounds.
+// Comparison of the observed times with their limits.
 #include "jobs/log_health.h"
 
 #include <algorithm>
@@ -6,28 +6,29 @@
 namespace thornplank {
 namespace {
 
-// Appends that fail for this long mean that the log is down: the third try
-// comes 0.15 s after the first.
-constexpr Milliseconds kFailingBound{500};
+// The log counts as down if appends have failed for longer than this. The third
+// attempt starts 0.15 s after the first, so several attempts have failed by
+// then.
+constexpr Milliseconds kMaxFailingTime{500};
 
 }  // namespace
 
-LogTrouble LogHealth::Judge(std::optional<Time> read,
-                            std::optional<Time> failing, Time now) const {
-  if (!read || now - *read > unread_bound_) return LogTrouble::kNotRead;
-  if (!failing) return LogTrouble::kNone;
-  const Time since = std::max(*failing, own_record_);
-  return now - since > kFailingBound ? LogTrouble::kAppendsFail
-                                     : LogTrouble::kNone;
+LogProblem LogHealth::Evaluate(std::optional<Time> read,
+                               std::optional<Time> failing, Time now) const {
+  if (!read || now - *read > max_read_age_) return LogProblem::kNotRead;
+  if (!failing) return LogProblem::kNone;
+  const Time since = std::max(*failing, own_record_read_at_);
+  return now - since > kMaxFailingTime ? LogProblem::kAppendsFail
+                                       : LogProblem::kNone;
 }
 
-std::string_view ToText(LogTrouble trouble) {
-  switch (trouble) {
-    case LogTrouble::kNone:
+std::string_view ToText(LogProblem problem) {
+  switch (problem) {
+    case LogProblem::kNone:
       return "none";
-    case LogTrouble::kNotRead:
+    case LogProblem::kNotRead:
       return "not read";
-    case LogTrouble::kAppendsFail:
+    case LogProblem::kAppendsFail:
       return "appends fail";
   }
   return "none";
--- a/src/libs/jobs/log_health.h
+++ b/src/libs/jobs/log_health.h
@@ -1,8 +1,12 @@
-// Whether the log takes what this entry appends, told from appends and reads.
+// Whether the log stores what this entry appends, derived from the results of
+// appends and reads.
 //
-// While the log is down nothing but urgent jobs is taken, so that a wrong word
-// refuses callers. Answers may be lost though the records are stored: a record
-// of this entry that comes back by the stream shows that appends arrive.
+// While the log is down only urgent jobs are accepted, so a false alarm turns
+// callers away. The answers to appends may be lost although the records are
+// stored; a record of this entry that is read back from the stream proves that
+// appends arrive.
+//
+// Not thread-safe.
 #ifndef THORNPLANK_JOBS_LOG_HEALTH_H_
 #define THORNPLANK_JOBS_LOG_HEALTH_H_
 
@@ -13,26 +17,28 @@
 
 namespace thornplank {
 
-enum class LogTrouble { kNone, kNotRead, kAppendsFail };
+enum class LogProblem { kNone, kNotRead, kAppendsFail };
 
-std::string_view ToText(LogTrouble trouble);
+std::string_view ToText(LogProblem problem);
 
 class LogHealth {
  public:
-  // `unread_bound`: without a read for longer the log is down.
-  explicit LogHealth(Milliseconds unread_bound) : unread_bound_(unread_bound) {}
+  // The log counts as down if the last successful read is older than
+  // `max_read_age`.
+  explicit LogHealth(Milliseconds max_read_age) : max_read_age_(max_read_age) {}
 
-  // A record that this entry appended was read.
-  void OnOwnRecord(Time now) { own_record_ = now; }
+  // To be called when a record that this entry appended was read back.
+  void HandleOwnRecord(Time now) { own_record_read_at_ = now; }
 
-  // `read`: when the stream was last read. `failing`: since when no append was
-  // confirmed, where some wait.
-  LogTrouble Judge(std::optional<Time> read, std::optional<Time> failing,
-                   Time now) const;
+  // `read`: when the stream was last read; nullopt if never. `failing`: since
+  // when appends have failed; nullopt if none is pending or none has failed
+  // since the last success.
+  LogProblem Evaluate(std::optional<Time> read, std::optional<Time> failing,
+                      Time now) const;
 
  private:
-  const Milliseconds unread_bound_;
-  Time own_record_ = Time::min();
+  const Milliseconds max_read_age_;
+  Time own_record_read_at_ = Time::min();
 };
 
 }  // namespace thornplank
--- a/src/libs/jobs/urgent_jobs.cc
+++ b/src/libs/jobs/urgent_jobs.cc
@@ -1,4 +1,4 @@
-// Hands urgent jobs between entries while the log is down.
+// Exchange of urgent jobs between entries while the log is down.
 #include "jobs/urgent_jobs.h"
 
 #include <algorithm>
@@ -32,7 +32,7 @@
   return BoolField(body, "accepted").value_or(false);
 }
 
-std::optional<JobRequest> JobOf(const Message& message) {
+std::optional<JobRequest> DecodeJob(const Message& message) {
   const Json* job = ObjectField(message.body, "job");
   if (job == nullptr) return std::nullopt;
   std::optional<JobRequest> request = DecodeJobRequest(*job, nullptr);
@@ -58,7 +58,7 @@
       call_timeout_(call_timeout),
       hooks_(std::move(hooks)) {}
 
-void UrgentJobs::Start() {
+void UrgentJobs::RegisterHandlers() {
   if (mesh_ == nullptr) return;
   const std::weak_ptr<UrgentJobs> weak = weak_from_this();
   mesh_->SetMessageHandler(kPlanType,
@@ -107,7 +107,8 @@
                   return;
                 }
                 if (!IsAccepted(*body) || !self->hooks_.plan(job)) {
-                  // The peer holds it all the same when only `plan` failed.
+                  // If only `plan` failed, the peer holds the job
+                  // nevertheless.
                   callback(IsAccepted(*body)
                                ? Unknown({"plan", self->name_,
                                           "no longer the coordinator"})
@@ -122,7 +123,7 @@
 void UrgentJobs::SubmitToCoordinator(const std::string& coordinator,
                                      const JobRequest& job,
                                      JobAccess::ChangeCallback callback) {
-  if (!Connected(coordinator)) {
+  if (!IsConnected(coordinator)) {
     callback(NotRun("the log is down and there is no link to coordinator " +
                     coordinator));
     return;
@@ -147,7 +148,7 @@
 
 void UrgentJobs::HandlePlan(const Message& message,
                             const PeerMesh::Reply& reply) {
-  const std::optional<JobRequest> job = JobOf(message);
+  const std::optional<JobRequest> job = DecodeJob(message);
   if (!job) {
     reply({{"accepted", false}, {"reason", "malformed job"}});
     return;
@@ -161,12 +162,12 @@
 
 void UrgentJobs::HandleHold(const Message& message,
                             const PeerMesh::Reply& reply) {
-  const std::optional<JobRequest> job = JobOf(message);
+  const std::optional<JobRequest> job = DecodeJob(message);
   if (job) hooks_.hold(*job);
   reply({{"accepted", job.has_value()}});
 }
 
-bool UrgentJobs::Connected(const std::string& peer) const {
+bool UrgentJobs::IsConnected(const std::string& peer) const {
   const std::vector<PeerIdentity> peers = mesh_->connected_peers();
   return std::any_of(
       peers.begin(), peers.end(),
--- a/src/libs/jobs/urgent_jobs.h
+++ b/src/libs/jobs/urgent_jobs.h
@@ -1,9 +1,10 @@
-// Urgent jobs while the log is down.
+// Submission of urgent jobs while the log is down.
 //
-// Such a job goes to the incumbent coordinator, which keeps planning under
-// its epoch, and is accepted once two entries hold it: the one that the caller
-// asked and the coordinator, or, when they are the same, one more peer. Every
-// holder appends the job when the log is back; the fold takes it once.
+// Such a job goes to the current coordinator, which keeps scheduling under its
+// epoch. The job is accepted once two entries hold it: the entry that the
+// caller asked and the coordinator or, if these are the same, the coordinator
+// and one more peer. Every entry that holds the job appends it when the log is
+// available again; the fold ignores the repeats.
 #ifndef THORNPLANK_JOBS_URGENT_JOBS_H_
 #define THORNPLANK_JOBS_URGENT_JOBS_H_
 
@@ -19,23 +20,26 @@
 
 class UrgentJobs : public std::enable_shared_from_this<UrgentJobs> {
  public:
-  // What the carrier does for it; called without a lock held.
+  // Provided by the owner; called without a lock held.
   struct Hooks {
-    // Name of the coordinator by the stream, or "".
+    // The name of the coordinator according to the stream; empty if there is
+    // none.
     std::function<std::string()> coordinator;
-    // Holds the job and gives it to this entry's coordinator; false, without
-    // any effect, when it has none.
+    // Holds the job and submits it to this entry's coordinator. Returns false,
+    // without any effect, if this entry is not the coordinator.
     std::function<bool(const JobRequest&)> plan;
-    // Keeps the job and appends it to the stream as soon as the log allows.
+    // Keeps the job and appends it to the stream as soon as the log is
+    // available.
     std::function<void(const JobRequest&)> hold;
   };
 
-  // `mesh` may be null: then nothing can be accepted.
+  // `mesh` may be null; then no job can be accepted.
   UrgentJobs(std::string name, PeerMesh* mesh, Duration call_timeout,
              Hooks hooks);
 
-  // Adds the handlers of the peers' calls.
-  void Start();
+  // Registers the handlers for calls of peers at the mesh.
+  void RegisterHandlers();
+  // `callback` runs once, on any thread.
   void Submit(const JobRequest& job, JobAccess::ChangeCallback callback);
 
  private:
@@ -46,7 +50,7 @@
                            JobAccess::ChangeCallback callback);
   void HandlePlan(const Message& message, const PeerMesh::Reply& reply);
   void HandleHold(const Message& message, const PeerMesh::Reply& reply);
-  bool Connected(const std::string& peer) const;
+  bool IsConnected(const std::string& peer) const;
 
   const std::string name_;
   PeerMesh* const mesh_;
--- a/src/libs/jobs/worker_call.h
+++ b/src/libs/jobs/worker_call.h
@@ -1,4 +1,5 @@
-// One call to one worker, and what its answer means for the coordinator.
+// A call to one worker, and the events that GangExecutor derives from its
+// result.
 #ifndef THORNPLANK_JOBS_WORKER_CALL_H_
 #define THORNPLANK_JOBS_WORKER_CALL_H_
 
@@ -14,8 +15,8 @@
 
 struct WorkerCall {
   enum class Kind {
-    // A renewal of no lease: raises the newest token at the worker, so that
-    // nothing older is accepted any more, and brings its report.
+    // A renewal without leases: sets the newest token at the worker, which then
+    // refuses older tokens, and returns the worker's report.
     kFence,
     kGrant,
     kRenew,
@@ -27,39 +28,43 @@
   std::string worker;
   std::string address;
   FencingToken token;
-  // kGrant: the members of one gang at this worker.
+  // Only for kGrant: the members of one gang at this worker.
   std::vector<LeaseRequest> leases;
-  // All kinds but kFence.
+  // Empty for kFence.
   std::vector<std::string> lease_ids;
   Time sent_at;
 };
 
-// What became known through an answer, or through its absence.
-struct MemberFared {
+// The grant or the stop of one gang member has succeeded or failed.
+struct MemberOutcomeEvent {
   std::string job;
   std::string gang_id;
   std::string lease_id;
   MemberOutcome outcome = MemberOutcome::kConfirmed;
   std::string reason;
 };
-struct ReportArrived {
+// A worker answered a call, which was sent at `asked_at`.
+struct WorkerReportEvent {
   WorkerReport report;
   Time asked_at;
 };
-struct WorkerWentSilent {
+// A worker counts as lost.
+struct WorkerLostEvent {
   std::string worker;
   Time leases_lapse_at;
 };
-struct WorkerCameBack {
+// A lost worker has answered again.
+struct WorkerRecoveredEvent {
   std::string worker;
 };
-// The worker has seen a newer token than ours.
-struct TokenRefused {
+// The worker has seen a newer token than the one of the call.
+struct TokenRefusedEvent {
   std::string worker;
 };
 
-using WorkerEvent = std::variant<MemberFared, ReportArrived, WorkerWentSilent,
-                                 WorkerCameBack, TokenRefused>;
+using WorkerEvent =
+    std::variant<MemberOutcomeEvent, WorkerReportEvent, WorkerLostEvent,
+                 WorkerRecoveredEvent, TokenRefusedEvent>;
 using WorkerEvents = std::vector<WorkerEvent>;
 
 }  // namespace thornplank
--- a/src/libs/jobs/worker_caller.cc
+++ b/src/libs/jobs/worker_caller.cc
@@ -1,4 +1,4 @@
-// Dispatch of worker calls by kind.
+// Maps each kind of worker call to a function of WorkerClient.
 #include "jobs/worker_caller.h"
 
 #include <utility>
--- a/src/libs/jobs/worker_caller.h
+++ b/src/libs/jobs/worker_caller.h
@@ -1,4 +1,4 @@
-// Sends one WorkerCall through the client of the workers.
+// Sends a WorkerCall through WorkerClient.
 #ifndef THORNPLANK_JOBS_WORKER_CALLER_H_
 #define THORNPLANK_JOBS_WORKER_CALLER_H_
 
@@ -7,7 +7,8 @@
 
 namespace thornplank {
 
-// `term` is that of renewals.
+// `term` is the lease term that renewals request. `callback` runs once, with
+// the result of the call.
 void SendWorkerCall(WorkerClient& workers, const WorkerCall& call,
                     Duration term, Duration timeout,
                     WorkerClient::Callback callback);
--- a/tests/auto/jobs/tst_coordinator.cc
+++ b/tests/auto/jobs/tst_coordinator.cc
@@ -22,9 +22,9 @@
 
 // A log, its fold and the coordinator that the fold calls for. Records come
 // back at once unless `log_down`.
-class Rig {
+class CoordinatorHarness {
  public:
-  Rig() : fold(JobRetention{}) {
+  CoordinatorHarness() : fold(JobRetention{}) {
     inputs.workers = WorkerList(3);
     AccountGuarantee north;
     north.account = "north";
@@ -68,8 +68,8 @@
     }
     for (const WorkerCall& call : coordinator->TakeCalls(now)) {
       const FakeAnswer answer = fake.Answer(call);
-      coordinator->CallDone(call, answer.report, answer.refusal, "in the test",
-                            now);
+      coordinator->HandleCallResult(call, answer.report, answer.refusal,
+                                    "in the test", now);
     }
   }
 
@@ -91,53 +91,53 @@
 }
 
 TEST_CASE("a job runs from its submission to its end") {
-  Rig rig;
-  rig.BeginEpoch(1, "e1");
-  rig.Append(SubmittedRecord{JobOf("a", 2)});
-  rig.Run(milliseconds(500));
-  CHECK(rig.PhaseOf("a") == JobPhase::kRunning);
-  CHECK(rig.fake.StatesOf("a") == All(2, LeaseState::kRunning));
-  rig.fake.SetAll("a", LeaseState::kFinished);
-  rig.Run(milliseconds(6000));
-  CHECK(rig.PhaseOf("a") == JobPhase::kFinished);
-  CHECK(rig.fake.StatesOf("a").empty());
+  CoordinatorHarness harness;
+  harness.BeginEpoch(1, "e1");
+  harness.Append(SubmittedRecord{JobOf("a", 2)});
+  harness.Run(milliseconds(500));
+  CHECK(harness.PhaseOf("a") == JobPhase::kRunning);
+  CHECK(harness.fake.StatesOf("a") == All(2, LeaseState::kRunning));
+  harness.fake.SetAll("a", LeaseState::kFinished);
+  harness.Run(milliseconds(6000));
+  CHECK(harness.PhaseOf("a") == JobPhase::kFinished);
+  CHECK(harness.fake.StatesOf("a").empty());
 }
 
 TEST_CASE("a gang with a refused member never runs in part") {
-  Rig rig;
-  rig.fake.refusing_grants.insert("w2");
-  rig.BeginEpoch(1, "e1");
-  rig.Append(SubmittedRecord{JobOf("a", 3)});
+  CoordinatorHarness harness;
+  harness.fake.refusing_grants.insert("w2");
+  harness.BeginEpoch(1, "e1");
+  harness.Append(SubmittedRecord{JobOf("a", 3)});
   for (int i = 0; i < 40; ++i) {
-    rig.Run(milliseconds(50));
-    for (LeaseState state : rig.fake.StatesOf("a")) {
+    harness.Run(milliseconds(50));
+    for (LeaseState state : harness.fake.StatesOf("a")) {
       CHECK(state == LeaseState::kThrottled);
     }
   }
-  CHECK(rig.fake.count(Kind::kLiftThrottle) == 0);
+  CHECK(harness.fake.count(Kind::kLiftThrottle) == 0);
 }
 
 TEST_CASE("a cancelled job is stopped and never starts again") {
-  Rig rig;
-  rig.BeginEpoch(1, "e1");
-  rig.Append(SubmittedRecord{JobOf("a", 2)});
-  rig.Run(milliseconds(500));
-  rig.Append(CancelledRecord{"a", "operator"});
-  rig.Run(milliseconds(2000));
-  CHECK(rig.PhaseOf("a") == JobPhase::kCancelled);
-  CHECK(rig.fake.StatesOf("a").empty());
-  CHECK(rig.fake.count(Kind::kGrant) == 2);
+  CoordinatorHarness harness;
+  harness.BeginEpoch(1, "e1");
+  harness.Append(SubmittedRecord{JobOf("a", 2)});
+  harness.Run(milliseconds(500));
+  harness.Append(CancelledRecord{"a", "operator"});
+  harness.Run(milliseconds(2000));
+  CHECK(harness.PhaseOf("a") == JobPhase::kCancelled);
+  CHECK(harness.fake.StatesOf("a").empty());
+  CHECK(harness.fake.count(Kind::kGrant) == 2);
 }
 
 TEST_CASE("a lost member stops the survivors within the stated bound") {
-  Rig rig;
-  rig.BeginEpoch(1, "e1");
-  rig.Append(SubmittedRecord{JobOf("a", 3)});
-  rig.Run(milliseconds(500));
-  rig.fake.silent.insert("w1");
-  rig.Run(milliseconds(12400));
-  CHECK(rig.fake.workers["w2"].leases.empty());
-  CHECK(rig.fake.workers["w3"].leases.empty());
+  CoordinatorHarness harness;
+  harness.BeginEpoch(1, "e1");
+  harness.Append(SubmittedRecord{JobOf("a", 3)});
+  harness.Run(milliseconds(500));
+  harness.fake.silent.insert("w1");
+  harness.Run(milliseconds(12400));
+  CHECK(harness.fake.workers["w2"].leases.empty());
+  CHECK(harness.fake.workers["w3"].leases.empty());
 }
 
 struct TakeoverCase {
@@ -158,81 +158,83 @@
   };
   for (const TakeoverCase& one : cases) {
     CAPTURE(one.name);
-    Rig rig;
-    rig.BeginEpoch(1, "e1");
-    rig.Append(SubmittedRecord{JobOf("a", 3)});
-    rig.log_down = !one.placed_logged;
-    rig.Run(milliseconds(500));
-    rig.log_down = false;
-    if (*one.silent != '\0') rig.fake.silent.insert(one.silent);
-    rig.fake.calls.clear();
-    rig.BeginEpoch(2, "e2");
-    rig.Run(milliseconds(4000));
-    rig.fake.silent.clear();
-    rig.Run(milliseconds(4000));
-    CHECK(rig.PhaseOf("a") == one.phase_after);
-    CHECK(rig.fake.StatesOf("a") == All(3, LeaseState::kRunning));
-    CHECK(rig.fake.count(Kind::kStop) == 0);
-    CHECK(rig.fake.count(Kind::kGrant) == 0);
-    CHECK(rig.fake.count(Kind::kRenew) >= 3);
-    CHECK_FALSE(rig.fold.jobs().Find("a")->gang_id.empty());
+    CoordinatorHarness harness;
+    harness.BeginEpoch(1, "e1");
+    harness.Append(SubmittedRecord{JobOf("a", 3)});
+    harness.log_down = !one.placed_logged;
+    harness.Run(milliseconds(500));
+    harness.log_down = false;
+    if (*one.silent != '\0') harness.fake.silent.insert(one.silent);
+    harness.fake.calls.clear();
+    harness.BeginEpoch(2, "e2");
+    harness.Run(milliseconds(4000));
+    harness.fake.silent.clear();
+    harness.Run(milliseconds(4000));
+    CHECK(harness.PhaseOf("a") == one.phase_after);
+    CHECK(harness.fake.StatesOf("a") == All(3, LeaseState::kRunning));
+    CHECK(harness.fake.count(Kind::kStop) == 0);
+    CHECK(harness.fake.count(Kind::kGrant) == 0);
+    CHECK(harness.fake.count(Kind::kRenew) >= 3);
+    CHECK_FALSE(harness.fold.jobs().Find("a")->gang_id.empty());
   }
 }
 
 TEST_CASE("a takeover stops leases of unknown, cancelled and broken gangs") {
-  Rig rig;
-  rig.BeginEpoch(1, "e1");
-  rig.Append(SubmittedRecord{JobOf("a", 2)});
-  rig.Append(SubmittedRecord{JobOf("broken", 1)});
-  rig.Run(milliseconds(500));
-  rig.coordinator.reset();
-  rig.Append(CancelledRecord{"a", "operator"});
-  rig.fake.workers["w1"].leases["x"] = {
+  CoordinatorHarness harness;
+  harness.BeginEpoch(1, "e1");
+  harness.Append(SubmittedRecord{JobOf("a", 2)});
+  harness.Append(SubmittedRecord{JobOf("broken", 1)});
+  harness.Run(milliseconds(500));
+  harness.coordinator.reset();
+  harness.Append(CancelledRecord{"a", "operator"});
+  harness.fake.workers["w1"].leases["x"] = {
       "x", "gx", "unknown", "north", LeaseState::kRunning, 1, "", std::nullopt};
-  rig.BeginEpoch(2, "e2");
-  rig.Run(milliseconds(2000));
-  CHECK(rig.fake.StatesOf("a").empty());
-  CHECK(rig.fake.StatesOf("unknown").empty());
-  CHECK(rig.PhaseOf("a") == JobPhase::kCancelled);
-  CHECK(rig.fake.StatesOf("broken") == All(1, LeaseState::kRunning));
+  harness.BeginEpoch(2, "e2");
+  harness.Run(milliseconds(2000));
+  CHECK(harness.fake.StatesOf("a").empty());
+  CHECK(harness.fake.StatesOf("unknown").empty());
+  CHECK(harness.PhaseOf("a") == JobPhase::kCancelled);
+  CHECK(harness.fake.StatesOf("broken") == All(1, LeaseState::kRunning));
 }
 
 TEST_CASE("a call of an older epoch is refused after the takeover began") {
-  Rig rig;
-  rig.BeginEpoch(1, "e1");
-  rig.Run(milliseconds(500));
-  auto paused = std::move(rig.coordinator);
-  rig.BeginEpoch(2, "e2");
-  rig.Run(milliseconds(100));
+  CoordinatorHarness harness;
+  harness.BeginEpoch(1, "e1");
+  harness.Run(milliseconds(500));
+  auto paused = std::move(harness.coordinator);
+  harness.BeginEpoch(2, "e2");
+  harness.Run(milliseconds(100));
   // The paused holder wakes and does not know of epoch 2.
   JobEntry entry;
   entry.request = JobOf("late", 2);
-  paused->Submit(entry, rig.now);
+  paused->Submit(entry, harness.now);
   for (int turn = 0; turn < 10; ++turn) {
-    paused->Advance(rig.fold, rig.now, FromUnixMilliseconds(rig.wall_ms));
-    for (const WorkerCall& call : paused->TakeCalls(rig.now)) {
-      const FakeAnswer answer = rig.fake.Answer(call);
+    paused->Advance(harness.fold, harness.now,
+                    FromUnixMilliseconds(harness.wall_ms));
+    for (const WorkerCall& call : paused->TakeCalls(harness.now)) {
+      const FakeAnswer answer = harness.fake.Answer(call);
       CHECK(answer.refusal == WorkerRefusal::kStaleToken);
-      paused->CallDone(call, answer.report, answer.refusal, "", rig.now);
+      paused->HandleCallResult(call, answer.report, answer.refusal, "",
+                               harness.now);
     }
   }
   CHECK(paused->superseded());
-  CHECK(rig.fake.StatesOf("late").empty());
+  CHECK(harness.fake.StatesOf("late").empty());
 }
 
 // A running job of two members, moved off one of its workers on request.
 struct MovedJob {
   explicit MovedJob(const Json& task) {
-    rig.BeginEpoch(1, "e1");
+    harness.BeginEpoch(1, "e1");
     JobRequest job = JobOf("a", 2);
     job.task = task;
-    rig.Append(SubmittedRecord{job});
-    rig.Run(milliseconds(500));
+    harness.Append(SubmittedRecord{job});
+    harness.Run(milliseconds(500));
   }
 
   std::vector<std::string> Workers() const {
     std::vector<std::string> names;
-    for (const auto& [name, worker] : rig.fake.workers) {
+    for (const auto& [name, worker] : harness.fake.workers) {
       if (!worker.leases.empty()) names.push_back(name);
     }
     return names;
@@ -241,24 +243,26 @@
   // Drains the first worker of the gang: its members are checkpointed.
   void MoveOff() {
     const std::string drained = Workers().at(0);
-    for (WorkerInfo& worker : rig.inputs.workers) {
+    for (WorkerInfo& worker : harness.inputs.workers) {
       worker.leaving = worker.name == drained;
     }
-    rig.coordinator->SetWorkers(rig.inputs.workers, rig.now);
+    harness.coordinator->SetWorkers(harness.inputs.workers, harness.now);
   }
 
   // Of the newest grant.
   Json Task() const {
     Json task;
-    for (const WorkerCall& call : rig.fake.calls) {
+    for (const WorkerCall& call : harness.fake.calls) {
       for (const LeaseRequest& lease : call.leases) task = lease.task;
     }
     return task;
   }
 
-  Milliseconds Progress() const { return rig.fold.jobs().Find("a")->progress; }
+  Milliseconds Progress() const {
+    return harness.fold.jobs().Find("a")->progress;
+  }
 
-  Rig rig;
+  CoordinatorHarness harness;
 };
 
 struct ProgressCase {
@@ -292,15 +296,15 @@
     CHECK(t.Task() == one.task);
     const std::vector<std::string> workers = t.Workers();
     REQUIRE(workers.size() == 2);
-    t.rig.fake.progress[workers[0]] = milliseconds(one.first_ms);
+    t.harness.fake.progress[workers[0]] = milliseconds(one.first_ms);
     if (one.second_ms >= 0) {
-      t.rig.fake.progress[workers[1]] = milliseconds(one.second_ms);
+      t.harness.fake.progress[workers[1]] = milliseconds(one.second_ms);
     }
-    if (one.second_hangs) t.rig.fake.hanging_checkpoints.insert(workers[1]);
+    if (one.second_hangs) t.harness.fake.hanging_checkpoints.insert(workers[1]);
     t.MoveOff();
-    t.rig.Run(milliseconds(40000));
-    CHECK(t.rig.PhaseOf("a") == JobPhase::kRunning);
-    CHECK(t.rig.fold.jobs().Find("a")->attempts == 2);
+    t.harness.Run(milliseconds(40000));
+    CHECK(t.harness.PhaseOf("a") == JobPhase::kRunning);
+    CHECK(t.harness.fold.jobs().Find("a")->attempts == 2);
     CHECK(t.Task() == one.next_task);
     CHECK(t.Progress() == Milliseconds(one.saved_ms));
   }
@@ -310,16 +314,16 @@
     "the progress of several checkpoints adds up, also after a takeover") {
   MovedJob t(Json{{"run_ms", 10000}});
   for (const char* worker : {"w1", "w2", "w3"}) {
-    t.rig.fake.progress[worker] = milliseconds(2000);
+    t.harness.fake.progress[worker] = milliseconds(2000);
   }
   t.MoveOff();
-  t.rig.Run(milliseconds(10000));
+  t.harness.Run(milliseconds(10000));
   CHECK(t.Progress() == Milliseconds(2000));
   SUBCASE("the same coordinator") {}
-  SUBCASE("its successor") { t.rig.BeginEpoch(2, "e2"); }
-  t.rig.Run(milliseconds(2000));
+  SUBCASE("its successor") { t.harness.BeginEpoch(2, "e2"); }
+  t.harness.Run(milliseconds(2000));
   t.MoveOff();
-  t.rig.Run(milliseconds(10000));
+  t.harness.Run(milliseconds(10000));
   CHECK(t.Task() == Json{{"run_ms", 6000}, {"resume_progress_ms", 4000}});
   CHECK(t.Progress() == Milliseconds(4000));
 }
@@ -344,43 +348,43 @@
   for (const SavedAtTakeoverCase& one : cases) {
     CAPTURE(one.name);
     MovedJob t(Json{{"run_ms", 10000}});
-    t.rig.coordinator.reset();
+    t.harness.coordinator.reset();
     const std::vector<std::string> workers = t.Workers();
     REQUIRE(workers.size() == 2);
     for (const std::string& name : workers) {
-      for (auto& [id, lease] : t.rig.fake.workers[name].leases) {
+      for (auto& [id, lease] : t.harness.fake.workers[name].leases) {
         const bool saved = one.second_saved || name == workers[0];
         lease.state =
             saved ? LeaseState::kCheckpointed : LeaseState::kCheckpointing;
         lease.progress = milliseconds(2000);
       }
     }
-    const int64_t revision = t.rig.fold.jobs().Find("a")->revision + 1;
+    const int64_t revision = t.harness.fold.jobs().Find("a")->revision + 1;
     const bool counted = one.logged == JobPhase::kStopping;
     if (one.logged != JobPhase::kRunning) {
-      t.rig.Append(PhaseRecord{1, revision, "a", one.logged, "in the test",
-                               Milliseconds(counted ? 2000 : 0)});
+      t.harness.Append(PhaseRecord{1, revision, "a", one.logged, "in the test",
+                                   Milliseconds(counted ? 2000 : 0)});
     }
-    t.rig.BeginEpoch(2, "e2");
-    t.rig.Run(milliseconds(8000));
-    CHECK(t.rig.PhaseOf("a") == JobPhase::kRunning);
-    CHECK(t.rig.fold.jobs().Find("a")->attempts == 2);
+    t.harness.BeginEpoch(2, "e2");
+    t.harness.Run(milliseconds(8000));
+    CHECK(t.harness.PhaseOf("a") == JobPhase::kRunning);
+    CHECK(t.harness.fold.jobs().Find("a")->attempts == 2);
     CHECK(t.Progress() == Milliseconds(one.saved_ms));
     CHECK(t.Task()["run_ms"] == 10000 - one.saved_ms);
   }
 }
 
 TEST_CASE("planning goes on while the log is down") {
-  Rig rig;
-  rig.BeginEpoch(1, "e1");
-  rig.Run(milliseconds(500));
-  rig.log_down = true;
+  CoordinatorHarness harness;
+  harness.BeginEpoch(1, "e1");
+  harness.Run(milliseconds(500));
+  harness.log_down = true;
   JobEntry entry;
   entry.request = JobOf("urgent", 2);
   entry.request.spec.priority = Priority::kUrgent;
-  rig.coordinator->Submit(entry, rig.now);
-  rig.Run(milliseconds(500));
-  CHECK(rig.fake.StatesOf("urgent") == All(2, LeaseState::kRunning));
+  harness.coordinator->Submit(entry, harness.now);
+  harness.Run(milliseconds(500));
+  CHECK(harness.fake.StatesOf("urgent") == All(2, LeaseState::kRunning));
 }
 
 }  // namespace
--- a/tests/auto/jobs/tst_job_manager.cc
+++ b/tests/auto/jobs/tst_job_manager.cc
@@ -27,20 +27,20 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kPatience{10000};
-constexpr milliseconds kPoll{20};
+constexpr milliseconds kTimeout{10000};
+constexpr milliseconds kPollInterval{20};
 
 bool Eventually(const std::function<bool()>& condition,
-                milliseconds patience = kPatience) {
-  const auto end = std::chrono::steady_clock::now() + patience;
+                milliseconds timeout = kTimeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (std::chrono::steady_clock::now() < end) {
     if (condition()) return true;
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return condition();
 }
 
-JobManagerSettings SettingsOf(const std::string& name) {
+JobManagerSettings MakeSettings(const std::string& name) {
   JobManagerSettings settings;
   settings.name = name;
   settings.incarnation = "1";
@@ -58,7 +58,7 @@
   return settings;
 }
 
-PeerMeshSettings MeshOf(const std::string& name) {
+PeerMeshSettings MakeMeshSettings(const std::string& name) {
   PeerMeshSettings settings;
   settings.name = name;
   settings.incarnation = "1";
@@ -72,14 +72,14 @@
 struct Entry {
   Entry(boost::asio::io_context& io, const std::string& log_address,
         const std::string& name)
-      : mesh(io, MeshOf(name)),
+      : mesh(io, MakeMeshSettings(name)),
         http(io, HttpClientLimits{}),
         log(http, log_address),
         router({{"n", "north-token", Role::kCaller, "north"},
                 {"s", "south-token", Role::kCaller, "south"},
                 {"v", "viewer-token", Role::kViewer, ""},
                 {"o", "operator-token", Role::kOperator, ""}}),
-        jobs(io, http, log, &mesh, SettingsOf(name), metrics) {
+        jobs(io, http, log, &mesh, MakeSettings(name), metrics) {
     jobs.RegisterRoutes(router);
   }
 
@@ -190,18 +190,20 @@
   }
 
   void ControlLog(const Json& control) {
-    Ask(log.address(), "POST", control.dump());
+    SendControlRequest(log.address(), "POST", control.dump());
   }
 
   // Whether something happened to a lease at a worker, by its history.
-  bool Saw(size_t worker, const std::string& what) {
-    const std::string state = Ask(workers[worker]->address(), "GET", "");
+  bool HasHistoryEvent(size_t worker, const std::string& what) {
+    const std::string state =
+        SendControlRequest(workers[worker]->address(), "GET", "");
     return state.find("\"what\":\"" + what + "\"") != std::string::npos;
   }
 
   // The body of the answer of a role's control interface.
-  std::string Ask(const std::string& address, const std::string& method,
-                  const std::string& body) {
+  std::string SendControlRequest(const std::string& address,
+                                 const std::string& method,
+                                 const std::string& body) {
     HttpClient http(io, HttpClientLimits{});
     std::promise<std::string> answer;
     HttpRequest request;
@@ -285,7 +287,7 @@
     return ParseJson(answer.body).value_or(Json::object());
   };
   CHECK(read()["progress_ms"] == 0);
-  const bool on_first = platform.Saw(0, "started");
+  const bool on_first = platform.HasHistoryEvent(0, "started");
   std::vector<WorkerInfo> workers = platform.infos();
   workers[on_first ? 0 : 1].leaving = true;
   entry.jobs.SetWorkers(workers);
@@ -419,8 +421,9 @@
     const HttpResponse answer = platform.entries[one.asked]->Call(
         "POST", "/v1/jobs", "north-token", JobBody("a", 2, 100, "urgent"));
     CHECK(answer.status == one.status);
-    const bool ran = Eventually([&] { return platform.Saw(0, "finished"); },
-                                milliseconds(1000));
+    const bool ran =
+        Eventually([&] { return platform.HasHistoryEvent(0, "finished"); },
+                   milliseconds(1000));
     CHECK(ran == (one.status == 202));
     platform.ControlLog({{"outage", false}});
     if (one.status != 202) continue;
--- a/tests/auto/jobs/tst_log_health.cc
+++ b/tests/auto/jobs/tst_log_health.cc
@@ -19,31 +19,31 @@
     std::optional<int64_t> read;
     std::optional<int64_t> failing;
     std::optional<int64_t> own_record;
-    LogTrouble trouble;
+    LogProblem problem;
   };
   // All asked for at 10,000 ms, with a bound of 5,000 on reads.
   const std::vector<Row> rows = {
-      {"all is well", 9900, {}, {}, LogTrouble::kNone},
-      {"never read", {}, {}, {}, LogTrouble::kNotRead},
-      {"not read for long", 4000, {}, 9900, LogTrouble::kNotRead},
-      {"one append has just failed", 9900, 9800, {}, LogTrouble::kNone},
-      {"appends fail for long", 9900, 9000, {}, LogTrouble::kAppendsFail},
+      {"all is well", 9900, {}, {}, LogProblem::kNone},
+      {"never read", {}, {}, {}, LogProblem::kNotRead},
+      {"not read for long", 4000, {}, 9900, LogProblem::kNotRead},
+      {"one append has just failed", 9900, 9800, {}, LogProblem::kNone},
+      {"appends fail for long", 9900, 9000, {}, LogProblem::kAppendsFail},
       {"answers are lost, the records arrive", 9900, 9000, 9900,
-       LogTrouble::kNone},
+       LogProblem::kNone},
       {"they arrived before appends began to fail", 9900, 9000, 8000,
-       LogTrouble::kAppendsFail},
-      {"they arrived, but no more", 9900, 9000, 9300, LogTrouble::kAppendsFail},
+       LogProblem::kAppendsFail},
+      {"they arrived, but no more", 9900, 9000, 9300, LogProblem::kAppendsFail},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
     LogHealth health(Milliseconds(5000));
-    if (row.own_record) health.OnOwnRecord(At(*row.own_record));
+    if (row.own_record) health.HandleOwnRecord(At(*row.own_record));
     const auto time = [](const std::optional<int64_t>& milliseconds) {
       return milliseconds ? std::optional<Time>(At(*milliseconds))
                           : std::nullopt;
     };
-    CHECK(health.Judge(time(row.read), time(row.failing), At(10000)) ==
-          row.trouble);
+    CHECK(health.Evaluate(time(row.read), time(row.failing), At(10000)) ==
+          row.problem);
   }
 }
 
--- a/tests/auto/jobs/tst_snapshot_schedule.cc
+++ b/tests/auto/jobs/tst_snapshot_schedule.cc
@@ -32,8 +32,8 @@
     CAPTURE(one.name);
     SnapshotSchedule schedule(1000, minutes(10));
     const Time start{};
-    schedule.Due(0, 0, 0, start);
-    CHECK(schedule.Due(one.first, one.next, one.covered, start + one.after) ==
+    schedule.IsDue(0, 0, 0, start);
+    CHECK(schedule.IsDue(one.first, one.next, one.covered, start + one.after) ==
           one.due);
   }
 }
