--- a/src/libs/scheduling/victim_selection.cc
+++ b/src/libs/scheduling/victim_selection.cc
@@ -6,8 +6,8 @@
 namespace {
 
 // Number of needed accelerators that stopping the candidate would free.
-int NeededAcceleratorsFreed(const VictimCandidate& candidate,
-                            const std::map<WorkerIndex, int>& needed) {
+int CountFreed(const VictimCandidate& candidate,
+               const std::map<WorkerIndex, int>& needed) {
   int freed = 0;
   for (const auto& [worker, accelerators] : candidate.holds) {
     const auto need = needed.find(worker);
@@ -33,7 +33,7 @@
   const VictimCandidate* best = nullptr;
   double best_cost = 0;
   for (const VictimCandidate* candidate : candidates) {
-    const int freed = NeededAcceleratorsFreed(*candidate, needed);
+    const int freed = CountFreed(*candidate, needed);
     if (freed == 0) continue;
     const double cost = candidate->work_lost / freed;
     if (best && cost >= best_cost) continue;
@@ -45,12 +45,13 @@
 
 // Whether stopping the other chosen victims is enough without `victim`.
 bool IsRedundant(const VictimCandidate& victim,
-                 const std::map<WorkerIndex, int>& left) {
-  return std::all_of(
-      victim.holds.begin(), victim.holds.end(), [&left](const auto& hold) {
-        const auto need = left.find(hold.first);
-        return need == left.end() || need->second + hold.second <= 0;
-      });
+                 const std::map<WorkerIndex, int>& still_needed) {
+  return std::all_of(victim.holds.begin(), victim.holds.end(),
+                     [&still_needed](const auto& hold) {
+                       const auto need = still_needed.find(hold.first);
+                       return need == still_needed.end() ||
+                              need->second + hold.second <= 0;
+                     });
 }
 
 }  // namespace
@@ -58,17 +59,16 @@
 std::vector<std::string> SelectVictims(
     const std::map<WorkerIndex, int>& needed,
     const std::vector<VictimCandidate>& candidates) {
-  std::map<WorkerIndex, int> left = needed;
-  std::vector<const VictimCandidate*> open;
+  std::map<WorkerIndex, int> still_needed = needed;
+  std::vector<const VictimCandidate*> useful;
   for (const VictimCandidate& candidate : candidates) {
-    if (NeededAcceleratorsFreed(candidate, left) > 0)
-      open.push_back(&candidate);
+    if (CountFreed(candidate, still_needed) > 0) useful.push_back(&candidate);
   }
   std::vector<const VictimCandidate*> chosen;
-  while (const VictimCandidate* best = BestVictim(left, open)) {
+  while (const VictimCandidate* best = BestVictim(still_needed, useful)) {
     chosen.push_back(best);
-    SubtractHeld(*best, 1, &left);
-    open.erase(std::find(open.begin(), open.end(), best));
+    SubtractHeld(*best, 1, &still_needed);
+    useful.erase(std::find(useful.begin(), useful.end(), best));
   }
   std::vector<std::string> victims;
   // The most expensive victims are spared first.
@@ -76,8 +76,8 @@
     return a->work_lost > b->work_lost;
   });
   for (const VictimCandidate* victim : chosen) {
-    if (IsRedundant(*victim, left)) {
-      SubtractHeld(*victim, -1, &left);
+    if (IsRedundant(*victim, still_needed)) {
+      SubtractHeld(*victim, -1, &still_needed);
     } else {
       victims.push_back(victim->gang_id);
     }
