--- a/src/libs/jobs/job_manager_access.cc
+++ b/src/libs/jobs/job_manager_access.cc
@@ -85,13 +85,13 @@
       urgent_->Submit(waiter.job, std::move(waiter.callback));
       continue;
     }
-    RejectWaiter(std::move(waiter), true, error.ToString());
+    FailWaiter(std::move(waiter), true, error.ToString());
   }
 }
 
-void JobManager::Impl::RejectWaiter(JobWaiters::Waiter waiter,
-                                    bool proved_not_appended,
-                                    const std::string& reason) {
+void JobManager::Impl::FailWaiter(JobWaiters::Waiter waiter,
+                                  bool proved_not_appended,
+                                  const std::string& reason) {
   const Outcome outcome =
       proved_not_appended ? Outcome::kNotRun : Outcome::kUnknown;
   waiter.callback({outcome, JobPhase::kWaiting, reason});
--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -349,7 +349,7 @@
   for (const JobStreamRecord& record : outbox.records) AppendRecord(record);
   for (const WorkerCall& call : outbox.calls) SendCall(call);
   for (JobWaiters::Waiter& waiter : outbox.expired) {
-    RejectWaiter(std::move(waiter), false, "the log did not answer in time");
+    FailWaiter(std::move(waiter), false, "the log did not answer in time");
   }
   for (JobWaiters::Waiter& waiter : outbox.urgent) {
     urgent_->Submit(waiter.job, std::move(waiter.callback));
--- a/src/libs/jobs/job_manager_impl.h
+++ b/src/libs/jobs/job_manager_impl.h
@@ -126,8 +126,8 @@
                         Time deadline);
   void SubmissionFailed(const std::string& job, const std::string& record_id,
                         const Error& error);
-  void RejectWaiter(JobWaiters::Waiter waiter, bool proved_not_appended,
-                    const std::string& reason);
+  void FailWaiter(JobWaiters::Waiter waiter, bool proved_not_appended,
+                  const std::string& reason);
   bool PlanUrgent(const JobRequest& job);
   void HoldUrgent(const JobRequest& job);
   JobEntry MakeHeldEntry(const JobRequest& job) const;
--- a/tests/auto/jobs/fake_workers.h
+++ b/tests/auto/jobs/fake_workers.h
@@ -1,5 +1,5 @@
-// Workers as the wire shows them, without sockets: lease tables with fencing
-// tokens that answer WorkerCalls at once.
+// Fake workers without sockets: lease tables with fencing tokens that answer
+// WorkerCalls immediately, as the worker protocol specifies.
 #ifndef THORNPLANK_TESTS_JOBS_FAKE_WORKERS_H_
 #define THORNPLANK_TESTS_JOBS_FAKE_WORKERS_H_
 
@@ -33,7 +33,7 @@
       return {std::nullopt, WorkerRefusal::kUnreachable};
     }
     FakeAnswer answer = Apply(call);
-    // The action took effect, but the caller does not learn it.
+    // The call took effect, but its reply is lost.
     if (losing_replies.count(call.worker) > 0) {
       return {std::nullopt, WorkerRefusal::kUnreachable};
     }
@@ -65,14 +65,17 @@
                       [kind](const auto& call) { return call.kind == kind; }));
   }
 
+  // By name.
   std::map<std::string, Worker> workers;
+  // Names of the workers that behave in a certain way.
   std::set<std::string> silent;
   std::set<std::string> losing_replies;
   std::set<std::string> refusing_grants;
-  // Checkpoints there are begun and never done.
-  std::set<std::string> hanging_checkpoints;
-  // What the leases of a worker report from their checkpoint on.
+  // Workers at which checkpoints begin but never complete.
+  std::set<std::string> hung_checkpoints;
+  // The progress that the leases of a worker report after their checkpoint.
   std::map<std::string, Duration> progress;
+  // All calls so far.
   std::vector<WorkerCall> calls;
 
  private:
@@ -101,7 +104,7 @@
         lease->second.state = LeaseState::kRunning;
       }
       if (call.kind == WorkerCall::Kind::kCheckpoint) {
-        const bool hangs = hanging_checkpoints.count(call.worker) > 0;
+        const bool hangs = hung_checkpoints.count(call.worker) > 0;
         lease->second.state =
             hangs ? LeaseState::kCheckpointing : LeaseState::kCheckpointed;
         const auto done = progress.find(call.worker);
--- a/tests/auto/jobs/tst_coordinator.cc
+++ b/tests/auto/jobs/tst_coordinator.cc
@@ -1,4 +1,4 @@
-// Takeover and planning of one epoch, against workers without sockets.
+// Takeover and scheduling in one epoch, with fake workers.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using Kind = WorkerCall::Kind;
 
-JobRequest JobOf(const std::string& id, int members) {
+JobRequest MakeJob(const std::string& id, int members) {
   JobRequest job;
   job.spec.id = id;
   job.spec.account = "north";
@@ -20,8 +20,9 @@
   return job;
 }
 
-// A log, its fold and the coordinator that the fold calls for. Records come
-// back at once unless `log_down`.
+// A log, the state that results from its records, and the coordinator of the
+// newest epoch. Appended records are read back at once; while `log_down` is
+// set, they are lost.
 class CoordinatorHarness {
  public:
   CoordinatorHarness() : fold(JobRetention{}) {
@@ -93,7 +94,7 @@
 TEST_CASE("a job runs from its submission to its end") {
   CoordinatorHarness harness;
   harness.BeginEpoch(1, "e1");
-  harness.Append(SubmittedRecord{JobOf("a", 2)});
+  harness.Append(SubmittedRecord{MakeJob("a", 2)});
   harness.Run(milliseconds(500));
   CHECK(harness.PhaseOf("a") == JobPhase::kRunning);
   CHECK(harness.fake.StatesOf("a") == All(2, LeaseState::kRunning));
@@ -107,7 +108,7 @@
   CoordinatorHarness harness;
   harness.fake.refusing_grants.insert("w2");
   harness.BeginEpoch(1, "e1");
-  harness.Append(SubmittedRecord{JobOf("a", 3)});
+  harness.Append(SubmittedRecord{MakeJob("a", 3)});
   for (int i = 0; i < 40; ++i) {
     harness.Run(milliseconds(50));
     for (LeaseState state : harness.fake.StatesOf("a")) {
@@ -120,7 +121,7 @@
 TEST_CASE("a cancelled job is stopped and never starts again") {
   CoordinatorHarness harness;
   harness.BeginEpoch(1, "e1");
-  harness.Append(SubmittedRecord{JobOf("a", 2)});
+  harness.Append(SubmittedRecord{MakeJob("a", 2)});
   harness.Run(milliseconds(500));
   harness.Append(CancelledRecord{"a", "operator"});
   harness.Run(milliseconds(2000));
@@ -132,7 +133,7 @@
 TEST_CASE("a lost member stops the survivors within the stated bound") {
   CoordinatorHarness harness;
   harness.BeginEpoch(1, "e1");
-  harness.Append(SubmittedRecord{JobOf("a", 3)});
+  harness.Append(SubmittedRecord{MakeJob("a", 3)});
   harness.Run(milliseconds(500));
   harness.fake.silent.insert("w1");
   harness.Run(milliseconds(12400));
@@ -142,17 +143,17 @@
 
 struct TakeoverCase {
   const char* name;
-  // Whether the predecessor's records of the gang reached the stream.
+  // Whether the previous coordinator's records of the gang reached the stream.
   bool placed_logged;
-  // A worker that is silent during the takeover, or "".
+  // A worker that does not answer during the takeover; empty for none.
   const char* silent;
   JobPhase phase_after;
 };
 
-TEST_CASE("a takeover goes on with what runs") {
+TEST_CASE("running gangs continue after a takeover") {
   const std::vector<TakeoverCase> cases = {
       {"everything is known", true, "", JobPhase::kRunning},
-      {"the records were lost with the predecessor", false, "",
+      {"the records were lost with the previous coordinator", false, "",
        JobPhase::kRunning},
       {"a worker answers late", true, "w1", JobPhase::kRunning},
   };
@@ -160,7 +161,7 @@
     CAPTURE(one.name);
     CoordinatorHarness harness;
     harness.BeginEpoch(1, "e1");
-    harness.Append(SubmittedRecord{JobOf("a", 3)});
+    harness.Append(SubmittedRecord{MakeJob("a", 3)});
     harness.log_down = !one.placed_logged;
     harness.Run(milliseconds(500));
     harness.log_down = false;
@@ -182,8 +183,8 @@
 TEST_CASE("a takeover stops leases of unknown, cancelled and broken gangs") {
   CoordinatorHarness harness;
   harness.BeginEpoch(1, "e1");
-  harness.Append(SubmittedRecord{JobOf("a", 2)});
-  harness.Append(SubmittedRecord{JobOf("broken", 1)});
+  harness.Append(SubmittedRecord{MakeJob("a", 2)});
+  harness.Append(SubmittedRecord{MakeJob("broken", 1)});
   harness.Run(milliseconds(500));
   harness.coordinator.reset();
   harness.Append(CancelledRecord{"a", "operator"});
@@ -204,9 +205,9 @@
   auto paused = std::move(harness.coordinator);
   harness.BeginEpoch(2, "e2");
   harness.Run(milliseconds(100));
-  // The paused holder wakes and does not know of epoch 2.
+  // The paused coordinator resumes without knowing of epoch 2.
   JobEntry entry;
-  entry.request = JobOf("late", 2);
+  entry.request = MakeJob("late", 2);
   paused->Submit(entry, harness.now);
   for (int turn = 0; turn < 10; ++turn) {
     paused->Advance(harness.fold, harness.now,
@@ -222,16 +223,17 @@
   CHECK(harness.fake.StatesOf("late").empty());
 }
 
-// A running job of two members, moved off one of its workers on request.
+// A running job of two members, which can be moved off one of its workers.
 struct MovedJob {
   explicit MovedJob(const Json& task) {
     harness.BeginEpoch(1, "e1");
-    JobRequest job = JobOf("a", 2);
+    JobRequest job = MakeJob("a", 2);
     job.task = task;
     harness.Append(SubmittedRecord{job});
     harness.Run(milliseconds(500));
   }
 
+  // Names of the workers that hold leases.
   std::vector<std::string> Workers() const {
     std::vector<std::string> names;
     for (const auto& [name, worker] : harness.fake.workers) {
@@ -240,7 +242,7 @@
     return names;
   }
 
-  // Drains the first worker of the gang: its members are checkpointed.
+  // Drains the first worker of the gang, so that all members are checkpointed.
   void MoveOff() {
     const std::string drained = Workers().at(0);
     for (WorkerInfo& worker : harness.inputs.workers) {
@@ -249,7 +251,7 @@
     harness.coordinator->SetWorkers(harness.inputs.workers, harness.now);
   }
 
-  // Of the newest grant.
+  // The task in the newest grant.
   Json Task() const {
     Json task;
     for (const WorkerCall& call : harness.fake.calls) {
@@ -268,7 +270,7 @@
 struct ProgressCase {
   const char* name;
   Json task;
-  // What the two members report; negative: nothing.
+  // The progress that the two members report; nothing if negative.
   int first_ms;
   int second_ms;
   bool second_hangs;
@@ -276,61 +278,62 @@
   int saved_ms;
 };
 
-TEST_CASE("the next grant goes on from a checkpoint of every member") {
+TEST_CASE("the next grant resumes from a checkpoint of every member") {
   const Json ten = {{"run_ms", 10000}, {"image", "x"}};
   const std::vector<ProgressCase> cases = {
-      {"the least counts", ten, 3000, 2000, false,
+      {"the least progress counts", ten, 3000, 2000, false,
        Json{{"run_ms", 8000}, {"image", "x"}, {"resume_progress_ms", 2000}},
        2000},
       {"a task without a run time", Json{{"image", "x"}}, 2000, 3000, false,
        Json{{"image", "x"}, {"resume_progress_ms", 2000}}, 2000},
-      {"a member said more than the task's run time", ten, 12000, 11000, false,
+      {"a member reports more than the task's run time", ten, 12000, 11000,
+       false,
        Json{{"run_ms", 0}, {"image", "x"}, {"resume_progress_ms", 11000}},
        11000},
       {"the checkpoint of one member hangs", ten, 3000, 2000, true, ten, 0},
-      {"one member does not report it", ten, 3000, -1, false, ten, 0},
+      {"one member reports no progress", ten, 3000, -1, false, ten, 0},
   };
   for (const ProgressCase& one : cases) {
     CAPTURE(one.name);
-    MovedJob t(one.task);
-    CHECK(t.Task() == one.task);
-    const std::vector<std::string> workers = t.Workers();
+    MovedJob job(one.task);
+    CHECK(job.Task() == one.task);
+    const std::vector<std::string> workers = job.Workers();
     REQUIRE(workers.size() == 2);
-    t.harness.fake.progress[workers[0]] = milliseconds(one.first_ms);
+    job.harness.fake.progress[workers[0]] = milliseconds(one.first_ms);
     if (one.second_ms >= 0) {
-      t.harness.fake.progress[workers[1]] = milliseconds(one.second_ms);
+      job.harness.fake.progress[workers[1]] = milliseconds(one.second_ms);
     }
-    if (one.second_hangs) t.harness.fake.hanging_checkpoints.insert(workers[1]);
-    t.MoveOff();
-    t.harness.Run(milliseconds(40000));
-    CHECK(t.harness.PhaseOf("a") == JobPhase::kRunning);
-    CHECK(t.harness.fold.jobs().Find("a")->attempts == 2);
-    CHECK(t.Task() == one.next_task);
-    CHECK(t.Progress() == Milliseconds(one.saved_ms));
+    if (one.second_hangs) job.harness.fake.hung_checkpoints.insert(workers[1]);
+    job.MoveOff();
+    job.harness.Run(milliseconds(40000));
+    CHECK(job.harness.PhaseOf("a") == JobPhase::kRunning);
+    CHECK(job.harness.fold.jobs().Find("a")->attempts == 2);
+    CHECK(job.Task() == one.next_task);
+    CHECK(job.Progress() == Milliseconds(one.saved_ms));
   }
 }
 
 TEST_CASE(
     "the progress of several checkpoints adds up, also after a takeover") {
-  MovedJob t(Json{{"run_ms", 10000}});
+  MovedJob job(Json{{"run_ms", 10000}});
   for (const char* worker : {"w1", "w2", "w3"}) {
-    t.harness.fake.progress[worker] = milliseconds(2000);
+    job.harness.fake.progress[worker] = milliseconds(2000);
   }
-  t.MoveOff();
-  t.harness.Run(milliseconds(10000));
-  CHECK(t.Progress() == Milliseconds(2000));
+  job.MoveOff();
+  job.harness.Run(milliseconds(10000));
+  CHECK(job.Progress() == Milliseconds(2000));
   SUBCASE("the same coordinator") {}
-  SUBCASE("its successor") { t.harness.BeginEpoch(2, "e2"); }
-  t.harness.Run(milliseconds(2000));
-  t.MoveOff();
-  t.harness.Run(milliseconds(10000));
-  CHECK(t.Task() == Json{{"run_ms", 6000}, {"resume_progress_ms", 4000}});
-  CHECK(t.Progress() == Milliseconds(4000));
+  SUBCASE("its successor") { job.harness.BeginEpoch(2, "e2"); }
+  job.harness.Run(milliseconds(2000));
+  job.MoveOff();
+  job.harness.Run(milliseconds(10000));
+  CHECK(job.Task() == Json{{"run_ms", 6000}, {"resume_progress_ms", 4000}});
+  CHECK(job.Progress() == Milliseconds(4000));
 }
 
 struct SavedAtTakeoverCase {
   const char* name;
-  // What of the predecessor reached the stream before it died.
+  // The last phase that the previous coordinator recorded before it died.
   JobPhase logged;
   bool second_saved;
   int saved_ms;
@@ -339,7 +342,7 @@
 TEST_CASE("a checkpoint that ends during a takeover counts once") {
   const std::vector<SavedAtTakeoverCase> cases = {
       {"not recorded yet", JobPhase::kCheckpointing, true, 2000},
-      {"neither recorded nor its order", JobPhase::kRunning, true, 2000},
+      {"neither start nor end recorded", JobPhase::kRunning, true, 2000},
       {"recorded already", JobPhase::kStopping, true, 2000},
       {"one member is not done", JobPhase::kCheckpointing, false, 0},
       {"one member is not done, nothing recorded", JobPhase::kRunning, false,
@@ -347,40 +350,41 @@
   };
   for (const SavedAtTakeoverCase& one : cases) {
     CAPTURE(one.name);
-    MovedJob t(Json{{"run_ms", 10000}});
-    t.harness.coordinator.reset();
-    const std::vector<std::string> workers = t.Workers();
+    MovedJob job(Json{{"run_ms", 10000}});
+    job.harness.coordinator.reset();
+    const std::vector<std::string> workers = job.Workers();
     REQUIRE(workers.size() == 2);
     for (const std::string& name : workers) {
-      for (auto& [id, lease] : t.harness.fake.workers[name].leases) {
+      for (auto& [id, lease] : job.harness.fake.workers[name].leases) {
         const bool saved = one.second_saved || name == workers[0];
         lease.state =
             saved ? LeaseState::kCheckpointed : LeaseState::kCheckpointing;
         lease.progress = milliseconds(2000);
       }
     }
-    const int64_t revision = t.harness.fold.jobs().Find("a")->revision + 1;
+    const int64_t revision = job.harness.fold.jobs().Find("a")->revision + 1;
     const bool counted = one.logged == JobPhase::kStopping;
     if (one.logged != JobPhase::kRunning) {
-      t.harness.Append(PhaseRecord{1, revision, "a", one.logged, "in the test",
-                                   Milliseconds(counted ? 2000 : 0)});
+      job.harness.Append(PhaseRecord{1, revision, "a", one.logged,
+                                     "in the test",
+                                     Milliseconds(counted ? 2000 : 0)});
     }
-    t.harness.BeginEpoch(2, "e2");
-    t.harness.Run(milliseconds(8000));
-    CHECK(t.harness.PhaseOf("a") == JobPhase::kRunning);
-    CHECK(t.harness.fold.jobs().Find("a")->attempts == 2);
-    CHECK(t.Progress() == Milliseconds(one.saved_ms));
-    CHECK(t.Task()["run_ms"] == 10000 - one.saved_ms);
+    job.harness.BeginEpoch(2, "e2");
+    job.harness.Run(milliseconds(8000));
+    CHECK(job.harness.PhaseOf("a") == JobPhase::kRunning);
+    CHECK(job.harness.fold.jobs().Find("a")->attempts == 2);
+    CHECK(job.Progress() == Milliseconds(one.saved_ms));
+    CHECK(job.Task()["run_ms"] == 10000 - one.saved_ms);
   }
 }
 
-TEST_CASE("planning goes on while the log is down") {
+TEST_CASE("jobs are scheduled while the log is down") {
   CoordinatorHarness harness;
   harness.BeginEpoch(1, "e1");
   harness.Run(milliseconds(500));
   harness.log_down = true;
   JobEntry entry;
-  entry.request = JobOf("urgent", 2);
+  entry.request = MakeJob("urgent", 2);
   entry.request.spec.priority = Priority::kUrgent;
   harness.coordinator->Submit(entry, harness.now);
   harness.Run(milliseconds(500));
--- a/tests/auto/jobs/tst_gang_executor.cc
+++ b/tests/auto/jobs/tst_gang_executor.cc
@@ -1,4 +1,4 @@
-// Orders about gangs as worker calls, with answers lost, late and refused.
+// GangExecutor with fake workers whose replies are lost, late or refusals.
 #include <doctest/doctest.h>
 
 #include "fake_workers.h"
@@ -16,17 +16,16 @@
     executor.SetWorkers(WorkerList(2), now);
   }
 
-  // Sends what is due and feeds the answers, until nothing is due.
+  // Delivers the due calls and their answers until no call is due.
   void RunUntilIdle() {
     for (;;) {
       const std::vector<WorkerCall> calls = executor.NextCalls(now);
       if (calls.empty()) return;
-      for (const WorkerCall& call : calls)
-        DeliverAnswer(call, fake.Answer(call));
+      for (const WorkerCall& call : calls) Deliver(call, fake.Answer(call));
     }
   }
 
-  void DeliverAnswer(const WorkerCall& call, const FakeAnswer& answer) {
+  void Deliver(const WorkerCall& call, const FakeAnswer& answer) {
     const WorkerEvents more = executor.HandleCallResult(
         call, answer.report, answer.refusal, "in the test", now);
     events.insert(events.end(), more.begin(), more.end());
@@ -48,9 +47,8 @@
   int CountOutcomes(MemberOutcome outcome) const {
     int count = 0;
     for (const WorkerEvent& event : events) {
-      const auto* outcome_event = std::get_if<MemberOutcomeEvent>(&event);
-      if (outcome_event != nullptr && outcome_event->outcome == outcome)
-        ++count;
+      const auto* found = std::get_if<MemberOutcomeEvent>(&event);
+      if (found != nullptr && found->outcome == outcome) ++count;
     }
     return count;
   }
@@ -85,7 +83,7 @@
         std::vector<LeaseState>(2, LeaseState::kRunning));
 }
 
-TEST_CASE("nothing but the fence goes to a worker that has not answered it") {
+TEST_CASE("a worker that has not answered the fence gets no other call") {
   ExecutorHarness harness;
   harness.fake.silent.insert("w1");
   harness.Grant("g");
@@ -131,7 +129,7 @@
   std::vector<WorkerCall> late = harness.executor.NextCalls(harness.now);
   REQUIRE(late.size() == 2);
   for (const WorkerCall& call : late) {
-    harness.DeliverAnswer(call, {std::nullopt, WorkerRefusal::kUnreachable});
+    harness.Deliver(call, {std::nullopt, WorkerRefusal::kUnreachable});
   }
   harness.executor.Stop("g");
   harness.Run(milliseconds(500));
@@ -153,7 +151,7 @@
   CHECK(harness.executor.leases() == 1);
 }
 
-TEST_CASE("leases are renewed in one call a worker and interval") {
+TEST_CASE("leases are renewed in one call per worker and interval") {
   ExecutorHarness harness;
   harness.Grant("g");
   harness.Grant("h");
@@ -166,7 +164,7 @@
   CHECK(harness.fake.calls.back().lease_ids.size() == 2);
 }
 
-TEST_CASE("a checkpoint under way is asked for soon, and ever more rarely") {
+TEST_CASE("a worker is polled at growing intervals during a checkpoint") {
   ExecutorHarness harness;
   harness.Grant("g");
   harness.RunUntilIdle();
@@ -182,7 +180,7 @@
   CHECK(harness.fake.count(Kind::kRenew) - before <= 2 * 40);
 }
 
-TEST_CASE("a worker is asked when a task should end, and then as usual") {
+TEST_CASE("a worker is renewed at the expected end of its task, once") {
   ExecutorHarness harness;
   harness.Grant("g", {{"run_ms", 700}});
   harness.RunUntilIdle();
@@ -200,7 +198,7 @@
   CHECK(renewals() == before);
   harness.Run(milliseconds(200));
   CHECK(renewals() == before + 1);
-  // One that takes longer than it said costs no further calls.
+  // A task that takes longer than its run time causes no further calls.
   harness.Run(milliseconds(2000));
   CHECK(renewals() == before + 1);
 }
@@ -224,7 +222,7 @@
     for (const WorkerCall& call : harness.executor.NextCalls(harness.now)) {
       FakeAnswer answer = harness.fake.Answer(call);
       if (call.kind == Kind::kRenew) ++renewed;
-      // The worker answers, but the task does not stop.
+      // The worker answers, but the task keeps running.
       if (call.kind == Kind::kStop) {
         for (const std::string& id : call.lease_ids) {
           LeaseReport lease;
@@ -233,13 +231,13 @@
           answer.report->leases.push_back(lease);
         }
       }
-      harness.DeliverAnswer(call, answer);
+      harness.Deliver(call, answer);
     }
   }
   CHECK(renewed >= 4);
 }
 
-TEST_CASE("a silent worker is lost within its bound and not renewed") {
+TEST_CASE("a silent worker is lost within the stated time and not renewed") {
   ExecutorHarness harness;
   harness.Grant("g");
   harness.RunUntilIdle();
@@ -260,7 +258,7 @@
   const int renewals = harness.fake.count(Kind::kRenew);
   harness.executor.Stop("g");
   harness.Run(milliseconds(20000));
-  // w2's lease was stopped, w1 was only asked.
+  // The lease at w2 was stopped, and w1 got only fence calls.
   CHECK(harness.fake.count(Kind::kRenew) == renewals);
   CHECK(harness.executor.leases() == 0);
   harness.fake.silent.clear();
@@ -268,7 +266,7 @@
   CHECK(harness.FindEvent<WorkerRecoveredEvent>() != nullptr);
 }
 
-TEST_CASE("a worker that refuses the token is told, and lost by the bound") {
+TEST_CASE("a worker that refuses the token is reported, and lost in time") {
   ExecutorHarness harness;
   harness.Grant("g");
   harness.RunUntilIdle();
--- a/tests/auto/jobs/tst_job_manager.cc
+++ b/tests/auto/jobs/tst_job_manager.cc
@@ -1,5 +1,5 @@
-// JobManager between a log service, workers and callers, over real sockets in
-// one process.
+// JobManager with a log service and workers in one process, connected through
+// real sockets.
 #include <doctest/doctest.h>
 
 #include <boost/asio.hpp>
@@ -68,7 +68,7 @@
   return settings;
 }
 
-// One entry: a JobManager with its clients and routes, no server.
+// One entry: a JobManager with its clients and routes, without an HTTP server.
 struct Entry {
   Entry(boost::asio::io_context& io, const std::string& log_address,
         const std::string& name)
@@ -118,6 +118,7 @@
   JobManager jobs;
 };
 
+// A log service, two workers and any number of entries.
 class Platform {
  public:
   Platform()
@@ -193,14 +194,15 @@
     SendControlRequest(log.address(), "POST", control.dump());
   }
 
-  // Whether something happened to a lease at a worker, by its history.
+  // Whether the lease history of a worker contains an event of kind `what`.
   bool HasHistoryEvent(size_t worker, const std::string& what) {
     const std::string state =
         SendControlRequest(workers[worker]->address(), "GET", "");
     return state.find("\"what\":\"" + what + "\"") != std::string::npos;
   }
 
-  // The body of the answer of a role's control interface.
+  // Calls the control interface of the log or a worker. Returns the body of the
+  // response; empty on failure.
   std::string SendControlRequest(const std::string& address,
                                  const std::string& method,
                                  const std::string& body) {
@@ -242,7 +244,7 @@
       .dump();
 }
 
-// The first entry, once it is the coordinator.
+// Adds the first entry and waits until it is the coordinator.
 Entry& AddCoordinator(Platform* platform) {
   Entry& entry = platform->AddEntry("e1");
   entry.jobs.SetLiveEntries({"e1"});
@@ -250,7 +252,7 @@
   return entry;
 }
 
-// Attempts of a job as `entry` answers; -1 without an answer.
+// The number of attempts of `job` according to `entry`; -1 if it is not stated.
 int64_t Attempts(Entry& entry, const std::string& job) {
   const std::optional<Json> status =
       ParseJson(entry.Call("GET", "/v1/jobs/" + job, "north-token").body);
@@ -258,7 +260,7 @@
   return IntField(*status, "attempts").value_or(-1);
 }
 
-TEST_CASE("a job is taken at one entry, run by another, and seen at both") {
+TEST_CASE("a job submitted at one entry is run by another, visible at both") {
   Platform platform;
   Entry& first = AddCoordinator(&platform);
   Entry& second = platform.AddEntry("e2");
@@ -268,7 +270,7 @@
   CHECK(taken.status == 202);
   CHECK(Eventually([&] { return second.PhaseOf("a") == "finished"; }));
   CHECK(Eventually([&] { return first.PhaseOf("a") == "finished"; }));
-  // A repeat is answered from the fold.
+  // A repeated submission is answered from the job table.
   const HttpResponse again =
       first.Call("POST", "/v1/jobs", "north-token", JobBody("a", 2, 100));
   CHECK(again.status == 202);
@@ -276,7 +278,7 @@
             .status == 409);
 }
 
-TEST_CASE("a job moved off a worker goes on, and its progress is shown") {
+TEST_CASE("a job moved off a worker continues, and its progress is shown") {
   Platform platform;
   Entry& entry = AddCoordinator(&platform);
   REQUIRE(entry.Call("POST", "/v1/jobs", "north-token", JobBody("a", 1, 60000))
@@ -302,7 +304,7 @@
   int status;
 };
 
-TEST_CASE("callers reach the jobs of their own account only") {
+TEST_CASE("callers have access only to the jobs of their own account") {
   Platform platform;
   Entry& entry = AddCoordinator(&platform);
   REQUIRE(entry.Call("POST", "/v1/jobs", "north-token", JobBody("a", 1, 60000))
@@ -334,7 +336,7 @@
             .status == 422);
 }
 
-TEST_CASE("the next coordinator goes on with what runs") {
+TEST_CASE("running jobs continue under the next coordinator") {
   Platform platform;
   Entry& first = AddCoordinator(&platform);
   Entry& second = platform.AddEntry("e2");
@@ -362,7 +364,7 @@
   Platform platform;
   Entry& first = AddCoordinator(&platform);
   Entry& second = platform.AddEntry("e2");
-  // The second entry is wrong about the first one's death.
+  // The second entry wrongly considers the first one dead.
   second.jobs.SetLiveEntries({"e2"});
   CHECK(Eventually([&] { return second.jobs.is_coordinator(); }));
   second.jobs.SetLiveEntries({"e1", "e2"});
@@ -385,7 +387,8 @@
   CHECK(refused.headers.Value("Thornplank-Outcome") == "not-run");
   CHECK(refused.headers.Has("Retry-After"));
   CHECK(entry.jobs.is_coordinator());
-  // Longer than the job runs: its end is recorded when the log is back.
+  // The job ends while the log is down; its end is recorded once the log is
+  // available again.
   std::this_thread::sleep_for(milliseconds(1500));
   platform.ControlLog({{"outage", false}});
   CHECK(Eventually([&] { return entry.PhaseOf("a") == "finished"; }));
@@ -394,17 +397,17 @@
 
 struct UrgentCase {
   const char* name;
-  // Index of the entry that is asked; entry 0 is the coordinator.
+  // Index of the entry that gets the submission; entry 0 is the coordinator.
   size_t asked;
   bool linked;
   int status;
 };
 
-TEST_CASE("urgent work starts while the log is down") {
+TEST_CASE("urgent jobs start while the log is down") {
   const std::vector<UrgentCase> cases = {
       {"at the coordinator", 0, true, 202},
       {"at another entry", 1, true, 202},
-      {"with nobody to hold it as well", 0, false, 503},
+      {"at the coordinator, without a peer to hold the job", 0, false, 503},
       {"without a link to the coordinator", 1, false, 503},
   };
   for (const UrgentCase& one : cases) {
@@ -432,7 +435,7 @@
   }
 }
 
-TEST_CASE("an entry that starts after retention takes the last snapshot") {
+TEST_CASE("an entry that starts after retention reads the last snapshot") {
   Platform platform;
   Entry& first = AddCoordinator(&platform);
   platform.ControlLog({{"retain_records", 60}});
--- a/tests/auto/jobs/tst_log_health.cc
+++ b/tests/auto/jobs/tst_log_health.cc
@@ -1,4 +1,4 @@
-// When an entry counts the log as down.
+// The conditions under which an entry counts the log as down.
 #include <doctest/doctest.h>
 
 #include <optional>
@@ -21,18 +21,20 @@
     std::optional<int64_t> own_record;
     LogProblem problem;
   };
-  // All asked for at 10,000 ms, with a bound of 5,000 on reads.
+  // Times in ms. All rows are evaluated at 10,000 with a maximum read age of
+  // 5,000.
   const std::vector<Row> rows = {
       {"all is well", 9900, {}, {}, LogProblem::kNone},
       {"never read", {}, {}, {}, LogProblem::kNotRead},
-      {"not read for long", 4000, {}, 9900, LogProblem::kNotRead},
+      {"not read for too long", 4000, {}, 9900, LogProblem::kNotRead},
       {"one append has just failed", 9900, 9800, {}, LogProblem::kNone},
-      {"appends fail for long", 9900, 9000, {}, LogProblem::kAppendsFail},
-      {"answers are lost, the records arrive", 9900, 9000, 9900,
+      {"appends fail for too long", 9900, 9000, {}, LogProblem::kAppendsFail},
+      {"replies are lost, but records are read back", 9900, 9000, 9900,
        LogProblem::kNone},
-      {"they arrived before appends began to fail", 9900, 9000, 8000,
+      {"last record read back before appends began to fail", 9900, 9000, 8000,
+       LogProblem::kAppendsFail},
+      {"records are no longer read back", 9900, 9000, 9300,
        LogProblem::kAppendsFail},
-      {"they arrived, but no more", 9900, 9000, 9300, LogProblem::kAppendsFail},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
--- a/tests/auto/jobs/tst_snapshot_schedule.cc
+++ b/tests/auto/jobs/tst_snapshot_schedule.cc
@@ -1,4 +1,4 @@
-// When a snapshot of the job stream is due.
+// The conditions under which a snapshot of the job stream is due.
 #include <doctest/doctest.h>
 
 #include <vector>
@@ -23,10 +23,11 @@
       {"nothing new", 0, 100, 100, minutes(60), false},
       {"a few records", 0, 100, 0, minutes(1), false},
       {"many records", 0, 1000, 0, minutes(1), true},
-      {"a few records for long", 0, 100, 0, minutes(10), true},
-      {"retention is far away", 100, 900, 500, minutes(1), false},
-      {"retention comes near", 400, 900, 500, minutes(1), true},
-      {"retention has passed it", 600, 900, 500, minutes(1), true},
+      {"a few records for a long time", 0, 100, 0, minutes(10), true},
+      {"retention removes records far before `covered`", 100, 900, 500,
+       minutes(1), false},
+      {"retention is close to `covered`", 400, 900, 500, minutes(1), true},
+      {"retention is past `covered`", 600, 900, 500, minutes(1), true},
   };
   for (const DueCase& one : cases) {
     CAPTURE(one.name);
--- a/tests/auto/peers/tst_membership_manager.cc
+++ b/tests/auto/peers/tst_membership_manager.cc
@@ -1,4 +1,5 @@
-// Managers on real meshes: who is alive, sections, and snapshots from peers.
+// MembershipManagers connected by real meshes: member states, heartbeat
+// sections, and snapshots from peers.
 #include <doctest/doctest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -100,7 +101,7 @@
   }));
 }
 
-TEST_CASE("sections of other carriers travel with the heartbeats") {
+TEST_CASE("heartbeats contain the sections of other components") {
   IoThreads threads;
   Entries entries;
   std::mutex mutex;
@@ -126,10 +127,11 @@
   }));
 }
 
-TEST_CASE("a newcomer takes the snapshot of the peer that is furthest") {
+TEST_CASE("a joining entry takes the snapshot of the peer with most records") {
   IoThreads threads;
   Entries entries;
-  // What each peer has folded of "jobs", and whether it can give it.
+  // The next offset of each peer in stream "jobs", and whether it has a
+  // snapshot.
   const struct {
     const char* name;
     int64_t offset;
@@ -176,7 +178,7 @@
         [&](std::optional<Json> snapshot, const Error& error) {
           outcome.set_value(snapshot ? snapshot->dump() : error.reason);
         });
-    // Comes in any case: each peer's answer has a timeout.
+    // Does not block for ever: each peer's answer has a timeout.
     CHECK(outcome.get_future().get() == entry.outcome);
   }
 }
--- a/tests/auto/protocol/mesh_fixture.h
+++ b/tests/auto/protocol/mesh_fixture.h
@@ -1,4 +1,4 @@
-// Several meshes on real sockets in one process, for tests.
+// Helpers for tests with several meshes on real sockets in one process.
 #ifndef THORNPLANK_TESTS_MESH_FIXTURE_H_
 #define THORNPLANK_TESTS_MESH_FIXTURE_H_
 
@@ -16,9 +16,9 @@
 
 namespace thornplank {
 
-// Polls until `condition` holds; false after about ten seconds. It counts
-// polls, since time during which the machine stopped this process proves
-// nothing.
+// Polls until `condition` holds; returns false after about ten seconds. It
+// counts polls instead of reading a clock, so that time during which this
+// process was paused does not count.
 template <typename Condition>
 bool WaitUntil(Condition condition) {
   constexpr int kPolls = 5000;
@@ -68,8 +68,9 @@
   std::vector<std::thread> threads_;
 };
 
-// Declared after all that handlers use, it ends the threads before those go,
-// also when a REQUIRE fails.
+// Joins the threads when it goes out of scope. Declare it after all objects
+// that handlers use, so that the threads end before these are destroyed, even
+// if a REQUIRE fails.
 class JoinAtExit {
  public:
   explicit JoinAtExit(IoThreads& threads) : threads_(threads) {}
--- a/tests/auto/protocol/tcp_forwarder.h
+++ b/tests/auto/protocol/tcp_forwarder.h
@@ -1,5 +1,6 @@
-// A TCP forwarder for tests that can lose track of the connections it has:
-// they stay open and say nothing, while new ones work.
+// A TCP forwarder for tests. It can stop forwarding on its existing
+// connections, which then stay open without passing data, while new connections
+// work. This imitates a network device that has lost its connection state.
 #ifndef THORNPLANK_TESTS_TCP_FORWARDER_H_
 #define THORNPLANK_TESTS_TCP_FORWARDER_H_
 
@@ -31,7 +32,7 @@
     Accept();
   }
 
-  // The connections of now swallow all bytes from here on.
+  // From now on, the existing connections discard all data.
   void SilenceExisting() { silent_below_ = accepted_.load(); }
   void Stop() {
     boost::asio::post(acceptor_.get_executor(), [self = shared_from_this()] {
@@ -86,7 +87,7 @@
         [self = shared_from_this(), pair, from, to, buffer](
             const boost::system::error_code& ec, std::size_t size) {
           const bool silent = pair->number < self->silent_below_;
-          // A silent pair hides even that an end has closed.
+          // A silent pair does not forward the end of a connection either.
           if (ec && silent) return;
           if (ec) return self->Close(pair);
           if (silent) return self->Forward(pair, from, to, buffer);
@@ -113,7 +114,7 @@
   tcp::endpoint target_;
   std::atomic<int> accepted_{0};
   std::atomic<int> open_{0};
-  // Pairs with lower numbers swallow.
+  // Pairs with lower numbers discard all data.
   std::atomic<int> silent_below_{0};
 };
 
--- a/tests/auto/protocol/tst_message.cc
+++ b/tests/auto/protocol/tst_message.cc
@@ -1,4 +1,4 @@
-// Envelopes: what is written is read back, and malformed frames are refused.
+// Encoding and decoding of messages and hellos, and refusal of malformed ones.
 #include <doctest/doctest.h>
 
 #include <string>
--- a/tests/auto/protocol/tst_peer_links.cc
+++ b/tests/auto/protocol/tst_peer_links.cc
@@ -1,4 +1,4 @@
-// Which of two links stays, and when an address is dialled again.
+// The choice between two links to a peer, and when an address is dialled again.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -57,7 +57,7 @@
   }
 }
 
-TEST_CASE("an address that fails is dialled ever less often, with jitter") {
+TEST_CASE("the delay of a failing address doubles up to a limit, with jitter") {
   Dialer dialer(Milliseconds(100), Milliseconds(400), "seed");
   dialer.SetAddresses({"x"});
   Time now{};
@@ -73,7 +73,7 @@
   }
 }
 
-TEST_CASE("an address is left alone while its peer is linked") {
+TEST_CASE("an address is not dialled while its peer is linked") {
   Dialer dialer(Milliseconds(100), Milliseconds(400), "seed");
   dialer.SetAddresses({"x"});
   CHECK(dialer.TakeDue({}, Time{}).size() == 1);
@@ -85,7 +85,7 @@
   CHECK(dialer.TakeDue({}, later + Milliseconds(100)).size() == 1);
 }
 
-TEST_CASE("an address in use survives its absence from the list") {
+TEST_CASE("an address in use is kept while it is missing from the list") {
   Dialer dialer(Milliseconds(100), Milliseconds(400), "seed");
   dialer.SetAddresses({"x"});
   CHECK(dialer.TakeDue({}, Time{}).size() == 1);
--- a/tests/auto/protocol/tst_peer_mesh.cc
+++ b/tests/auto/protocol/tst_peer_mesh.cc
@@ -1,4 +1,5 @@
-// Meshes on real sockets: one link per pair, replaced when it fails.
+// PeerMesh on real sockets: one link per pair, replacement of failed links, and
+// calls.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -14,7 +15,7 @@
 namespace thornplank {
 namespace {
 
-// The outcomes of calls, in the order in which they came.
+// Records the outcomes of calls in the order in which the calls ended.
 class Outcomes {
  public:
   PeerMesh::CallCallback Recorder() {
@@ -33,7 +34,7 @@
     std::mutex mutex;
     std::vector<std::string> outcomes;
   };
-  // Shared with calls that end after the test.
+  // Shared with the callbacks of calls that end after the test.
   const std::shared_ptr<State> state_ = std::make_shared<State>();
 };
 
@@ -65,7 +66,7 @@
   b->SetPeers({a->address()});
   c->SetPeers({a->address()});
   CHECK(WaitUntil([&] { return HasPeer(*a, "c") && HasPeer(*c, "a"); }));
-  // Several hellos went both ways by now.
+  // By then several hellos were exchanged.
   CHECK(WaitUntil([&] { return b->bytes_received() > 1000; }));
   CHECK_FALSE(HasPeer(*a, "b"));
   CHECK(b->connected_peers().empty());
@@ -86,7 +87,7 @@
     return to_a->accepted() > 0 && to_a->open() == 0 && to_b->open() == 1 &&
            HasPeer(*a, "b") && HasPeer(*b, "a");
   }));
-  // Neither end had to dial twice: they agreed on the link that stays.
+  // Neither end dialled twice, so both chose the same link.
   CHECK(to_a->accepted() == 1);
   CHECK(to_b->accepted() == 1);
   Outcomes outcomes;
@@ -136,7 +137,7 @@
   }
   REQUIRE(WaitUntil([&] { return crossed.all().size() == 1; }));
   CHECK(crossed.all()[0] == "{\"answer\":\"second\"}");
-  // Comes after all replies above on the same link.
+  // On this link, the reply to this call follows all replies above.
   Outcomes last;
   a->Call("b", "echo", Json::object(), std::chrono::seconds(30),
           last.Recorder());
@@ -145,7 +146,7 @@
   CHECK(crossed.all().size() == 1);
 }
 
-TEST_CASE("calls that cannot be made fail at once, with the reason") {
+TEST_CASE("calls that cannot be sent or answered fail at once, with a reason") {
   IoThreads threads;
   PeerMeshSettings settings = FastSettings("a");
   settings.max_message_bytes = 1000;
@@ -185,7 +186,7 @@
   CHECK_FALSE(a->Send("nobody", "echo", Json::object()));
 }
 
-TEST_CASE("a link gone silent is replaced and its calls fail") {
+TEST_CASE("a link that became silent is replaced and its calls fail") {
   IoThreads threads;
   const auto a = StartEcho(threads.io(), FastSettings("a"));
   const auto b = StartEcho(threads.io(), FastSettings("b"));
@@ -209,7 +210,7 @@
   CHECK(outcomes.all()[0] == "{}");
 }
 
-TEST_CASE("a new incarnation replaces the old one, which stays out") {
+TEST_CASE("a new incarnation replaces the old one, which is refused then") {
   IoThreads threads;
   std::mutex mutex;
   std::vector<std::string> changes;
@@ -228,7 +229,7 @@
   const JoinAtExit join(threads);
   new_b->SetPeers({a->address()});
   REQUIRE(WaitUntil([&] { return HasPeer(*a, "b", "b-2"); }));
-  // The old one dials again and is turned away.
+  // The old incarnation dials again and is refused.
   const uint64_t before = old_b->bytes_received();
   CHECK(WaitUntil([&] { return old_b->bytes_received() > before + 300; }));
   CHECK(HasPeer(*a, "b", "b-2"));
@@ -240,7 +241,7 @@
   }));
 }
 
-TEST_CASE("the end of a peer fails its calls and is told") {
+TEST_CASE("calls to a peer fail when it stops, and the link is removed") {
   IoThreads threads;
   const auto a = StartMesh(threads.io(), FastSettings("a"));
   auto b = std::make_unique<PeerMesh>(threads.io(), FastSettings("b"));
