--- a/src/libs/coordination/advice_requester.h
+++ b/src/libs/coordination/advice_requester.h
@@ -13,7 +13,7 @@
 
 #include "base/time.h"
 #include "coordination/advisor.h"
-#include "workload/advice_book.h"
+#include "workload/advice_cache.h"
 #include "workload/job_definition.h"
 
 namespace thornplank {
@@ -25,14 +25,14 @@
   AdviceRequester(Advisor* advisor, std::function<void()> on_change);
   ~AdviceRequester();
 
-  const AdviceBook& book() const { return book_; }
+  const AdviceCache& book() const { return book_; }
   // Requests advice for a waiting step. `candidates` are the workers that could
   // run it, best first.
   void Request(const StepRef& step, const AdviceTerms& terms,
                const std::vector<std::string>& candidates);
   void OnTicketRefused(const StepRef& step, const std::string& worker);
   // `steps` are those that still wait; what is known of all others is dropped.
-  void RetainOnly(const std::set<StepRef>& steps) { book_.Keep(steps); }
+  void RetainOnly(const std::set<StepRef>& steps) { book_.RetainOnly(steps); }
 
  private:
   void OnAnswer(const StepRef& step, const std::vector<std::string>& asked,
@@ -40,7 +40,7 @@
 
   Advisor* const advisor_;
   const std::function<void()> on_change_;
-  AdviceBook book_;
+  AdviceCache book_;
   // False once this object is destroyed; pending callbacks then do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/libs/coordination/worker_fleet.h
+++ b/src/libs/coordination/worker_fleet.h
@@ -20,7 +20,7 @@
 #include "coordination/refused_entries.h"
 #include "coordination/start_sender.h"
 #include "coordination/worker_calls.h"
-#include "workload/departure_watch.h"
+#include "workload/departure_detector.h"
 #include "workload/gang_review.h"
 #include "workload/run_review.h"
 #include "workload/worker_bounds.h"
@@ -136,7 +136,7 @@
     Time next_stop_time{};
     // Since when the worker has been missing from the directory.
     std::optional<Time> missing_since;
-    DepartureWatch departure;
+    DepartureDetector departure;
   };
 
   bool IsClosed(const WorkerTracker& tracker) const;
@@ -156,7 +156,7 @@
   // incarnation.
   void OnRestart(const std::string& id, const std::vector<RunEndReport>& ends,
                  Time now);
-  void LogBirthFault(const std::string& id, const BirthMark& birth);
+  void LogBirthFault(const std::string& id, const IncarnationStart& birth);
   // The number up to which the next report may tell the worker to forget ends;
   // 0 for none.
   int64_t EndsToAcknowledge(const WorkerTracker& tracker,
@@ -167,8 +167,8 @@
   void ReviewWorker(const std::string& id, Time now);
   void ReviewGangs(Time now);
   // The incarnation has certainly ended.
-  void OnIncarnationOver(const std::string& id, LifeEnd end);
-  bool EndRunsOfLostWorker(const std::string& id, LifeEnd end);
+  void OnIncarnationOver(const std::string& id, IncarnationEnd end);
+  bool EndRunsOfLostWorker(const std::string& id, IncarnationEnd end);
   WorkerTracker* Find(const std::string& id);
 
   WorkerCalls& calls_;
--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -111,7 +111,7 @@
       executor_.HandleCallResult(call, report, refusal, reason, now), now);
 }
 
-void Coordinator::Advance(const JobStreamFold& fold, Time now,
+void Coordinator::Advance(const JobStreamState& fold, Time now,
                           WallTime wall_now) {
   if (!planning_) {
     if (!TakeoverMayComplete(now)) return;
@@ -151,7 +151,7 @@
                      });
 }
 
-void Coordinator::CompleteTakeover(const JobStreamFold& fold, Time now,
+void Coordinator::CompleteTakeover(const JobStreamState& fold, Time now,
                                    WallTime wall_now) {
   planning_ = true;
   ExecuteActions(scheduler_.SetWorkers(inputs_.workers, now), now);
@@ -223,7 +223,7 @@
 // starting is stopped, since its throttle must not be lifted while it is
 // unknown whether all members hold their leases.
 void Coordinator::AddUnreportedMembers(
-    const JobStreamFold& fold, Time now,
+    const JobStreamState& fold, Time now,
     std::map<std::string, AdoptedGang>* gangs) {
   for (const auto& [id, entry] : fold.jobs().jobs()) {
     if (IsFinal(entry.phase) || entry.gang_id.empty()) continue;
@@ -251,7 +251,7 @@
 
 // Whether a gang was started is taken from the workers' reports; whether its
 // job is ending or final is taken from the stream.
-void Coordinator::ReconcilePhase(const JobStreamFold& fold, WallTime wall_now,
+void Coordinator::ReconcilePhase(const JobStreamState& fold, WallTime wall_now,
                                  AdoptedGang* gang) const {
   const JobEntry* entry = fold.jobs().Find(gang->job);
   if (entry == nullptr) return;
--- a/src/libs/jobs/coordinator.h
+++ b/src/libs/jobs/coordinator.h
@@ -22,7 +22,7 @@
 #include "jobs/job_manager_settings.h"
 #include "jobs/worker_call.h"
 #include "scheduling/job_scheduler.h"
-#include "state/job_stream_fold.h"
+#include "state/job_stream_state.h"
 
 namespace thornplank {
 
@@ -54,7 +54,7 @@
   // Completes the takeover, based on the current `fold`, once every worker has
   // answered or the takeover timeout has passed. After that, runs the scheduler
   // when its next tick is due. `wall_now` is the wall time at `now`.
-  void Advance(const JobStreamFold& fold, Time now, WallTime wall_now);
+  void Advance(const JobStreamState& fold, Time now, WallTime wall_now);
 
   // Return what is to be sent now; each call and record is returned once.
   std::vector<WorkerCall> TakeCalls(Time now);
@@ -81,11 +81,12 @@
   };
 
   bool TakeoverMayComplete(Time now) const;
-  void CompleteTakeover(const JobStreamFold& fold, Time now, WallTime wall_now);
+  void CompleteTakeover(const JobStreamState& fold, Time now,
+                        WallTime wall_now);
   std::map<std::string, AdoptedGang> AdoptReportedGangs(Time now);
-  void AddUnreportedMembers(const JobStreamFold& fold, Time now,
+  void AddUnreportedMembers(const JobStreamState& fold, Time now,
                             std::map<std::string, AdoptedGang>* gangs);
-  void ReconcilePhase(const JobStreamFold& fold, WallTime wall_now,
+  void ReconcilePhase(const JobStreamState& fold, WallTime wall_now,
                       AdoptedGang* gang) const;
   std::optional<Duration> UnrecordedProgress(const JobEntry& entry,
                                              const AdoptedGang& gang) const;
--- a/src/libs/jobs/job_manager_access.cc
+++ b/src/libs/jobs/job_manager_access.cc
@@ -254,7 +254,8 @@
     const bool restored = fold_.Restore(parts);
     restored_from_peer_ = fold_.complete();
     if (!restored) return true;
-    HandleFoldChange({FoldChange::Kind::kRestored, ""}, Clock::now(), &answers);
+    HandleFoldChange({JobStreamChange::Kind::kRestored, ""}, Clock::now(),
+                     &answers);
   }
   for (const auto& answer : answers) answer();
   return true;
--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -175,7 +175,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     const Time now = Clock::now();
     if (IsOwnRecord(record.id)) log_health_.HandleOwnRecord(now);
-    HandleFoldChange(fold_.Fold(record), now, &answers);
+    HandleFoldChange(fold_.Apply(record), now, &answers);
   }
   for (const auto& answer : answers) answer();
   ScheduleTurn();
@@ -188,28 +188,28 @@
   if (!fold_.complete() && coordinator_) StepDown("log records were missed");
 }
 
-void JobManager::Impl::HandleFoldChange(const FoldChange& change, Time now,
+void JobManager::Impl::HandleFoldChange(const JobStreamChange& change, Time now,
                                         JobWaiters::Answers* answers) {
   switch (change.kind) {
-    case FoldChange::Kind::kNone:
+    case JobStreamChange::Kind::kNone:
       return;
-    case FoldChange::Kind::kSubmitted:
+    case JobStreamChange::Kind::kSubmitted:
       held_urgent_jobs_.erase(change.job);
       if (coordinator_) {
         coordinator_->Submit(*fold_.jobs().Find(change.job), now);
       }
       break;
-    case FoldChange::Kind::kCancelled:
+    case JobStreamChange::Kind::kCancelled:
       if (coordinator_) coordinator_->Cancel(change.job, now);
       break;
-    case FoldChange::Kind::kPlaced:
-    case FoldChange::Kind::kPhase:
+    case JobStreamChange::Kind::kPlaced:
+    case JobStreamChange::Kind::kPhase:
       break;
-    case FoldChange::Kind::kEpoch:
-    case FoldChange::Kind::kResigned:
+    case JobStreamChange::Kind::kEpoch:
+    case JobStreamChange::Kind::kResigned:
       HandleEpochChange(now);
       return;
-    case FoldChange::Kind::kRestored:
+    case JobStreamChange::Kind::kRestored:
       // The coordinator's state is based on the replaced fold.
       if (coordinator_) StepDown("the job table was restored from a snapshot");
       HandleEpochChange(now);
--- a/src/libs/jobs/job_manager_impl.h
+++ b/src/libs/jobs/job_manager_impl.h
@@ -92,7 +92,7 @@
 
   void OnRecord(const LogRecord& record);
   void OnGap(int64_t from, int64_t first_kept);
-  void HandleFoldChange(const FoldChange& change, Time now,
+  void HandleFoldChange(const JobStreamChange& change, Time now,
                         JobWaiters::Answers* answers);
   void HandleEpochChange(Time now);
   void StepDown(const std::string& why);
@@ -156,7 +156,7 @@
   // Guards the members below and log_health_. Nothing is sent and no callback
   // runs while it is held.
   mutable std::mutex mutex_;
-  JobStreamFold fold_;
+  JobStreamState fold_;
   CoordinatorElection election_;
   // Set if and only if this entry holds the newest epoch it knows of and has
   // not stepped down from it.
