--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -111,11 +111,11 @@
       executor_.HandleCallResult(call, report, refusal, reason, now), now);
 }
 
-void Coordinator::Advance(const JobStreamState& fold, Time now,
+void Coordinator::Advance(const JobStreamState& state, Time now,
                           WallTime wall_now) {
   if (!planning_) {
     if (!TakeoverMayComplete(now)) return;
-    CompleteTakeover(fold, now, wall_now);
+    CompleteTakeover(state, now, wall_now);
   }
   if (now < next_tick_) return;
   next_tick_ = now + kTickInterval;
@@ -151,14 +151,14 @@
                      });
 }
 
-void Coordinator::CompleteTakeover(const JobStreamState& fold, Time now,
+void Coordinator::CompleteTakeover(const JobStreamState& state, Time now,
                                    WallTime wall_now) {
   planning_ = true;
   ExecuteActions(scheduler_.SetWorkers(inputs_.workers, now), now);
   ExecuteActions(scheduler_.SetGuarantees(inputs_.guarantees, now), now);
   ExecuteActions(scheduler_.SetEvents(inputs_.events, now), now);
   std::vector<const JobEntry*> open;
-  for (const auto& [id, entry] : fold.jobs().jobs()) {
+  for (const auto& [id, entry] : state.jobs().jobs()) {
     if (!IsFinal(entry.phase)) open.push_back(&entry);
   }
   std::sort(open.begin(), open.end(),
@@ -168,13 +168,13 @@
             });
   for (const JobEntry* entry : open) Submit(*entry, now);
   for (const JobEntry& entry : early_jobs_) {
-    if (!fold.jobs().IsKnown(entry.request.spec.id)) Submit(entry, now);
+    if (!state.jobs().IsKnown(entry.request.spec.id)) Submit(entry, now);
   }
   early_jobs_.clear();
   std::map<std::string, AdoptedGang> gangs = AdoptReportedGangs(now);
-  AddUnreportedMembers(fold, now, &gangs);
+  AddUnreportedMembers(state, now, &gangs);
   for (auto& [id, gang] : gangs) {
-    ReconcilePhase(fold, wall_now, &gang);
+    ReconcilePhase(state, wall_now, &gang);
     ExecuteActions(scheduler_.Adopt(gang, now), now);
   }
   for (const auto& [worker, heard] : reports_) {
@@ -223,9 +223,9 @@
 // starting is stopped, since its throttle must not be lifted while it is
 // unknown whether all members hold their leases.
 void Coordinator::AddUnreportedMembers(
-    const JobStreamState& fold, Time now,
+    const JobStreamState& state, Time now,
     std::map<std::string, AdoptedGang>* gangs) {
-  for (const auto& [id, entry] : fold.jobs().jobs()) {
+  for (const auto& [id, entry] : state.jobs().jobs()) {
     if (IsFinal(entry.phase) || entry.gang_id.empty()) continue;
     for (const GangMember& member : entry.members) {
       if (reports_.count(member.worker) > 0) continue;
@@ -251,9 +251,9 @@
 
 // Whether a gang was started is taken from the workers' reports; whether its
 // job is ending or final is taken from the stream.
-void Coordinator::ReconcilePhase(const JobStreamState& fold, WallTime wall_now,
+void Coordinator::ReconcilePhase(const JobStreamState& state, WallTime wall_now,
                                  AdoptedGang* gang) const {
-  const JobEntry* entry = fold.jobs().Find(gang->job);
+  const JobEntry* entry = state.jobs().Find(gang->job);
   if (entry == nullptr) return;
   if (entry->running_at && wall_now > *entry->running_at) {
     gang->ran_for =
--- a/src/libs/jobs/coordinator.h
+++ b/src/libs/jobs/coordinator.h
@@ -51,10 +51,10 @@
                         WorkerRefusal refusal, const std::string& reason,
                         Time now);
 
-  // Completes the takeover, based on the current `fold`, once every worker has
+  // Completes the takeover, based on the current `state`, once every worker has
   // answered or the takeover timeout has passed. After that, runs the scheduler
   // when its next tick is due. `wall_now` is the wall time at `now`.
-  void Advance(const JobStreamState& fold, Time now, WallTime wall_now);
+  void Advance(const JobStreamState& state, Time now, WallTime wall_now);
 
   // Return what is to be sent now; each call and record is returned once.
   std::vector<WorkerCall> TakeCalls(Time now);
@@ -81,12 +81,12 @@
   };
 
   bool TakeoverMayComplete(Time now) const;
-  void CompleteTakeover(const JobStreamState& fold, Time now,
+  void CompleteTakeover(const JobStreamState& state, Time now,
                         WallTime wall_now);
   std::map<std::string, AdoptedGang> AdoptReportedGangs(Time now);
-  void AddUnreportedMembers(const JobStreamState& fold, Time now,
+  void AddUnreportedMembers(const JobStreamState& state, Time now,
                             std::map<std::string, AdoptedGang>* gangs);
-  void ReconcilePhase(const JobStreamState& fold, WallTime wall_now,
+  void ReconcilePhase(const JobStreamState& state, WallTime wall_now,
                       AdoptedGang* gang) const;
   std::optional<Duration> UnrecordedProgress(const JobEntry& entry,
                                              const AdoptedGang& gang) const;
--- a/src/libs/jobs/job_manager.h
+++ b/src/libs/jobs/job_manager.h
@@ -1,9 +1,10 @@
 // Connects the job stream, the scheduler, the workers and this entry's HTTP
 // interface for jobs.
 //
-// Every entry follows the job stream and answers reads from its fold of it. The
-// entry that holds the newest epoch in the stream is the coordinator; only the
-// coordinator schedules jobs and calls workers. See docs/design/jobs.md.
+// Every entry follows the job stream, applies its records to a JobStreamState
+// and answers reads from that. The entry that holds the newest epoch in the
+// stream is the coordinator; only the coordinator schedules jobs and calls
+// workers. See docs/design/jobs.md.
 //
 // Thread-safe: one mutex guards all state, and nothing is sent and no callback
 // runs while it is held.
@@ -70,20 +71,20 @@
   // The name of the coordinator according to the stream; empty if there is
   // none.
   std::string coordinator() const;
-  // The offset of the next record to fold.
+  // The offset of the next record to apply.
   int64_t jobs_offset() const;
-  // Whether the fold is complete and has reached the end of the stream once, or
-  // covers the snapshot of a peer that was ready.
+  // Whether the state of the job stream is complete and has reached the end of
+  // the stream once, or covers the snapshot of a peer that was ready.
   bool ready() const;
   // What readiness waits for; empty if ready.
   std::string not_ready_reason() const;
 
-  // A snapshot of the fold for a joining entry, {"parts":[…]}; null unless
-  // ready.
+  // A snapshot of the job stream's state for a joining entry, {"parts":[…]};
+  // null unless ready.
   Json ProduceSnapshot() const;
-  // Restores the fold from a peer's snapshot. A snapshot that covers no more
-  // than the fold changes nothing, and the function returns true. Returns false
-  // and sets `*error` if the snapshot cannot be read.
+  // Restores the state from a peer's snapshot. A snapshot that covers no more
+  // than this entry has applied changes nothing, and the function returns true.
+  // Returns false and sets `*error` if the snapshot cannot be read.
   bool ConsumeSnapshot(const Json& snapshot, Error* error);
 
  private:
--- a/src/libs/jobs/job_manager_access.cc
+++ b/src/libs/jobs/job_manager_access.cc
@@ -31,10 +31,10 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     const LogProblem problem = EvaluateLogHealth(now);
     log_down = problem != LogProblem::kNone;
-    if (!fold_.complete()) {
+    if (!state_.complete()) {
       result = NotRun("the job stream is not folded yet");
-    } else if (fold_.jobs().IsKnown(job.spec.id)) {
-      result = SubmissionResult(fold_.jobs(), job);
+    } else if (state_.jobs().IsKnown(job.spec.id)) {
+      result = SubmissionResult(state_.jobs(), job);
     } else if (draining_) {
       result = NotRun("this entry is stopping");
     } else if (log_down && job.spec.priority != Priority::kUrgent) {
@@ -67,14 +67,14 @@
                    // is answered when the record is read back.
                    if (state != AppendState::kNotAppended) return;
                    if (const auto self = weak.lock()) {
-                     self->SubmissionFailed(id, record_id, error);
+                     self->HandleAppendFailure(id, record_id, error);
                    }
                  });
 }
 
-void JobManager::Impl::SubmissionFailed(const std::string& job,
-                                        const std::string& record_id,
-                                        const Error& error) {
+void JobManager::Impl::HandleAppendFailure(const std::string& job,
+                                           const std::string& record_id,
+                                           const Error& error) {
   std::vector<JobWaiters::Waiter> waiters;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -104,10 +104,10 @@
   std::optional<JobChangeResult> result;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const JobEntry* entry = fold_.jobs().Find(id);
+    const JobEntry* entry = state_.jobs().Find(id);
     if (entry != nullptr && IsFinal(entry->phase)) {
       result = {Outcome::kAccepted, entry->phase, entry->reason};
-    } else if (LogDown(now) || entry == nullptr) {
+    } else if (IsLogDown(now) || entry == nullptr) {
       result = NotRun("the log is down");
     } else {
       JobRequest job;
@@ -127,14 +127,14 @@
                      AppendState state, int64_t, const Error& error) {
                    if (state != AppendState::kNotAppended) return;
                    if (const auto self = weak.lock()) {
-                     self->SubmissionFailed(id, record_id, error);
+                     self->HandleAppendFailure(id, record_id, error);
                    }
                  });
 }
 
 std::optional<JobEntry> JobManager::Impl::Find(const std::string& id) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const JobEntry* entry = fold_.jobs().Find(id);
+  const JobEntry* entry = state_.jobs().Find(id);
   if (entry != nullptr) return *entry;
   const auto held = held_urgent_jobs_.find(id);
   if (held == held_urgent_jobs_.end()) return std::nullopt;
@@ -146,7 +146,7 @@
   std::vector<JobEntry> found;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    for (const auto& [id, entry] : fold_.jobs().jobs()) {
+    for (const auto& [id, entry] : state_.jobs().jobs()) {
       if (!account.empty() && entry.request.spec.account != account) continue;
       found.push_back(entry);
     }
@@ -185,7 +185,7 @@
 std::string JobManager::Impl::not_ready_reason() const {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!fold_.complete()) return "the job stream has no snapshot to begin at";
+    if (!state_.complete()) return "the job stream has no snapshot to begin at";
     if (restored_from_peer_) return "";
   }
   if (!follower_ || !follower_->caught_up()) {
@@ -201,27 +201,27 @@
 
 CoordinatorEpoch JobManager::Impl::current_epoch() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return fold_.epochs().current();
+  return state_.epochs().current();
 }
 
 int64_t JobManager::Impl::jobs_offset() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return fold_.next_offset();
+  return state_.next_offset();
 }
 
 size_t JobManager::Impl::open_jobs() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return fold_.jobs().jobs().size() - fold_.jobs().final_job_count();
+  return state_.jobs().jobs().size() - state_.jobs().final_job_count();
 }
 
 Json JobManager::Impl::ProduceSnapshot() const {
   // Otherwise two entries that join while the log is down could make each other
-  // ready with incomplete folds.
+  // ready with incomplete states.
   if (!ready()) return Json();
   std::vector<SnapshotPartRecord> parts;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    parts = fold_.MakeSnapshot("peer", settings_.snapshot_jobs_per_part);
+    parts = state_.MakeSnapshot("peer", settings_.snapshot_jobs_per_part);
   }
   if (parts.empty()) return Json();
   Json array = Json::array();
@@ -251,11 +251,11 @@
   JobWaiters::Answers answers;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const bool restored = fold_.Restore(parts);
-    restored_from_peer_ = fold_.complete();
+    const bool restored = state_.Restore(parts);
+    restored_from_peer_ = state_.complete();
     if (!restored) return true;
-    HandleFoldChange({JobStreamChange::Kind::kRestored, ""}, Clock::now(),
-                     &answers);
+    HandleStreamChange({JobStreamChange::Kind::kRestored, ""}, Clock::now(),
+                       &answers);
   }
   for (const auto& answer : answers) answer();
   return true;
@@ -274,7 +274,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!coordinator_ || verifying_epoch_) return false;
-    if (fold_.jobs().IsKnown(job.spec.id)) return true;
+    if (state_.jobs().IsKnown(job.spec.id)) return true;
   }
   HoldUrgent(job);
   {
@@ -288,7 +288,7 @@
 void JobManager::Impl::HoldUrgent(const JobRequest& job) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (fold_.jobs().IsKnown(job.spec.id)) return;
+    if (state_.jobs().IsKnown(job.spec.id)) return;
     if (!held_urgent_jobs_.emplace(job.spec.id, job).second) return;
   }
   writer_.Append(NewRecordId(), EncodeJobRecord(SubmittedRecord{job}),
@@ -299,11 +299,11 @@
                  });
 }
 
-// The job is ordered after all jobs that the fold contains.
+// The job is ordered after all jobs that were read from the stream.
 JobEntry JobManager::Impl::MakeHeldEntry(const JobRequest& job) const {
   JobEntry entry;
   entry.request = job;
-  entry.request.spec.submitted_order = fold_.next_offset();
+  entry.request.spec.submitted_order = state_.next_offset();
   entry.reason = "held until the log is back";
   entry.submitted_at = std::chrono::system_clock::now();
   return entry;
--- a/src/libs/jobs/job_manager_impl.cc
+++ b/src/libs/jobs/job_manager_impl.cc
@@ -43,7 +43,7 @@
           "Records of the coordinator that could not be appended.")),
       decision_time_(metrics.summary("thornplank_job_decision_seconds",
                                      "Time of one turn of the scheduler.")),
-      fold_(settings_.retention),
+      state_(settings_.retention),
       election_(settings_.name, settings_.incarnation, settings_.election),
       inputs_(std::make_shared<PlanningInputs>()),
       last_turn_(Clock::now()),
@@ -175,7 +175,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     const Time now = Clock::now();
     if (IsOwnRecord(record.id)) log_health_.HandleOwnRecord(now);
-    HandleFoldChange(fold_.Apply(record), now, &answers);
+    HandleStreamChange(state_.Apply(record), now, &answers);
   }
   for (const auto& answer : answers) answer();
   ScheduleTurn();
@@ -184,19 +184,20 @@
 void JobManager::Impl::OnGap(int64_t from, int64_t first_kept) {
   LogEvent(events::kJobStreamGap, {{"from", from}, {"first_kept", first_kept}});
   const std::lock_guard<std::mutex> lock(mutex_);
-  fold_.SkipLostRecords(first_kept);
-  if (!fold_.complete() && coordinator_) StepDown("log records were missed");
+  state_.SkipLostRecords(first_kept);
+  if (!state_.complete() && coordinator_) StepDown("log records were missed");
 }
 
-void JobManager::Impl::HandleFoldChange(const JobStreamChange& change, Time now,
-                                        JobWaiters::Answers* answers) {
+void JobManager::Impl::HandleStreamChange(const JobStreamChange& change,
+                                          Time now,
+                                          JobWaiters::Answers* answers) {
   switch (change.kind) {
     case JobStreamChange::Kind::kNone:
       return;
     case JobStreamChange::Kind::kSubmitted:
       held_urgent_jobs_.erase(change.job);
       if (coordinator_) {
-        coordinator_->Submit(*fold_.jobs().Find(change.job), now);
+        coordinator_->Submit(*state_.jobs().Find(change.job), now);
       }
       break;
     case JobStreamChange::Kind::kCancelled:
@@ -210,20 +211,20 @@
       HandleEpochChange(now);
       return;
     case JobStreamChange::Kind::kRestored:
-      // The coordinator's state is based on the replaced fold.
+      // The coordinator's decisions are based on the replaced state.
       if (coordinator_) StepDown("the job table was restored from a snapshot");
       HandleEpochChange(now);
-      *answers = waiters_.TakeAllFulfilled(fold_.jobs());
+      *answers = waiters_.TakeAllFulfilled(state_.jobs());
       return;
   }
-  *answers = waiters_.TakeFulfilled(fold_.jobs(), change.job);
+  *answers = waiters_.TakeFulfilled(state_.jobs(), change.job);
 }
 
 void JobManager::Impl::HandleEpochChange(Time now) {
-  const CoordinatorEpoch& epoch = fold_.epochs().current();
+  const CoordinatorEpoch& epoch = state_.epochs().current();
   election_.SetEpoch(epoch, now);
   const bool ours =
-      fold_.epochs().IsHeldBy(settings_.name, settings_.incarnation) &&
+      state_.epochs().IsHeldBy(settings_.name, settings_.incarnation) &&
       epoch.number != abandoned_epoch_ && !draining_;
   if (coordinator_ && (!ours || coordinator_->epoch() != epoch.number)) {
     StepDown("epoch " + std::to_string(epoch.number) + " belongs to " +
@@ -275,16 +276,16 @@
 JobManager::Impl::Outbox JobManager::Impl::PrepareTurn(Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Outbox outbox;
-  outbox.next_offset = fold_.next_offset();
+  outbox.next_offset = state_.next_offset();
   outbox.expired = waiters_.TakeExpired(now);
   CheckForPause(now, &outbox);
   last_turn_ = now;
-  const bool log_down = LogDown(now);
+  const bool log_down = IsLogDown(now);
   // It is unknown whether their records were appended. This does not matter,
-  // since the fold ignores a second submission of the same job.
+  // since a second submission of the same job is ignored.
   if (log_down) outbox.urgent = waiters_.TakeUrgent();
   const bool may_claim = live_entries_known_ && !draining_ && !log_down &&
-                         fold_.complete() && follower_->caught_up();
+                         state_.complete() && follower_->caught_up();
   if (may_claim) {
     if (const std::optional<int64_t> number = election_.ClaimIfDue(now)) {
       outbox.claim =
@@ -306,7 +307,7 @@
 // down, no newer epoch can have been appended.
 void JobManager::Impl::CheckForPause(Time now, Outbox* outbox) {
   if (verifying_epoch_ && epoch_check_offset_ &&
-      fold_.next_offset() >= *epoch_check_offset_) {
+      state_.next_offset() >= *epoch_check_offset_) {
     verifying_epoch_ = false;
     epoch_check_offset_.reset();
   }
@@ -322,7 +323,7 @@
 }
 
 void JobManager::Impl::Plan(Time now, Outbox* outbox) {
-  coordinator_->Advance(fold_, now, std::chrono::system_clock::now());
+  coordinator_->Advance(state_, now, std::chrono::system_clock::now());
   decision_time_.Observe(Clock::now() - now);
   if (coordinator_->superseded()) {
     abandoned_epoch_ = coordinator_->epoch();
@@ -423,9 +424,9 @@
     const Time now = Clock::now();
     if (may_snapshot &&
         snapshots_.IsDue(result->first_offset, result->next_offset,
-                         fold_.newest_snapshot_end(), now)) {
+                         state_.newest_snapshot_end(), now)) {
       *parts =
-          fold_.MakeSnapshot(NewRecordId(), settings_.snapshot_jobs_per_part);
+          state_.MakeSnapshot(NewRecordId(), settings_.snapshot_jobs_per_part);
       snapshot_in_progress_ = !parts->empty();
       snapshots_.MarkAppended(now);
     }
--- a/src/libs/jobs/job_manager_impl.h
+++ b/src/libs/jobs/job_manager_impl.h
@@ -86,14 +86,14 @@
     bool check_retention = false;
     // Read the stream's offsets to check for a newer epoch after a pause.
     bool verify_epoch = false;
-    // Of the fold.
+    // The offset of the next record to apply.
     int64_t next_offset = 0;
   };
 
   void OnRecord(const LogRecord& record);
   void OnGap(int64_t from, int64_t first_kept);
-  void HandleFoldChange(const JobStreamChange& change, Time now,
-                        JobWaiters::Answers* answers);
+  void HandleStreamChange(const JobStreamChange& change, Time now,
+                          JobWaiters::Answers* answers);
   void HandleEpochChange(Time now);
   void StepDown(const std::string& why);
 
@@ -118,14 +118,14 @@
 
   // Whether and why the log counts as down. mutex_ must be held.
   LogProblem EvaluateLogHealth(Time now) const;
-  bool LogDown(Time now) const {
+  bool IsLogDown(Time now) const {
     return EvaluateLogHealth(now) != LogProblem::kNone;
   }
   bool IsOwnRecord(const std::string& record_id) const;
   void AppendSubmission(const JobRequest& job, const std::string& record_id,
                         Time deadline);
-  void SubmissionFailed(const std::string& job, const std::string& record_id,
-                        const Error& error);
+  void HandleAppendFailure(const std::string& job, const std::string& record_id,
+                           const Error& error);
   void FailWaiter(JobWaiters::Waiter waiter, bool proved_not_appended,
                   const std::string& reason);
   bool PlanUrgent(const JobRequest& job);
@@ -156,7 +156,7 @@
   // Guards the members below and log_health_. Nothing is sent and no callback
   // runs while it is held.
   mutable std::mutex mutex_;
-  JobStreamState fold_;
+  JobStreamState state_;
   CoordinatorElection election_;
   // Set if and only if this entry holds the newest epoch it knows of and has
   // not stepped down from it.
@@ -166,13 +166,13 @@
   int64_t abandoned_epoch_ = 0;
   std::shared_ptr<const PlanningInputs> inputs_;
   bool live_entries_known_ = false;
-  // The fold was restored from a ready peer, or covered that peer's snapshot.
+  // state_ was restored from a ready peer, or covered that peer's snapshot.
   bool restored_from_peer_ = false;
   bool draining_ = false;
   JobWaiters waiters_;
   // Urgent jobs that were not read back from the stream yet, by id.
   std::map<std::string, JobRequest> held_urgent_jobs_;
-  // After a pause of this process nothing is sent to workers until the fold has
+  // After a pause of this process nothing is sent to workers until state_ has
   // reached epoch_check_offset_, which is the end of the stream as read after
   // the pause: an epoch that another entry won meanwhile is then known.
   bool verifying_epoch_ = false;
--- a/src/libs/jobs/urgent_jobs.h
+++ b/src/libs/jobs/urgent_jobs.h
@@ -4,7 +4,7 @@
 // epoch. The job is accepted once two entries hold it: the entry that the
 // caller asked and the coordinator or, if these are the same, the coordinator
 // and one more peer. Every entry that holds the job appends it when the log is
-// available again; the fold ignores the repeats.
+// available again; repeated submissions are ignored when they are read.
 #ifndef THORNPLANK_JOBS_URGENT_JOBS_H_
 #define THORNPLANK_JOBS_URGENT_JOBS_H_
 
--- a/src/libs/peers/membership_manager.h
+++ b/src/libs/peers/membership_manager.h
@@ -1,5 +1,6 @@
 // Group membership of the entries: exchanges heartbeats with all peers over the
-// peer protocol, and serves snapshots of folded streams to joining entries.
+// peer protocol, and serves snapshots of the state of streams to joining
+// entries.
 //
 // Thread-safe after Start. Handlers and callbacks run on threads of the
 // io_context, without a lock held. Change handlers run in order, one at a time.
@@ -46,7 +47,7 @@
   MemberState state = MemberState::kJoining;
   // Time since the last change of `state`.
   Milliseconds time_in_state{0};
-  // The offset of the next record to fold by stream, from the member's last
+  // The offset of the next record to apply, by stream, from the member's last
   // heartbeat.
   Json offsets = Json::object();
 };
--- a/src/libs/peers/snapshot_exchange.h
+++ b/src/libs/peers/snapshot_exchange.h
@@ -1,4 +1,4 @@
-// Serves snapshots of folded streams to joining entries, and fetches such
+// Serves snapshots of the state of streams to joining entries, and fetches such
 // snapshots from peers.
 //
 // Thread-safe once the mesh has started.
--- a/src/libs/protocol/peer_mesh.h
+++ b/src/libs/protocol/peer_mesh.h
@@ -75,9 +75,9 @@
   // Handlers must be set before Start. One handler per message type.
   void SetMessageHandler(const std::string& type, MessageHandler handler);
   void SetLinkHandler(LinkHandler handler);
-  // `handler` is called with the address at which another live entry has the
-  // name of this entry. Both entries are notified; the handler decides what to
-  // do.
+  // `handler` is called when another live entry has the name of this entry.
+  // `where` is the dialled address of that entry or, for an accepted link, a
+  // text. Both entries are notified; the handler decides what to do.
   void SetNameClashHandler(
       std::function<void(const std::string& where)> handler);
 
--- a/src/libs/protocol/peer_mesh_impl.h
+++ b/src/libs/protocol/peer_mesh_impl.h
@@ -29,9 +29,9 @@
 
 namespace thornplank {
 
-// A link is pinged after the silence timeout divided by kPingDivisor without
-// received data, and counts as stale, so that any new link to the same peer
-// replaces it, after the silence timeout divided by kStaleLinkDivisor.
+// A link on which nothing is received is pinged after the silence timeout
+// divided by kPingDivisor. After the silence timeout divided by
+// kStaleLinkDivisor it is stale: any new link to the same peer replaces it.
 inline constexpr int kPingDivisor = 4;
 inline constexpr int kStaleLinkDivisor = 2;
 
--- a/tests/auto/jobs/tst_coordinator.cc
+++ b/tests/auto/jobs/tst_coordinator.cc
@@ -25,7 +25,7 @@
 // set, they are lost.
 class CoordinatorHarness {
  public:
-  CoordinatorHarness() : fold(JobRetention{}) {
+  CoordinatorHarness() : state(JobRetention{}) {
     inputs.workers = WorkerList(3);
     AccountGuarantee north;
     north.account = "north";
@@ -35,14 +35,14 @@
   void Append(const JobStreamRecord& record) {
     if (log_down) return;
     LogRecord entry;
-    entry.offset = fold.next_offset();
+    entry.offset = state.next_offset();
     entry.time = FromUnixMilliseconds(wall_ms);
     entry.id = std::to_string(entry.offset);
     entry.data = EncodeJobRecord(record);
-    const JobStreamChange change = fold.Apply(entry);
+    const JobStreamChange change = state.Apply(entry);
     if (!coordinator) return;
     if (change.kind == JobStreamChange::Kind::kSubmitted) {
-      coordinator->Submit(*fold.jobs().Find(change.job), now);
+      coordinator->Submit(*state.jobs().Find(change.job), now);
     }
     if (change.kind == JobStreamChange::Kind::kCancelled) {
       coordinator->Cancel(change.job, now);
@@ -63,7 +63,7 @@
   }
 
   void Turn() {
-    coordinator->Advance(fold, now, FromUnixMilliseconds(wall_ms));
+    coordinator->Advance(state, now, FromUnixMilliseconds(wall_ms));
     for (const JobStreamRecord& record : coordinator->TakeRecords()) {
       Append(record);
     }
@@ -75,12 +75,12 @@
   }
 
   JobPhase PhaseOf(const std::string& id) const {
-    return fold.jobs().Find(id)->phase;
+    return state.jobs().Find(id)->phase;
   }
 
   PlanningInputs inputs;
   FakeWorkers fake;
-  JobStreamState fold;
+  JobStreamState state;
   std::unique_ptr<Coordinator> coordinator;
   Time now{std::chrono::hours(1)};
   int64_t wall_ms = 1000000;
@@ -176,7 +176,7 @@
     CHECK(harness.fake.count(Kind::kStop) == 0);
     CHECK(harness.fake.count(Kind::kGrant) == 0);
     CHECK(harness.fake.count(Kind::kRenew) >= 3);
-    CHECK_FALSE(harness.fold.jobs().Find("a")->gang_id.empty());
+    CHECK_FALSE(harness.state.jobs().Find("a")->gang_id.empty());
   }
 }
 
@@ -210,7 +210,7 @@
   entry.request = MakeJob("late", 2);
   paused->Submit(entry, harness.now);
   for (int turn = 0; turn < 10; ++turn) {
-    paused->Advance(harness.fold, harness.now,
+    paused->Advance(harness.state, harness.now,
                     FromUnixMilliseconds(harness.wall_ms));
     for (const WorkerCall& call : paused->TakeCalls(harness.now)) {
       const FakeAnswer answer = harness.fake.Answer(call);
@@ -261,7 +261,7 @@
   }
 
   Milliseconds Progress() const {
-    return harness.fold.jobs().Find("a")->progress;
+    return harness.state.jobs().Find("a")->progress;
   }
 
   CoordinatorHarness harness;
@@ -307,7 +307,7 @@
     job.MoveOff();
     job.harness.Run(milliseconds(40000));
     CHECK(job.harness.PhaseOf("a") == JobPhase::kRunning);
-    CHECK(job.harness.fold.jobs().Find("a")->attempts == 2);
+    CHECK(job.harness.state.jobs().Find("a")->attempts == 2);
     CHECK(job.Task() == one.next_task);
     CHECK(job.Progress() == Milliseconds(one.saved_ms));
   }
@@ -362,7 +362,7 @@
         lease.progress = milliseconds(2000);
       }
     }
-    const int64_t revision = job.harness.fold.jobs().Find("a")->revision + 1;
+    const int64_t revision = job.harness.state.jobs().Find("a")->revision + 1;
     const bool counted = one.logged == JobPhase::kStopping;
     if (one.logged != JobPhase::kRunning) {
       job.harness.Append(PhaseRecord{1, revision, "a", one.logged,
@@ -372,7 +372,7 @@
     job.harness.BeginEpoch(2, "e2");
     job.harness.Run(milliseconds(8000));
     CHECK(job.harness.PhaseOf("a") == JobPhase::kRunning);
-    CHECK(job.harness.fold.jobs().Find("a")->attempts == 2);
+    CHECK(job.harness.state.jobs().Find("a")->attempts == 2);
     CHECK(job.Progress() == Milliseconds(one.saved_ms));
     CHECK(job.Task()["run_ms"] == 10000 - one.saved_ms);
   }
