--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -161,20 +161,21 @@
  private:
   // Who tells whom.
   void Connect() {
-    mesh_.HandleNameClash(
+    mesh_.SetNameClashHandler(
         [this](const std::string& where) { OnNameClash(where); });
     tree_.AddReview(&review_);
     tree_.AddChangeHandler([this](const SettingsTree& tree) { OnTree(tree); });
     tree_.SetSnapshotFetcher([this](SettingsManager::SnapshotsCallback done) {
       FetchSettings(std::move(done));
     });
-    members_.AddSnapshot(kSettingsSnapshot,
-                         [this] { return tree_.Snapshot().value_or(Json()); });
-    members_.AddSnapshot(kJobsSnapshot,
-                         [this] { return jobs_.ProduceSnapshot(); });
-    members_.HandleChange(
+    members_.AddSnapshotProducer(kSettingsSnapshot, [this] {
+      return tree_.Snapshot().value_or(Json());
+    });
+    members_.AddSnapshotProducer(kJobsSnapshot,
+                                 [this] { return jobs_.ProduceSnapshot(); });
+    members_.AddChangeHandler(
         [this](const MembershipChange&) { OnMembersChanged(); });
-    members_.SetOffsets([this] { return Offsets(); });
+    members_.SetOffsetsProducer([this] { return Offsets(); });
   }
 
   // An entry that already serves stays; the one that begins gives way.
@@ -204,7 +205,7 @@
       if (instance.kind != InstanceKind::kEntry) continue;
       entries.push_back(instance.name);
     }
-    members_.SetListed(entries);
+    members_.SetListedNames(entries);
   }
 
   // A peer is asked while the log does not answer or has forgotten records
@@ -243,7 +244,7 @@
 
   void OnMembersChanged() {
     std::vector<std::string> names;
-    for (const MemberView& member : members_.alive()) {
+    for (const MemberView& member : members_.alive_members()) {
       names.push_back(member.name);
     }
     std::vector<ClaimHolder> reachable;
