--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -167,7 +167,7 @@
 
  private:
   void ConnectComponents() {
-    mesh_.HandleNameClash(
+    mesh_.SetNameClashHandler(
         [this](const std::string& where) { OnNameClash(where); });
     settings_manager_.AddReview(&guarantee_review_);
     settings_manager_.AddChangeHandler(
@@ -176,14 +176,14 @@
         [this](SettingsManager::SnapshotsCallback done) {
           FetchSettingsSnapshot(std::move(done));
         });
-    membership_.AddSnapshot(kSettingsSnapshot, [this] {
+    membership_.AddSnapshotProducer(kSettingsSnapshot, [this] {
       return settings_manager_.Snapshot().value_or(Json());
     });
-    membership_.AddSnapshot(kJobsSnapshot,
-                            [this] { return jobs_.ProduceSnapshot(); });
-    membership_.HandleChange(
+    membership_.AddSnapshotProducer(kJobsSnapshot,
+                                    [this] { return jobs_.ProduceSnapshot(); });
+    membership_.AddChangeHandler(
         [this](const MembershipChange&) { OnMembersChanged(); });
-    membership_.SetOffsets([this] { return OffsetsJson(); });
+    membership_.SetOffsetsProducer([this] { return OffsetsJson(); });
   }
 
   // An entry that was ready before keeps running; the one that starts must
@@ -215,7 +215,7 @@
       if (instance.kind != InstanceKind::kEntry) continue;
       entries.push_back(instance.name);
     }
-    membership_.SetListed(entries);
+    membership_.SetListedNames(entries);
   }
 
   // Asks a peer for the jobs while the log does not answer or has dropped
@@ -255,7 +255,7 @@
 
   void OnMembersChanged() {
     std::vector<std::string> names;
-    for (const MemberView& member : membership_.alive()) {
+    for (const MemberView& member : membership_.alive_members()) {
       names.push_back(member.name);
     }
     std::vector<ClaimHolder> reachable;
--- a/tests/auto/peers/tst_membership_manager.cc
+++ b/tests/auto/peers/tst_membership_manager.cc
@@ -1,4 +1,5 @@
-// Managers on real meshes: who is alive, sections, and snapshots from peers.
+// MembershipManagers connected by real meshes: member states, heartbeat
+// sections, and snapshots from peers.
 #include <doctest/doctest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -43,7 +44,7 @@
 
   std::string alive() const {
     std::string names;
-    for (const MemberView& view : members.alive()) names += view.name;
+    for (const MemberView& view : members.alive_members()) names += view.name;
     return names;
   }
 
@@ -66,11 +67,12 @@
     entries.push_back(std::make_unique<Entry>(threads.io(), name, "1"));
   }
   std::mutex mutex;
-  std::vector<std::string> told;
-  entries[0]->members.HandleChange([&](const MembershipChange& change) {
+  std::vector<std::string> reported_changes;
+  entries[0]->members.AddChangeHandler([&](const MembershipChange& change) {
     const std::lock_guard lock(mutex);
     if (change.name != "c") return;
-    told.push_back(change.incarnation + std::string(ToString(change.to)));
+    reported_changes.push_back(change.incarnation +
+                               std::string(ToString(change.to)));
   });
   const JoinAtExit join(threads);
   for (const auto& entry : entries) entry->Start();
@@ -87,7 +89,7 @@
   CHECK(WaitUntil([&] { return entries[0]->alive() == "a"; }));
   CHECK(WaitUntil([&] {
     const std::lock_guard lock(mutex);
-    return !told.empty() && told.back() == "1dead";
+    return !reported_changes.empty() && reported_changes.back() == "1dead";
   }));
   entries[2] = std::make_unique<Entry>(threads.io(), "c", "2");
   entries[2]->Start();
@@ -95,11 +97,11 @@
   CHECK(WaitUntil([&] { return entries[0]->alive() == "ac"; }));
   CHECK(WaitUntil([&] {
     const std::lock_guard lock(mutex);
-    return told.back() == "2alive";
+    return reported_changes.back() == "2alive";
   }));
 }
 
-TEST_CASE("sections of other carriers travel with the heartbeats") {
+TEST_CASE("heartbeats contain the sections of other components") {
   IoThreads threads;
   Entries entries;
   std::mutex mutex;
@@ -107,7 +109,7 @@
   const JoinAtExit join(threads);
   for (const char* name : {"a", "b"}) {
     entries.push_back(std::make_unique<Entry>(threads.io(), name, "1"));
-    entries.back()->members.AddSection(
+    entries.back()->members.AddHeartbeatSection(
         "shares",
         [name] {
           return Json{{"of", name}};
@@ -125,10 +127,11 @@
   }));
 }
 
-TEST_CASE("a newcomer takes the snapshot of the peer that is furthest") {
+TEST_CASE("a joining entry takes the snapshot of the peer with most records") {
   IoThreads threads;
   Entries entries;
-  // What each peer has folded of "jobs", and whether it can give it.
+  // The next offset of each peer in stream "jobs", and whether it has a
+  // snapshot.
   const struct {
     const char* name;
     int64_t offset;
@@ -136,10 +139,10 @@
   } peers[] = {{"b", 50, true}, {"c", 90, false}, {"d", 70, true}};
   for (const auto& peer : peers) {
     entries.push_back(std::make_unique<Entry>(threads.io(), peer.name, "1"));
-    entries.back()->members.SetOffsets([&peer] {
+    entries.back()->members.SetOffsetsProducer([&peer] {
       return Json{{"jobs", peer.offset}};
     });
-    entries.back()->members.AddSnapshot("jobs", [&peer] {
+    entries.back()->members.AddSnapshotProducer("jobs", [&peer] {
       return peer.gives ? Json{{"from", peer.name}} : Json();
     });
   }
@@ -175,7 +178,7 @@
         [&](std::optional<Json> snapshot, const Error& error) {
           outcome.set_value(snapshot ? snapshot->dump() : error.reason);
         });
-    // Comes in any case: each peer's answer has a timeout.
+    // Does not block for ever: each peer's answer has a timeout.
     CHECK(outcome.get_future().get() == entry.outcome);
   }
 }
