--- a/src/app/thornplankctl/command.h
+++ b/src/app/thornplankctl/command.h
@@ -23,7 +23,7 @@
   kExitUsage = 2,
   // No entry answered; a change may or may not have been made.
   kExitNoAnswer = 3,
-  // Another caller changed the same thing first; nothing was changed.
+  // Another user changed the same thing first; nothing was changed.
   kExitConflict = 4,
   // A wait command timed out.
   kExitTimedOut = 5,
--- a/src/app/thornplankctl/main.cc
+++ b/src/app/thornplankctl/main.cc
@@ -71,7 +71,7 @@
          "  1  refused by the system, or the job did not finish\n"
          "  2  invalid command line, nothing was sent\n"
          "  3  no answer; a change may or may not have been made\n"
-         "  4  another caller changed the same thing first\n"
+         "  4  another user changed the same thing first\n"
          "  5  a wait command timed out\n";
 }
 
