--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -55,8 +55,9 @@
 // Delay of the first fetch of the jobs from a peer, and interval of the further
 // ones, while the log does not provide them.
 constexpr Milliseconds kJobsFetchInterval{1000};
-constexpr char kSettingsSnapshot[] = "settings";
-constexpr char kJobsSnapshot[] = "jobs";
+// Names of the streams whose snapshots entries fetch from each other.
+constexpr char kSettingsStream[] = "settings";
+constexpr char kJobsStream[] = "jobs";
 
 // Blocks a thread until a callback has run.
 class Latch {
@@ -176,10 +177,10 @@
         [this](SettingsManager::SnapshotsCallback done) {
           FetchSettingsSnapshot(std::move(done));
         });
-    membership_.AddSnapshotProducer(kSettingsSnapshot, [this] {
+    membership_.AddSnapshotProducer(kSettingsStream, [this] {
       return settings_manager_.Snapshot().value_or(Json());
     });
-    membership_.AddSnapshotProducer(kJobsSnapshot,
+    membership_.AddSnapshotProducer(kJobsStream,
                                     [this] { return jobs_.ProduceSnapshot(); });
     membership_.AddChangeHandler(
         [this](const MembershipChange&) { OnMembersChanged(); });
@@ -199,7 +200,7 @@
 
   void FetchSettingsSnapshot(SettingsManager::SnapshotsCallback done) {
     membership_.FetchSnapshot(
-        kSettingsSnapshot, 0,
+        kSettingsStream, 0,
         [done = std::move(done)](std::optional<Json> snapshot, const Error&) {
           std::vector<Json> found;
           if (snapshot.has_value()) found.push_back(std::move(*snapshot));
@@ -226,12 +227,12 @@
     next_jobs_fetch_ = now + kJobsFetchInterval;
     if (fetching_jobs_.exchange(true)) return;
     membership_.FetchSnapshot(
-        kJobsSnapshot, 0, [this](std::optional<Json> snapshot, const Error&) {
+        kJobsStream, 0, [this](std::optional<Json> snapshot, const Error&) {
           Error error;
           if (snapshot.has_value() &&
               !jobs_.ConsumeSnapshot(*snapshot, &error)) {
             LogEvent(events::kSnapshotFetchFailed, error,
-                     {{"stream", kJobsSnapshot}});
+                     {{"stream", kJobsStream}});
           }
           fetching_jobs_ = false;
         });
--- a/src/app/thornplank_load/main.cc
+++ b/src/app/thornplank_load/main.cc
@@ -23,7 +23,7 @@
 DEFINE_double(rate, 100, "requests per second");
 DEFINE_int32(duration_ms, 5000, "length of the steady load");
 DEFINE_int32(burst, 0, "additional requests sent at once");
-DEFINE_int32(burst_at_ms, 1000, "when the burst is sent, after the start");
+DEFINE_int32(burst_at_ms, 1000, "time from the start until the burst is sent");
 DEFINE_double(non_idempotent_share, 0,
               "share of requests with an Idempotency-Key");
 DEFINE_double(repeat_share, 0,
--- a/src/app/thornplankctl/command.h
+++ b/src/app/thornplankctl/command.h
@@ -19,7 +19,7 @@
   kExitOk = 0,
   // The system refused the request, or what was requested failed.
   kExitRefused = 1,
-  // Wrong command line; nothing was sent.
+  // Invalid command line; nothing was sent.
   kExitUsage = 2,
   // No entry answered; a change may or may not have been made.
   kExitNoAnswer = 3,
