--- a/src/libs/jobs/gang_executor.cc
+++ b/src/libs/jobs/gang_executor.cc
@@ -421,9 +421,9 @@
 }
 
 // Unless it is proved that the lease was not granted, the worker may hold it.
-// The grant is then repeated a few times; after that the member counts as
-// refused and its lease is stopped. This is safe because nothing else is
-// granted at that worker before the stop is answered.
+// The grant is then repeated, up to `grant_attempts` in all; after that the
+// member counts as refused and its lease is stopped. This is safe because
+// nothing else is granted at that worker before the stop is answered.
 void GangExecutor::HandleGrantFailure(const WorkerCall& call,
                                       bool proved_not_granted,
                                       const std::string& reason,
--- a/src/libs/jobs/urgent_jobs.cc
+++ b/src/libs/jobs/urgent_jobs.cc
@@ -107,8 +107,7 @@
                   return;
                 }
                 if (!IsAccepted(*body) || !self->hooks_.plan(job)) {
-                  // If only `plan` failed, the peer holds the job
-                  // nevertheless.
+                  // If only `plan` failed, the peer already holds the job.
                   callback(IsAccepted(*body)
                                ? Unknown({"plan", self->name_,
                                           "no longer the coordinator"})
--- a/tests/auto/jobs/tst_coordinator.cc
+++ b/tests/auto/jobs/tst_coordinator.cc
@@ -104,7 +104,7 @@
   CHECK(harness.fake.StatesOf("a").empty());
 }
 
-TEST_CASE("a gang with a refused member never runs in part") {
+TEST_CASE("a gang with a refused member never runs partially") {
   CoordinatorHarness harness;
   harness.fake.refusing_grants.insert("w2");
   harness.BeginEpoch(1, "e1");
--- a/tests/auto/peers/tst_membership_manager.cc
+++ b/tests/auto/peers/tst_membership_manager.cc
@@ -60,7 +60,7 @@
   for (const auto& entry : entries) entry->mesh.SetPeers(addresses);
 }
 
-TEST_CASE("entries see each other live, leave, die and return") {
+TEST_CASE("entries notice when others join, leave, die and return") {
   IoThreads threads;
   Entries entries;
   for (const char* name : {"a", "b", "c"}) {
@@ -127,7 +127,7 @@
   }));
 }
 
-TEST_CASE("a joining entry takes the snapshot of the peer with most records") {
+TEST_CASE("a joining entry takes the snapshot of the most advanced peer") {
   IoThreads threads;
   Entries entries;
   // The next offset of each peer in stream "jobs", and whether it has a
--- a/tests/auto/protocol/tst_peer_mesh.cc
+++ b/tests/auto/protocol/tst_peer_mesh.cc
@@ -210,7 +210,7 @@
   CHECK(outcomes.all()[0] == "{}");
 }
 
-TEST_CASE("a new incarnation replaces the old one, which is refused then") {
+TEST_CASE("a new incarnation replaces the old one, which is then refused") {
   IoThreads threads;
   std::mutex mutex;
   std::vector<std::string> changes;
