--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -273,7 +273,7 @@
     if (!tree_.ready()) return "settings are not folded yet";
     {
       const std::lock_guard<std::mutex> lock(directory_mutex_);
-      if (!directory_.seen()) return "instance list not read yet";
+      if (!directory_.has_list()) return "instance list not read yet";
     }
     return jobs_.ready() ? "" : jobs_.not_ready_reason();
   }
--- a/src/libs/instances/instance_directory.h
+++ b/src/libs/instances/instance_directory.h
@@ -28,7 +28,7 @@
   // All instances, with drains applied, sorted by name.
   const std::vector<Instance>& instances() const { return instances_; }
   // True once a list has been seen.
-  bool seen() const { return seen_; }
+  bool has_list() const { return seen_; }
 
  private:
   bool Rebuild();
--- a/tests/auto/instances/tst_instance_directory.cc
+++ b/tests/auto/instances/tst_instance_directory.cc
@@ -21,7 +21,7 @@
 
 TEST_CASE("instances are split by kind and sorted") {
   InstanceDirectory directory;
-  CHECK_FALSE(directory.seen());
+  CHECK_FALSE(directory.has_list());
   CHECK(directory.SetList(
       MakeList(1, {MakeInstance("x1", InstanceKind::kExecutor, false),
                    MakeInstance("w1", InstanceKind::kWorker, true)})));
