--- a/src/libs/net/client_connection.cc
+++ b/src/libs/net/client_connection.cc
@@ -73,7 +73,7 @@
           HttpFailure failure;
           failure.error = {"connect", self->peer_, reason};
           failure.progress = SendProgress::kNotSent;
-          failure.nobody_listens =
+          failure.connection_refused =
               code == boost::asio::error::connection_refused;
           return handler(std::move(failure));
         }
--- a/src/libs/net/http_client.h
+++ b/src/libs/net/http_client.h
@@ -35,7 +35,7 @@
   Error error;
   SendProgress progress = SendProgress::kUnknown;
   // The peer's host answered that nothing listens at the address.
-  bool nobody_listens = false;
+  bool connection_refused = false;
 };
 
 struct HttpClientLimits {
--- a/tests/auto/net/tst_http_client.cc
+++ b/tests/auto/net/tst_http_client.cc
@@ -165,7 +165,7 @@
     const SendResult result = fixture.Send(c.peer, c.request, c.options);
     CHECK_FALSE(result.response);
     CHECK(result.failure.progress == SendProgress::kNotSent);
-    CHECK(result.failure.nobody_listens == c.nobody_listens);
+    CHECK(result.failure.connection_refused == c.nobody_listens);
     CHECK_FALSE(result.failure.error.step.empty());
     CHECK(result.failure.error.peer == c.peer);
   }
