--- a/src/libs/net/client_pool.cc
+++ b/src/libs/net/client_pool.cc
@@ -187,7 +187,7 @@
   pending->connection = connection;
   pending->kept_connection = connection->last_answer().has_value();
   active_.insert(pending);
-  if (pending->options.prove_live && !IsProvedLive(connection)) {
+  if (pending->options.verify_connection && !IsProvedLive(connection)) {
     Probe(pending, connection);
   } else {
     SendNow(pending, connection);
--- a/src/libs/net/http_client.h
+++ b/src/libs/net/http_client.h
@@ -54,7 +54,7 @@
   // Before the first byte of the request, the connection must have carried a
   // whole answer less than `proved_live_for` ago; otherwise a GET of
   // `probe_target` goes first, on the same connection.
-  bool prove_live = false;
+  bool verify_connection = false;
   std::string probe_target = "/healthz";
   Duration probe_timeout = std::chrono::milliseconds(500);
   // When not empty, the answer must carry this header with the same value as
--- a/src/libs/requests/attempt_sender.cc
+++ b/src/libs/requests/attempt_sender.cc
@@ -84,7 +84,7 @@
   const Duration time_left = std::max(kMinTimeout, attempt.deadline - start);
   HttpSendOptions options;
   options.timeout = time_left;
-  options.prove_live = !attempt.idempotency_key.empty();
+  options.verify_connection = !attempt.idempotency_key.empty();
   options.match_header = kRequestIdHeader;
   options.may_send = std::move(attempt.may_send);
   HttpRequest request = ToHttpRequest(&attempt, time_left);
--- a/tests/auto/net/tst_http_client.cc
+++ b/tests/auto/net/tst_http_client.cc
@@ -282,7 +282,7 @@
     Fixture fixture(limits);
     CHECK(fixture.Send(peer.address(), Get()).response->body == "one");
     HttpSendOptions options;
-    options.prove_live = true;
+    options.verify_connection = true;
     options.probe_timeout = Milliseconds(100);
     HttpRequest payment = Get("/pay");
     payment.method = "POST";
@@ -305,7 +305,7 @@
     ScriptedPeer peer({script});
     Fixture fixture;
     HttpSendOptions options;
-    options.prove_live = true;
+    options.verify_connection = true;
     options.probe_timeout = Milliseconds(100);
     const SendResult result =
         fixture.Send(peer.address(), Get("/pay"), options);
