--- a/src/libs/net/client_pool.cc
+++ b/src/libs/net/client_pool.cc
@@ -179,7 +179,7 @@
 
 bool ClientPool::IsProvedLive(const ConnectionPointer& connection) const {
   const std::optional<Time> answered = connection->last_answer();
-  return answered && Now() - *answered < limits_.proved_live_for;
+  return answered && Now() - *answered < limits_.verified_for;
 }
 
 void ClientPool::Begin(const PendingPointer& pending,
--- a/src/libs/net/http_client.h
+++ b/src/libs/net/http_client.h
@@ -45,14 +45,14 @@
   Milliseconds idle_timeout{30000};
   // A kept connection counts as proved live for this long after the last
   // whole answer on it.
-  Milliseconds proved_live_for{500};
+  Milliseconds verified_for{500};
 };
 
 struct HttpSendOptions {
   // From now to the whole answer, connecting included.
   Duration timeout = std::chrono::seconds(10);
   // Before the first byte of the request, the connection must have carried a
-  // whole answer less than `proved_live_for` ago; otherwise a GET of
+  // whole answer less than `verified_for` ago; otherwise a GET of
   // `probe_target` goes first, on the same connection.
   bool verify_connection = false;
   std::string probe_target = "/healthz";
--- a/tests/auto/net/tst_http_client.cc
+++ b/tests/auto/net/tst_http_client.cc
@@ -276,7 +276,7 @@
     c.ReadAll();
   };
   HttpClientLimits limits;
-  limits.proved_live_for = Milliseconds(0);
+  limits.verified_for = Milliseconds(0);
   {
     ScriptedPeer peer({silent, lives});
     Fixture fixture(limits);
