--- a/src/libs/coordination/caller_service.cc
+++ b/src/libs/coordination/caller_service.cc
@@ -335,8 +335,8 @@
                "Calls that were not served, by cause.",
                {{"cause", refusal.cause}})
       .Add();
-  HttpResponse response =
-      ProblemResponse(refusal.status, {"answer", call->request.remote, reason});
+  HttpResponse response = ProblemResponse(
+      refusal.status, {"answer", call->request.remote_address, reason});
   if (refusal.status == kUnavailable) {
     const auto wait = dependencies_.served_elsewhere() ? std::chrono::seconds(0)
                                                        : settings_.retry_after;
--- a/src/libs/net/http_message.h
+++ b/src/libs/net/http_message.h
@@ -38,7 +38,7 @@
   HttpHeaders headers;
   std::string body;
   // "ip:port" of the sender; set by the server, ignored by the client.
-  std::string remote;
+  std::string remote_address;
 
   // The target without its query.
   std::string path() const;
--- a/src/libs/net/server_connection.cc
+++ b/src/libs/net/server_connection.cc
@@ -207,7 +207,7 @@
   SetDeadline(Duration::max());
   keep_alive_ = parser_->keep_alive();
   HttpRequest request = parser_->Take();
-  request.remote = remote_;
+  request.remote_address = remote_;
   is_head_ = request.method == "HEAD";
   in_flight_ = true;
   owner_->OnRequestBegun();
