--- a/tests/auto/users_platform/tst_wire_formats.cc
+++ b/tests/auto/users_platform/tst_wire_formats.cc
@@ -1,4 +1,4 @@
-// The users' formats, decoded into the product's types.
+// Tests for the wire formats of the users' platform.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -15,7 +15,7 @@
 namespace thornplank::testing {
 namespace {
 
-TEST_CASE("records are read as they are written") {
+TEST_CASE("records survive encoding and decoding") {
   const std::vector<KeyedRecord> records = {
       {"a", "value", 0},
       {"dropped", std::nullopt, 0},
@@ -32,7 +32,7 @@
   CHECK_FALSE(DecodeRecords(bytes.substr(0, bytes.size() - 1), 0, &read));
 }
 
-TEST_CASE("any bytes are read without harm") {
+TEST_CASE("arbitrary bytes are decoded without a crash") {
   CHECK(rc::check([](const std::string& bytes) {
     std::vector<KeyedRecord> records;
     DecodeRecords(bytes, 0, &records);
@@ -48,12 +48,12 @@
   }));
 }
 
-// Guards against restarts that go unnoticed, and against a field of another
-// type that takes the worker or its report with it.
-TEST_CASE("when an executor's life began is read, or refused with a reason") {
+// Guards against restarts that go unnoticed, and against a `born` field of the
+// wrong type that makes the whole registration or report unreadable.
+TEST_CASE("an incarnation start is decoded or rejected with a reason") {
   struct Row {
     const char* name;
-    // As JSON; "" where the field is missing.
+    // As JSON; "" when the field is missing.
     const char* value;
     int64_t born;
     const char* fault;
@@ -84,12 +84,12 @@
         nullptr);
     REQUIRE(report.has_value());
     REQUIRE(worker.has_value());
-    for (const IncarnationStart& birth :
+    for (const IncarnationStart& start :
          {report->incarnation_start, worker->incarnation_start}) {
-      CHECK(birth.error == row.fault);
-      CHECK(birth.time.has_value() == (row.born > 0));
-      if (!birth.time) continue;
-      CHECK(ToUnixMilliseconds(*birth.time) == row.born);
+      CHECK(start.error == row.fault);
+      CHECK(start.time.has_value() == (row.born > 0));
+      if (!start.time) continue;
+      CHECK(ToUnixMilliseconds(*start.time) == row.born);
     }
   }
 }
@@ -133,7 +133,7 @@
   CHECK(configuration->guarantees().at("t1") == 72);
 }
 
-TEST_CASE("a worker's entry") {
+TEST_CASE("a worker's registration") {
   const WireFormats formats;
   const auto worker = formats.ReadWorker(
       {"i-1",
@@ -151,8 +151,10 @@
   CHECK(worker->capacity.accelerators == 8);
 }
 
-// A good entry with one field replaced, or left out.
-std::string EntryWith(const std::string& field, const std::string& value) {
+// A valid registration with `field` replaced by `value`, or left out when
+// `value` is empty.
+std::string RegistrationWith(const std::string& field,
+                             const std::string& value) {
   const std::vector<std::pair<std::string, std::string>> fields = {
       {"service", "\"s1\""},
       {"addr", "\"10.0.0.1:80\""},
@@ -174,7 +176,7 @@
   return text + "}";
 }
 
-TEST_CASE("entries that name no worker") {
+TEST_CASE("invalid worker registrations are rejected") {
   struct Row {
     const char* field;
     std::string value;
@@ -222,30 +224,31 @@
     CAPTURE(std::string(row.field));
     CAPTURE(row.value);
     Error error;
-    const auto worker =
-        formats.ReadWorker({"i-1", EntryWith(row.field, row.value), 0}, &error);
+    const auto worker = formats.ReadWorker(
+        {"i-1", RegistrationWith(row.field, row.value), 0}, &error);
     CHECK(worker.has_value() == row.readable);
     CHECK(error.reason.empty() == row.readable);
   }
 }
 
-TEST_CASE("keys that are no worker's") {
+TEST_CASE("registrations with invalid keys are rejected") {
   const WireFormats formats;
   for (const std::string& key :
        {std::string(), std::string("a b"), std::string("a\nb"),
         std::string("\xff\xfe"), std::string("a\0b", 3),
         std::string(129, 'i')}) {
     CAPTURE(key.size());
-    CHECK_FALSE(formats.ReadWorker({key, EntryWith("", ""), 0}, nullptr));
+    CHECK_FALSE(
+        formats.ReadWorker({key, RegistrationWith("", ""), 0}, nullptr));
   }
-  CHECK(formats.ReadWorker({"i-1", EntryWith("", ""), 0}, nullptr));
+  CHECK(formats.ReadWorker({"i-1", RegistrationWith("", ""), 0}, nullptr));
 }
 
-TEST_CASE("one bad item of a page takes no other with it") {
+TEST_CASE("an invalid item of a page does not affect the others") {
   struct Row {
     const char* name;
     std::string item;
-    // Of the item itself: nullopt where it is left out.
+    // The item's decoded value; nullopt when the item is skipped.
     std::optional<std::string> value;
   };
   const std::vector<Row> rows = {
@@ -278,7 +281,7 @@
   }
 }
 
-TEST_CASE("a report's runs and ends") {
+TEST_CASE("the runs and run ends of a report") {
   const auto report = DecodeStatus(
       R"({"clock_ms":482113,
           "running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb8",41.5,3]],
@@ -299,7 +302,7 @@
   }
 }
 
-TEST_CASE("an advisor's answer") {
+TEST_CASE("a response of the advice service") {
   const auto advice = DecodeAdvice(
       R"({"good":[["i-1","c81e-7a"],["i-2","t"]],"valid_ms":3000})");
   REQUIRE(advice.has_value());
@@ -333,7 +336,7 @@
   CHECK(terms->validity == Milliseconds(3000));
 }
 
-TEST_CASE("a job as callers write it") {
+TEST_CASE("a job definition") {
   const WireFormats formats;
   const auto job = formats.ReadJob(
       R"({"spec":"text","times":3,"start_at_ms":5000,"interval_ms":200,
@@ -354,7 +357,7 @@
   CHECK(job->steps[1].depends_on == std::vector<int>{0});
 }
 
-TEST_CASE("which failure domain an operator's record closes") {
+TEST_CASE("the failure domain closed by an operator's record") {
   struct Row {
     const char* key;
     std::string domain;
