--- a/src/libs/base/boot_clock.cc
+++ b/src/libs/base/boot_clock.cc
@@ -1,4 +1,4 @@
-// Reads the kernel's boot clock.
+// Reads CLOCK_BOOTTIME.
 #include "base/boot_clock.h"
 
 #include <ctime>
--- a/src/libs/base/boot_clock.h
+++ b/src/libs/base/boot_clock.h
@@ -1,8 +1,8 @@
-// A clock that also counts while the instance is suspended.
+// A monotonic clock that also advances while the instance is suspended.
 //
-// The steady clock stands still in a suspended instance, so an age measured
-// with it may be short by the whole suspension. What must not be trusted for
-// longer than some bound is measured with this clock.
+// The steady clock stops during a suspension, so an age measured with it can be
+// too small by the length of the suspension. Use this clock for anything that
+// must not be trusted beyond a maximum age.
 #ifndef THORNPLANK_BASE_BOOT_CLOCK_H_
 #define THORNPLANK_BASE_BOOT_CLOCK_H_
 
--- a/src/libs/base/error.cc
+++ b/src/libs/base/error.cc
@@ -1,4 +1,4 @@
-// Formatting and filling of Error values.
+// Formats and fills Error values.
 #include "base/error.h"
 
 #include <utility>
--- a/src/libs/base/error.h
+++ b/src/libs/base/error.h
@@ -1,8 +1,8 @@
-// The error value of the project: what failed, at which step, at which peer.
+// The error type of the project: which step failed, at which peer, and why.
 //
-// Functions that can fail return std::optional and take a trailing
-// `Error* error`; on failure they return std::nullopt and fill it in. Objects
-// that fail outside of a call keep the last Error and show it by
+// Functions that can fail return std::optional and take a trailing `Error*
+// error`; on failure they return std::nullopt and fill in `*error`. Objects
+// that fail outside of a call keep the most recent Error, available as
 // `last_error()`.
 #ifndef THORNPLANK_BASE_ERROR_H_
 #define THORNPLANK_BASE_ERROR_H_
@@ -12,15 +12,15 @@
 namespace thornplank {
 
 struct Error {
-  // The step that failed, in a few fixed words: "connect", "append".
+  // The step that failed, as a short fixed phrase: "connect", "append".
   std::string step;
-  // The peer at which it arose: an "ip:port", an instance name, or a file.
-  // Empty only when no peer took part.
+  // The peer at which the error occurred: an "ip:port", an instance name, or a
+  // file. Empty only when no peer was involved.
   std::string peer;
-  // What went wrong, readable by an operator.
+  // A description of the failure for operators.
   std::string reason;
 
-  // "step at peer: reason" in one line.
+  // Formats the error as "step at peer: reason" on one line.
   std::string ToString() const;
 };
 
--- a/src/libs/base/json.cc
+++ b/src/libs/base/json.cc
@@ -22,7 +22,7 @@
 }  // namespace
 
 std::optional<Json> ParseJson(std::string_view text) {
-  // Most texts open too few values to need the second pass.
+  // Counting brackets is cheap and spares most texts the depth check.
   if (MayBeTooDeep(text)) {
     JsonDepthCheck check;
     if (!Json::sax_parse(text, &check, Json::input_format_t::json,
@@ -37,8 +37,8 @@
 }
 
 std::optional<Json> ParseCbor(std::string_view bytes) {
-  // Of lengths that no container can have the library tells by an exception,
-  // also where it is told to throw none.
+  // The library throws on lengths that exceed the size of any container even
+  // when exceptions are disabled.
   try {
     Json value = Json::from_cbor(bytes.begin(), bytes.end(), /*strict=*/true,
                                  /*allow_exceptions=*/false);
--- a/src/libs/base/json_depth_check.h
+++ b/src/libs/base/json_depth_check.h
@@ -1,4 +1,5 @@
-// A first pass over untrusted JSON or CBOR that refuses deep nesting.
+// Rejects deeply nested JSON or CBOR from untrusted sources before it is
+// parsed.
 #ifndef THORNPLANK_BASE_JSON_DEPTH_CHECK_H_
 #define THORNPLANK_BASE_JSON_DEPTH_CHECK_H_
 
@@ -8,8 +9,9 @@
 
 namespace thornplank {
 
-// Walks a JSON text or a CBOR frame without building values, and stops below
-// kMaxJsonDepth: the readers of nlohmann-json recurse once a level.
+// Reads a JSON text or a CBOR frame without building values and stops at
+// nesting deeper than kMaxJsonDepth, because the parsers of nlohmann-json
+// recurse once per level.
 class JsonDepthCheck : public nlohmann::json_sax<Json> {
  public:
   bool null() override { return true; }
@@ -21,16 +23,16 @@
   bool binary(binary_t&) override { return true; }
   bool key(string_t&) override { return true; }
   bool start_object(std::size_t) override { return ++depth_ <= kMaxJsonDepth; }
-  bool end_object() override { return Leave(); }
+  bool end_object() override { return LeaveLevel(); }
   bool start_array(std::size_t) override { return ++depth_ <= kMaxJsonDepth; }
-  bool end_array() override { return Leave(); }
+  bool end_array() override { return LeaveLevel(); }
   bool parse_error(std::size_t, const std::string&,
                    const nlohmann::detail::exception&) override {
     return false;
   }
 
  private:
-  bool Leave() {
+  bool LeaveLevel() {
     --depth_;
     return true;
   }
--- a/src/libs/base/numeric_address.cc
+++ b/src/libs/base/numeric_address.cc
@@ -1,4 +1,4 @@
-// The check by the C library's own parser.
+// Validates addresses with inet_pton.
 #include "base/numeric_address.h"
 
 #include <arpa/inet.h>
--- a/src/libs/base/time.cc
+++ b/src/libs/base/time.cc
@@ -1,4 +1,4 @@
-// Conversions between wall-clock time and its form in messages.
+// Converts between wall-clock time and Unix milliseconds.
 #include "base/time.h"
 
 namespace thornplank {
--- a/src/libs/base/time.h
+++ b/src/libs/base/time.h
@@ -1,6 +1,7 @@
-// The time types used in every signature that holds a time.
+// Time types used throughout the project.
 //
-// Decision code takes a Time as an argument and never reads a clock itself.
+// Decision code receives the current Time as an argument and never reads a
+// clock itself.
 #ifndef THORNPLANK_BASE_TIME_H_
 #define THORNPLANK_BASE_TIME_H_
 
@@ -13,12 +14,13 @@
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 
-// Wall-clock time, for what is shared between processes or shown to people.
+// Wall-clock time, for times that are shared between processes or shown to
+// users.
 using WallTime = std::chrono::system_clock::time_point;
 
 using Milliseconds = std::chrono::milliseconds;
 
-// Milliseconds since the Unix epoch, the form in which a WallTime travels.
+// Milliseconds since the Unix epoch, the serialized form of a WallTime.
 int64_t ToUnixMilliseconds(WallTime time);
 WallTime FromUnixMilliseconds(int64_t milliseconds);
 
--- a/tests/auto/base/tst_json.cc
+++ b/tests/auto/base/tst_json.cc
@@ -1,4 +1,4 @@
-// Reading of JSON text: what is too deep, whatever hides it.
+// Tests for JSON and CBOR parsing, in particular the depth limit.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -12,9 +12,9 @@
   return std::string(levels, '[') + std::string(levels, ']');
 }
 
-// Guards against a record with an absurd length, which ended the process: the
-// library throws there, also when it is told not to.
-TEST_CASE("bytes that are no CBOR are refused, whatever they announce") {
+// Guards against a crash on a CBOR record that announces an absurd length: the
+// library throws there even when exceptions are disabled.
+TEST_CASE("malformed CBOR is rejected, whatever length it announces") {
   struct Case {
     const char* name;
     std::string bytes;
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("a text is read up to the greatest depth and no further") {
+TEST_CASE("JSON is accepted up to the maximum depth") {
   struct Case {
     std::string name;
     std::string text;
@@ -69,7 +69,7 @@
   }
 }
 
-TEST_CASE("depth of a value") {
+TEST_CASE("IsDeeperThan compares the nesting depth") {
   const Json value = {{"a", Json::array({1, Json::array()})}};
   CHECK_FALSE(IsDeeperThan(value, 3));
   CHECK(IsDeeperThan(value, 2));
