--- a/src/libs/net/client_connection.cc
+++ b/src/libs/net/client_connection.cc
@@ -1,4 +1,5 @@
-// Exchanges on one connection, with exact progress of failures.
+// Sends requests and receives responses on one connection, and determines for
+// each failure whether the request may have been sent.
 #include "net/client_connection.h"
 
 #include <sys/socket.h>
@@ -20,18 +21,18 @@
 constexpr size_t kReadBytes = 16 * 1024;
 constexpr size_t kMaxHeaderBytes = 64 * 1024;
 
-// What stands at the socket, without taking it.
-enum class Readable { kNothing, kBytes, kEnd };
+// What can be read from the socket, determined without consuming it.
+enum class PeekResult { kNothing, kBytes, kEndOfStream };
 
-Readable Peek(boost::asio::ip::tcp::socket& socket) {
+PeekResult Peek(boost::asio::ip::tcp::socket& socket) {
   char byte = 0;
   const ssize_t count =
       ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (count > 0) return Readable::kBytes;
-  if (count == 0) return Readable::kEnd;
+  if (count > 0) return PeekResult::kBytes;
+  if (count == 0) return PeekResult::kEndOfStream;
   const bool nothing =
       errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
-  return nothing ? Readable::kNothing : Readable::kEnd;
+  return nothing ? PeekResult::kNothing : PeekResult::kEndOfStream;
 }
 
 std::string_view View(const boost::asio::streambuf& buffer) {
@@ -44,11 +45,11 @@
 ClientConnection::ClientConnection(const Strand& strand, std::string peer,
                                    size_t max_response_bytes,
                                    std::shared_ptr<TrafficCounters> traffic,
-                                   std::function<void()> on_lost)
+                                   std::function<void()> on_idle_close)
     : peer_(std::move(peer)),
       max_response_bytes_(max_response_bytes),
       traffic_(std::move(traffic)),
-      on_lost_(std::move(on_lost)),
+      on_idle_close_(std::move(on_idle_close)),
       socket_(strand),
       connect_timer_(strand) {}
 
@@ -80,17 +81,18 @@
         error_code ignored;
         self->socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
         self->state_ = State::kIdle;
-        self->Watch();
+        self->WatchWhileIdle();
         handler(std::nullopt);
       });
 }
 
 bool ClientConnection::IsUsable() {
-  return state_ == State::kIdle && Peek(socket_) == Readable::kNothing;
+  return state_ == State::kIdle && Peek(socket_) == PeekResult::kNothing;
 }
 
-// Notices closes and stray bytes while idle.
-void ClientConnection::Watch() {
+// Waits, while idle, for the peer to close the connection or to send
+// unsolicited bytes.
+void ClientConnection::WatchWhileIdle() {
   if (watching_) return;
   watching_ = true;
   socket_.async_wait(boost::asio::ip::tcp::socket::wait_read,
@@ -102,9 +104,9 @@
 
 void ClientConnection::OnWatchEvent() {
   if (state_ != State::kIdle) return;
-  const Readable readable = Peek(socket_);
-  if (readable == Readable::kNothing) return Watch();
-  if (readable == Readable::kBytes) {
+  const PeekResult input = Peek(socket_);
+  if (input == PeekResult::kNothing) return WatchWhileIdle();
+  if (input == PeekResult::kBytes) {
     LogEvent(events::kStrayBytes, {{"peer", peer_}});
   }
   Close("closed by the peer");
@@ -122,7 +124,7 @@
       match_header.empty() ? "" : request.headers.Value(match_header);
   header_out_ = SerializeHeader(request, peer_);
   body_out_ = request.body;
-  written_ = false;
+  request_written_ = false;
   const std::array<boost::asio::const_buffer, 2> buffers = {
       boost::asio::buffer(header_out_), boost::asio::buffer(body_out_)};
   boost::asio::async_write(
@@ -137,12 +139,13 @@
   traffic_->sent += bytes;
   if (state_ != State::kExchanging) return;
   if (!code) {
-    written_ = true;
+    request_written_ = true;
     return;
   }
-  // Not one byte was handed to the socket.
+  // No byte was passed to the socket.
   if (bytes == 0) return Fail(SendProgress::kNotSent, "send", code.message());
-  // An early answer may stand before the close; the read finds out.
+  // The peer may have sent an early response before it closed; the pending read
+  // determines the outcome.
 }
 
 void ClientConnection::Read() {
@@ -169,7 +172,7 @@
     case ParseState::kHeader:
       return Read();
     case ParseState::kDone:
-      return OnAnswer();
+      return OnResponse();
     case ParseState::kMalformed:
       return Fail(SendProgress::kUnknown, "read answer", "malformed answer");
     case ParseState::kHeaderTooLarge:
@@ -179,7 +182,7 @@
   }
 }
 
-void ClientConnection::OnAnswer() {
+void ClientConnection::OnResponse() {
   const bool keep_alive = parser_->keep_alive();
   HttpResponse response = parser_->Take();
   if (!match_header_.empty() &&
@@ -188,12 +191,12 @@
              {{"peer", peer_}, {"header", match_header_}});
     return Fail(SendProgress::kUnknown, "read answer", "crossed answer");
   }
-  last_answer_ = std::chrono::steady_clock::now();
-  // An early answer leaves the rest of the request unsent, and bytes after an
-  // answer belong to nobody.
-  if (keep_alive && written_ && buffer_.size() == 0) {
+  last_response_at_ = std::chrono::steady_clock::now();
+  // After an early response the rest of the request is unsent, and bytes that
+  // follow a response belong to no request: the connection cannot be reused.
+  if (keep_alive && request_written_ && buffer_.size() == 0) {
     state_ = State::kIdle;
-    Watch();
+    WatchWhileIdle();
   } else {
     CloseSocket();
   }
@@ -219,7 +222,7 @@
     return Fail(SendProgress::kUnknown, "exchange", reason);
   }
   CloseSocket();
-  if (state == State::kIdle) on_lost_();
+  if (state == State::kIdle) on_idle_close_();
 }
 
 void ClientConnection::CloseSocket() {
--- a/src/libs/net/client_connection.h
+++ b/src/libs/net/client_connection.h
@@ -1,5 +1,5 @@
-// One connection of the HTTP client: one exchange of request and response at a
-// time, and a watch on the connection in between.
+// One connection of the HTTP client. It carries one exchange (a request and its
+// response) at a time and is monitored while idle.
 #ifndef THORNPLANK_NET_CLIENT_CONNECTION_H_
 #define THORNPLANK_NET_CLIENT_CONNECTION_H_
 
@@ -22,49 +22,50 @@
 
 namespace thornplank {
 
-// Every member is called, and calls back, on the strand.
+// All functions must be called on the strand, and handlers run on it.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   using Strand = boost::asio::strand<boost::asio::io_context::executor_type>;
-  // Exactly one of response and failure is set.
+  // Exactly one of the response and the failure is set.
   using ExchangeHandler =
       std::function<void(std::optional<HttpResponse>, const HttpFailure&)>;
 
-  // `on_lost` runs when the connection closes while idle.
+  // `on_idle_close` runs when the connection closes while idle.
   ClientConnection(const Strand& strand, std::string peer,
                    size_t max_response_bytes,
                    std::shared_ptr<TrafficCounters> traffic,
-                   std::function<void()> on_lost);
+                   std::function<void()> on_idle_close);
 
-  // `handler` gets nullopt once connected. Nothing else before that.
+  // `handler` receives nullopt once connected. No other function may be called
+  // before it runs.
   void Connect(const boost::asio::ip::tcp::endpoint& endpoint, Duration timeout,
                std::function<void(std::optional<HttpFailure>)> handler);
 
-  // Asks the socket itself: open, and neither closed by the peer nor holding
-  // bytes that nobody asked for.
+  // Checks the socket itself: the connection is idle, the peer has not closed
+  // it, and there are no unsolicited bytes to read.
   bool IsUsable();
 
-  // Sends `request` and hands over the answer. Needs IsUsable(). Afterwards
-  // the connection is either idle again or closed, before `handler` runs.
+  // Sends `request` and passes the response to `handler`. Requires IsUsable().
+  // When `handler` runs, the connection is either idle again or closed.
   void Exchange(const HttpRequest& request, const std::string& match_header,
                 ExchangeHandler handler);
 
-  // Closes; a running exchange fails with `reason`.
+  // Closes the connection. An exchange in progress fails with `reason`.
   void Close(const std::string& reason);
 
   bool is_open() const { return state_ != State::kClosed; }
-  // When the last whole answer arrived; nullopt before the first.
-  std::optional<Time> last_answer() const { return last_answer_; }
+  // Time of the last complete response; nullopt before the first.
+  std::optional<Time> last_response_at() const { return last_response_at_; }
 
  private:
   enum class State { kConnecting, kIdle, kExchanging, kClosed };
 
-  void Watch();
+  void WatchWhileIdle();
   void OnWatchEvent();
   void Read();
   void OnRead(const boost::system::error_code& code, size_t bytes);
   void OnWritten(const boost::system::error_code& code, size_t bytes);
-  void OnAnswer();
+  void OnResponse();
   void Fail(SendProgress progress, const std::string& step,
             const std::string& reason);
   void CloseSocket();
@@ -72,23 +73,23 @@
   const std::string peer_;
   const size_t max_response_bytes_;
   const std::shared_ptr<TrafficCounters> traffic_;
-  const std::function<void()> on_lost_;
+  const std::function<void()> on_idle_close_;
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer connect_timer_;
   State state_ = State::kConnecting;
-  std::optional<Time> last_answer_;
-  // A wait for readability is pending. It takes no bytes, so it may stay
-  // pending into an exchange; the next answer completes it.
+  std::optional<Time> last_response_at_;
+  // A wait for readability is pending. It consumes no bytes, so it may remain
+  // pending during an exchange; the next response completes it.
   bool watching_ = false;
 
-  // Of the running exchange.
+  // State of the exchange in progress.
   ExchangeHandler handler_;
   std::optional<ResponseParser> parser_;
   std::string match_header_;
   std::string match_value_;
   std::string header_out_;
   std::string body_out_;
-  bool written_ = false;
+  bool request_written_ = false;
   boost::asio::streambuf buffer_;
 };
 
--- a/src/libs/net/client_pool.cc
+++ b/src/libs/net/client_pool.cc
@@ -1,5 +1,5 @@
-// Assigns requests to connections, proves connections live, and turns
-// timeouts into failures with exact progress.
+// Assigns requests to connections, verifies that connections are live, and
+// reports for each timeout whether the request may have been sent.
 #include "net/client_pool.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-// One request from Send to its callback.
+// A request from Send to its callback.
 struct ClientPool::Pending {
   enum class Stage { kQueued, kProbing, kSending, kDone };
 
@@ -35,14 +35,14 @@
   HttpClient::Callback callback;
   const Time deadline;
   Stage stage = Stage::kQueued;
-  // Set in kProbing and kSending; the end of an exchange on any other
-  // connection does not concern the request.
-  // Not owned, as the connection holds the request until the exchange ends.
+  // The connection in use in stages kProbing and kSending. The end of an
+  // exchange on any other connection is ignored. Weak, because the connection
+  // holds the request until the exchange ends.
   std::weak_ptr<ClientConnection> connection;
-  // Whether that connection had answered before, so that a failure may be
-  // one of a connection kept too long.
-  bool kept_connection = false;
-  Time stage_begun;
+  // Whether that connection had carried a response before. A failure may then
+  // be due to a stale connection.
+  bool reused_connection = false;
+  Time stage_start;
   boost::asio::steady_timer timer;
 };
 
@@ -99,24 +99,25 @@
   }
   queue_.push_back(pending);
   ArmTimer(pending, pending->deadline);
-  Pump();
+  ProcessQueue();
 }
 
-void ClientPool::Pump() {
+void ClientPool::ProcessQueue() {
   while (!queue_.empty()) {
     const ConnectionPointer connection = TakeIdle();
     if (connection == nullptr) break;
     const PendingPointer pending = queue_.front();
     queue_.pop_front();
-    Begin(pending, connection);
+    Assign(pending, connection);
   }
-  while (connecting_ < queue_.size() &&
+  while (connecting_count_ < queue_.size() &&
          connections_.size() < limits_.max_connections_per_peer) {
-    Open();
+    OpenConnection();
   }
 }
 
-// The most recently used one is the likeliest to be live.
+// Prefers the most recently used connection, which is the most likely to be
+// live.
 ClientPool::ConnectionPointer ClientPool::TakeIdle() {
   while (!idle_.empty()) {
     const ConnectionPointer connection = idle_.back();
@@ -128,7 +129,7 @@
   return nullptr;
 }
 
-void ClientPool::Open() {
+void ClientPool::OpenConnection() {
   Error error;
   const auto endpoint = ParseEndpoint(peer_, &error);
   if (!endpoint) {
@@ -137,7 +138,8 @@
     return Fail(pending, {error, SendProgress::kNotSent});
   }
   const std::weak_ptr<ClientPool> weak = weak_from_this();
-  // The connection is known only after it is made; `slot` breaks the circle.
+  // The handler needs the connection, which does not exist until the handler
+  // has been passed to it; `slot` is filled in afterwards.
   auto slot = std::make_shared<std::weak_ptr<ClientConnection>>();
   auto connection = std::make_shared<ClientConnection>(
       strand_, peer_, limits_.max_response_bytes, traffic_, [weak, slot] {
@@ -148,7 +150,7 @@
   *slot = connection;
   connections_.insert(connection);
   connection_count_ = connections_.size();
-  ++connecting_;
+  ++connecting_count_;
   connection->Connect(*endpoint, limits_.connect_timeout,
                       [self = shared_from_this(),
                        connection](const std::optional<HttpFailure>& failure) {
@@ -158,14 +160,14 @@
 
 void ClientPool::OnConnected(const ConnectionPointer& connection,
                              const std::optional<HttpFailure>& failure) {
-  --connecting_;
+  --connecting_count_;
   if (closed_) return connection->Close("client closed");
   if (!failure && connection->IsUsable()) {
     Release(connection);
-    return Pump();
+    return ProcessQueue();
   }
-  // A peer that is full answers or closes before it is asked anything. To
-  // connect again at once would only add to its load.
+  // A peer at its connection limit responds or closes before it receives a
+  // request. Reconnecting immediately would only add to its load.
   Remove(connection);
   connection->Close("not usable");
   if (queue_.empty()) return;
@@ -174,20 +176,20 @@
   const HttpFailure refused = {{"connect", peer_, "refused by the peer"},
                                SendProgress::kNotSent};
   Fail(pending, failure.value_or(refused));
-  Pump();
+  ProcessQueue();
 }
 
-bool ClientPool::IsProvedLive(const ConnectionPointer& connection) const {
-  const std::optional<Time> answered = connection->last_answer();
+bool ClientPool::IsVerified(const ConnectionPointer& connection) const {
+  const std::optional<Time> answered = connection->last_response_at();
   return answered && Now() - *answered < limits_.verified_for;
 }
 
-void ClientPool::Begin(const PendingPointer& pending,
-                       const ConnectionPointer& connection) {
+void ClientPool::Assign(const PendingPointer& pending,
+                        const ConnectionPointer& connection) {
   pending->connection = connection;
-  pending->kept_connection = connection->last_answer().has_value();
+  pending->reused_connection = connection->last_response_at().has_value();
   active_.insert(pending);
-  if (pending->options.verify_connection && !IsProvedLive(connection)) {
+  if (pending->options.verify_connection && !IsVerified(connection)) {
     Probe(pending, connection);
   } else {
     SendNow(pending, connection);
@@ -197,11 +199,12 @@
 void ClientPool::Probe(const PendingPointer& pending,
                        const ConnectionPointer& connection) {
   pending->stage = Pending::Stage::kProbing;
-  pending->stage_begun = Now();
+  pending->stage_start = Now();
   ArmTimer(pending,
            std::min(pending->deadline, Now() + pending->options.probe_timeout));
-  // Weak, as everywhere in an exchange: what the connection holds must not
-  // hold it, or both outlive an io_context that is stopped.
+  // Handlers of an exchange hold only weak references to the pool and the
+  // connection. Otherwise the connection would own itself through its handler,
+  // and both would outlive a stopped io_context.
   const std::weak_ptr<ClientConnection> weak_connection = connection;
   HttpRequest probe;
   probe.target = pending->options.probe_target;
@@ -217,7 +220,7 @@
                            self->OnProbed(pending, connection,
                                           response.has_value(), failure);
                          }
-                         self->Pump();
+                         self->ProcessQueue();
                        });
 }
 
@@ -228,18 +231,18 @@
     ArmTimer(pending, pending->deadline);
     return SendNow(pending, connection);
   }
-  if (pending->kept_connection) return TryAnother(pending);
+  if (pending->reused_connection) return Requeue(pending);
   Fail(pending, SendProgress::kNotSent, "prove live",
        answered ? "the peer keeps no connection open" : failure.error.reason);
 }
 
 void ClientPool::SendNow(const PendingPointer& pending,
                          const ConnectionPointer& connection) {
-  // Bytes may have followed the answer to the probe.
+  // Unsolicited bytes may have followed the probe's response.
   if (!connection->IsUsable()) {
     Remove(connection);
     connection->Close("not usable");
-    if (pending->kept_connection) return TryAnother(pending);
+    if (pending->reused_connection) return Requeue(pending);
     return Fail(pending, SendProgress::kNotSent, "send", "closed by the peer");
   }
   if (Now() >= pending->deadline ||
@@ -249,7 +252,7 @@
                 "abandoned before the first byte");
   }
   pending->stage = Pending::Stage::kSending;
-  pending->stage_begun = Now();
+  pending->stage_start = Now();
   const std::weak_ptr<ClientConnection> weak_connection = connection;
   connection->Exchange(
       pending->request, pending->options.match_header,
@@ -266,7 +269,7 @@
         if (pending->connection.lock() == connection) {
           self->OnExchanged(pending, std::move(response), failure);
         }
-        self->Pump();
+        self->ProcessQueue();
       });
 }
 
@@ -275,26 +278,27 @@
                              const HttpFailure& failure) {
   if (response) return Succeed(pending, std::move(*response));
   const bool stale_connection =
-      failure.progress == SendProgress::kNotSent && pending->kept_connection;
-  if (stale_connection) return TryAnother(pending);
+      failure.progress == SendProgress::kNotSent && pending->reused_connection;
+  if (stale_connection) return Requeue(pending);
   Fail(pending, failure);
 }
 
-// Back to the front of the queue: nothing of the request was sent.
-void ClientPool::TryAnother(const PendingPointer& pending) {
+// Puts a request of which nothing was sent back at the front of the queue.
+void ClientPool::Requeue(const PendingPointer& pending) {
   active_.erase(pending);
   pending->connection.reset();
   pending->stage = Pending::Stage::kQueued;
   ArmTimer(pending, pending->deadline);
   queue_.push_front(pending);
-  boost::asio::post(strand_, [self = shared_from_this()] { self->Pump(); });
+  boost::asio::post(strand_,
+                    [self = shared_from_this()] { self->ProcessQueue(); });
 }
 
 void ClientPool::ArmTimer(const PendingPointer& pending, Time when) {
   pending->timer.expires_at(when);
   pending->timer.async_wait(
       [self = shared_from_this(), pending](const error_code& code) {
-        // A newer wait may have been armed while this one was on its way.
+        // The timer may have been rearmed after this handler was queued.
         if (code || Now() < pending->timer.expiry()) return;
         self->OnTimer(pending);
       });
@@ -308,19 +312,22 @@
     return Fail(pending, SendProgress::kNotSent, "wait for a connection",
                 "timed out");
   }
-  // With an answer to another request since, the peer is slow, not silent.
-  if (last_answer_ < pending->stage_begun) NoteSilent(true);
-  // Without its connection the request ignores how the exchange ends. A late
-  // answer must find that connection closed, and what has not answered since
-  // may be as silent; it goes first, since the closing lets others be taken.
+  // If the peer has answered another request since, it is slow rather than
+  // unresponsive.
+  if (last_response_at_ < pending->stage_start) SetUnresponsive(true);
+  // Resetting `connection` makes the request ignore the end of the exchange.
+  // The connection is closed so that a late response cannot be taken for
+  // another request's. Idle connections without a response since may be just as
+  // unresponsive; they are closed first because closing this one lets queued
+  // requests take idle connections.
   const ConnectionPointer connection = pending->connection.lock();
   pending->connection.reset();
-  DropUnprovedSince(pending->stage_begun);
+  CloseIdleWithoutResponseSince(pending->stage_start);
   if (connection != nullptr) connection->Close("timed out");
   if (pending->stage == Pending::Stage::kSending) {
     Fail(pending, SendProgress::kUnknown, "wait for the answer", "timed out");
-  } else if (pending->kept_connection && Now() < pending->deadline) {
-    TryAnother(pending);
+  } else if (pending->reused_connection && Now() < pending->deadline) {
+    Requeue(pending);
   } else {
     Fail(pending, SendProgress::kNotSent, "prove live", "timed out");
   }
@@ -329,9 +336,9 @@
 void ClientPool::Release(const ConnectionPointer& connection) {
   if (closed_ || !connection->is_open()) return;
   idle_.push_back(connection);
-  if (sweeping_) return;
-  sweeping_ = true;
-  Sweep();
+  if (sweep_scheduled_) return;
+  sweep_scheduled_ = true;
+  ScheduleSweep();
 }
 
 void ClientPool::Remove(const ConnectionPointer& connection) {
@@ -340,32 +347,33 @@
   idle_.erase(std::remove(idle_.begin(), idle_.end(), connection), idle_.end());
 }
 
-void ClientPool::DropUnprovedSince(Time time) {
+void ClientPool::CloseIdleWithoutResponseSince(Time time) {
   const std::vector<ConnectionPointer> idle = idle_;
   for (const ConnectionPointer& connection : idle) {
-    if (connection->last_answer().value_or(Time::min()) >= time) continue;
+    if (connection->last_response_at().value_or(Time::min()) >= time) continue;
     Remove(connection);
     connection->Close("may be silent");
   }
 }
 
-// Closes connections that were idle for too long, as long as there are any.
-void ClientPool::Sweep() {
+// Closes connections that have been idle for too long. Runs while there are
+// connections.
+void ClientPool::ScheduleSweep() {
   sweep_timer_.expires_after(limits_.idle_timeout / 2);
   sweep_timer_.async_wait([self = shared_from_this()](const error_code& code) {
     if (code) return;
-    self->DropUnprovedSince(Now() - self->limits_.idle_timeout);
+    self->CloseIdleWithoutResponseSince(Now() - self->limits_.idle_timeout);
     if (self->connections_.empty()) {
-      self->sweeping_ = false;
+      self->sweep_scheduled_ = false;
       return;
     }
-    self->Sweep();
+    self->ScheduleSweep();
   });
 }
 
 void ClientPool::Succeed(const PendingPointer& pending, HttpResponse response) {
-  NoteSilent(false);
-  last_answer_ = Now();
+  SetUnresponsive(false);
+  last_response_at_ = Now();
   pending->stage = Pending::Stage::kDone;
   pending->timer.cancel();
   pending->connection.reset();
@@ -393,10 +401,10 @@
   callback(std::nullopt, failure);
 }
 
-void ClientPool::NoteSilent(bool silent) {
-  if (silent_ == silent) return;
-  silent_ = silent;
-  LogEvent(silent ? events::kPeerSilent : events::kPeerAnswering,
+void ClientPool::SetUnresponsive(bool unresponsive) {
+  if (unresponsive_ == unresponsive) return;
+  unresponsive_ = unresponsive;
+  LogEvent(unresponsive ? events::kPeerSilent : events::kPeerAnswering,
            {{"peer", peer_}});
 }
 
--- a/src/libs/net/client_pool.h
+++ b/src/libs/net/client_pool.h
@@ -1,4 +1,4 @@
-// The HTTP client's connections to one peer, and the requests that wait.
+// The HTTP client's connections to one peer and the requests queued for them.
 #ifndef THORNPLANK_NET_CLIENT_POOL_H_
 #define THORNPLANK_NET_CLIENT_POOL_H_
 
@@ -24,7 +24,7 @@
              const HttpClientLimits& limits,
              std::shared_ptr<TrafficCounters> traffic);
 
-  // As HttpClient::Send and Close; on any thread.
+  // Like HttpClient::Send and Close; thread-safe.
   void Send(HttpRequest request, HttpSendOptions options,
             HttpClient::Callback callback);
   void Close();
@@ -37,16 +37,17 @@
   using ConnectionPointer = std::shared_ptr<ClientConnection>;
 
   void Enqueue(const PendingPointer& pending);
-  // Gives waiting requests to idle connections and opens further ones.
-  void Pump();
+  // Assigns queued requests to idle connections and opens new connections for
+  // the rest.
+  void ProcessQueue();
   ConnectionPointer TakeIdle();
-  void Open();
+  void OpenConnection();
   void OnConnected(const ConnectionPointer& connection,
                    const std::optional<HttpFailure>& failure);
 
-  bool IsProvedLive(const ConnectionPointer& connection) const;
-  void Begin(const PendingPointer& pending,
-             const ConnectionPointer& connection);
+  bool IsVerified(const ConnectionPointer& connection) const;
+  void Assign(const PendingPointer& pending,
+              const ConnectionPointer& connection);
   void Probe(const PendingPointer& pending,
              const ConnectionPointer& connection);
   void OnProbed(const PendingPointer& pending,
@@ -57,20 +58,20 @@
   void OnExchanged(const PendingPointer& pending,
                    std::optional<HttpResponse> response,
                    const HttpFailure& failure);
-  void TryAnother(const PendingPointer& pending);
+  void Requeue(const PendingPointer& pending);
 
   void ArmTimer(const PendingPointer& pending, Time when);
   void OnTimer(const PendingPointer& pending);
   void Release(const ConnectionPointer& connection);
   void Remove(const ConnectionPointer& connection);
-  void DropUnprovedSince(Time time);
-  void Sweep();
+  void CloseIdleWithoutResponseSince(Time time);
+  void ScheduleSweep();
 
   void Succeed(const PendingPointer& pending, HttpResponse response);
   void Fail(const PendingPointer& pending, SendProgress progress,
             std::string step, std::string reason);
   void Fail(const PendingPointer& pending, const HttpFailure& failure);
-  void NoteSilent(bool silent);
+  void SetUnresponsive(bool unresponsive);
 
   const std::string peer_;
   const HttpClientLimits limits_;
@@ -80,20 +81,20 @@
 
   // Everything below is used on the strand only.
   std::deque<PendingPointer> queue_;
-  // Every connection that is not closed, connecting ones included; idle_ is
-  // the part that carries no exchange, the most recently used one last.
+  // All connections that are not closed, including those still connecting.
+  // idle_ holds those without an exchange, the most recently used one last.
   std::set<ConnectionPointer> connections_;
   std::vector<ConnectionPointer> idle_;
-  // Requests on a connection.
+  // Requests that are assigned to a connection.
   std::set<PendingPointer> active_;
-  size_t connecting_ = 0;
+  size_t connecting_count_ = 0;
   boost::asio::steady_timer sweep_timer_;
-  bool sweeping_ = false;
+  bool sweep_scheduled_ = false;
   bool closed_ = false;
-  // When a request last succeeded on any connection.
-  Time last_answer_ = Time::min();
-  // A request timed out with no answer to any other since it began.
-  bool silent_ = false;
+  // Time of the last response on any connection.
+  Time last_response_at_ = Time::min();
+  // A request timed out and no other request was answered since it began.
+  bool unresponsive_ = false;
 };
 
 }  // namespace thornplank
--- a/src/libs/net/endpoint.cc
+++ b/src/libs/net/endpoint.cc
@@ -1,4 +1,4 @@
-// Parsing and formatting of "ip:port".
+// Parses and formats "ip:port".
 #include "net/endpoint.h"
 
 #include <boost/asio/ip/address.hpp>
--- a/src/libs/net/endpoint.h
+++ b/src/libs/net/endpoint.h
@@ -1,4 +1,4 @@
-// Conversion between "ip:port" text and Asio endpoints.
+// Converts between "ip:port" text and Asio endpoints.
 #ifndef THORNPLANK_NET_ENDPOINT_H_
 #define THORNPLANK_NET_ENDPOINT_H_
 
@@ -10,8 +10,8 @@
 
 namespace thornplank {
 
-// Parses "ip:port" or "[ip6]:port"; host names are not looked up. On failure
-// `*error` has the step "parse address" and the text as its peer.
+// Parses "ip:port" or "[ip6]:port"; host names are not resolved. On failure
+// `*error` has the step "parse address" and `address` as its peer.
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(
     const std::string& address, Error* error);
 
--- a/src/libs/net/http_client.cc
+++ b/src/libs/net/http_client.cc
@@ -1,4 +1,4 @@
-// Keeps one pool for each peer.
+// Keeps one connection pool per peer.
 #include "net/http_client.h"
 
 #include <boost/asio/io_context.hpp>
@@ -53,7 +53,8 @@
   const std::shared_ptr<TrafficCounters> traffic_ =
       std::make_shared<TrafficCounters>();
   mutable std::mutex mutex_;
-  // Under mutex_. A pool without connections is small and stays.
+  // Guarded by mutex_. Pools are never removed: one without connections is
+  // small.
   std::map<std::string, std::shared_ptr<ClientPool>> pools_;
   bool closed_ = false;
 };
--- a/src/libs/net/http_codec.cc
+++ b/src/libs/net/http_codec.cc
@@ -1,4 +1,4 @@
-// Wraps Beast's parsers and serializers.
+// Wraps the parsers and serializers of Boost.Beast.
 #include "net/http_codec.h"
 
 #include <algorithm>
@@ -31,14 +31,14 @@
   return beast::string_view(text.data(), text.size());
 }
 
-ParseState ToState(const beast::error_code& code) {
+ParseState ToParseState(const beast::error_code& code) {
   if (code == http::error::header_limit) return ParseState::kHeaderTooLarge;
   if (code == http::error::buffer_overflow) return ParseState::kHeaderTooLarge;
   if (code == http::error::body_limit) return ParseState::kBodyTooLarge;
   return ParseState::kMalformed;
 }
 
-// What both parsers share.
+// Common part of the request and response parsers.
 template <bool isRequest>
 class MessageParser {
  public:
@@ -55,14 +55,14 @@
     beast::error_code code;
     *consumed =
         parser_.put(boost::asio::const_buffer(data.data(), data.size()), code);
-    if (code && code != http::error::need_more) return ToState(code);
+    if (code && code != http::error::need_more) return ToParseState(code);
     if (!had_header && parser_.is_header_done()) {
       parser_.eager(true);
       return ParseState::kHeader;
     }
     if (parser_.is_done()) return ParseState::kDone;
-    // Header, chunk header and trailer are parsed as a whole, which must not
-    // let a sender fill the memory with an endless one.
+    // Headers, chunk headers and trailers are only parsed when complete.
+    // Without this limit, a sender could fill the memory with an endless one.
     if (data.size() - *consumed > limits_.max_header_bytes) {
       return ParseState::kHeaderTooLarge;
     }
@@ -86,21 +86,22 @@
 };
 
 bool IsToken(std::string_view text) {
-  constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
+  constexpr std::string_view kSpecialCharacters = "!#$%&'*+-.^_`|~";
   if (text.empty()) return false;
   return std::all_of(text.begin(), text.end(), [&](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') ||
-           (c >= 'A' && c <= 'Z') || kMarks.find(c) != std::string_view::npos;
+           (c >= 'A' && c <= 'Z') ||
+           kSpecialCharacters.find(c) != std::string_view::npos;
   });
 }
 
-bool IsOwnField(http::field field) {
+bool IsReservedField(http::field field) {
   return field == http::field::host || field == http::field::content_length ||
          field == http::field::transfer_encoding ||
          field == http::field::connection;
 }
 
-std::string WithoutControls(std::string value) {
+std::string RemoveControlCharacters(std::string value) {
   value.erase(std::remove_if(value.begin(), value.end(),
                              [](char c) {
                                return static_cast<unsigned char>(c) < ' ' &&
@@ -114,8 +115,8 @@
 void CopyFields(const HttpHeaders& headers, Message* message) {
   for (const auto& [name, value] : headers.fields()) {
     if (!IsToken(name)) continue;
-    if (IsOwnField(http::string_to_field(ToBeast(name)))) continue;
-    message->insert(ToBeast(name), WithoutControls(value));
+    if (IsReservedField(http::string_to_field(ToBeast(name)))) continue;
+    message->insert(ToBeast(name), RemoveControlCharacters(value));
   }
 }
 
@@ -182,8 +183,8 @@
 
 class ResponseParser::Impl {
  public:
-  Impl(const ParseLimits& limits, bool to_head)
-      : limits_(limits), to_head_(to_head) {
+  Impl(const ParseLimits& limits, bool is_head_response)
+      : limits_(limits), is_head_response_(is_head_response) {
     Reset();
   }
 
@@ -210,16 +211,16 @@
  private:
   void Reset() {
     message_ = std::make_unique<MessageParser<false>>(limits_);
-    message_->parser().skip(to_head_);
+    message_->parser().skip(is_head_response_);
   }
 
   const ParseLimits limits_;
-  const bool to_head_;
+  const bool is_head_response_;
   std::unique_ptr<MessageParser<false>> message_;
 };
 
-ResponseParser::ResponseParser(const ParseLimits& limits, bool to_head)
-    : impl_(std::make_unique<Impl>(limits, to_head)) {}
+ResponseParser::ResponseParser(const ParseLimits& limits, bool is_head_response)
+    : impl_(std::make_unique<Impl>(limits, is_head_response)) {}
 ResponseParser::~ResponseParser() = default;
 
 ParseState ResponseParser::Feed(std::string_view data, size_t* consumed) {
--- a/src/libs/net/http_codec.h
+++ b/src/libs/net/http_codec.h
@@ -1,8 +1,8 @@
-// HTTP/1.1 on the wire: incremental parsers and header serializers.
+// Incremental HTTP/1.1 parsers and header serializers.
 //
-// The only part that knows Boost.Beast, in one source file: Beast is costly to
-// compile, and its parsers work without sockets or timeouts of their own, so
-// that the connections can set exact ones.
+// Boost.Beast is used only in http_codec.cc because it is slow to compile. Its
+// parsers work without sockets and without timeouts of their own, so that
+// connections can set exact ones.
 #ifndef THORNPLANK_NET_HTTP_CODEC_H_
 #define THORNPLANK_NET_HTTP_CODEC_H_
 
@@ -18,9 +18,10 @@
 namespace thornplank {
 
 enum class ParseState {
-  // Every byte usable so far has been taken; feed more.
+  // All usable bytes have been consumed; more are needed.
   kMore,
-  // The header is whole. Feed again, with what was not consumed.
+  // The header is complete. Call Feed again with the bytes that were not
+  // consumed.
   kHeader,
   kDone,
   kMalformed,
@@ -39,17 +40,17 @@
   explicit RequestParser(const ParseLimits& limits);
   ~RequestParser();
 
-  // Takes the leading bytes of `data` and sets `*consumed`. What was not
-  // consumed must stand at the beginning of `data` next time.
+  // Parses the leading bytes of `data` and sets `*consumed`. The next call's
+  // `data` must begin with the bytes that were not consumed.
   ParseState Feed(std::string_view data, size_t* consumed);
 
-  // From kHeader on.
+  // Valid once Feed has returned kHeader.
   std::optional<uint64_t> content_length() const;
   bool expects_continue() const;
   bool keep_alive() const;
 
   size_t body_bytes() const;
-  // Once, after kDone.
+  // May be called once, after kDone.
   HttpRequest Take();
 
  private:
@@ -57,19 +58,19 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// Parses one response; interim ones (1xx) are skipped. A response whose end
-// shows only by the end of the connection is malformed: nobody could tell it
-// from a truncated one.
+// Parses one response; interim responses (1xx) are skipped. A response that is
+// delimited only by the end of the connection is malformed, because it could
+// not be distinguished from a truncated one.
 class ResponseParser {
  public:
-  // `to_head`: the answer to a HEAD, which has no body.
-  ResponseParser(const ParseLimits& limits, bool to_head);
+  // `is_head_response`: the response is to a HEAD request and has no body.
+  ResponseParser(const ParseLimits& limits, bool is_head_response);
   ~ResponseParser();
 
-  // As RequestParser::Feed, but kHeader is not reported.
+  // Like RequestParser::Feed, but never returns kHeader.
   ParseState Feed(std::string_view data, size_t* consumed);
 
-  // After kDone.
+  // Valid after kDone.
   bool keep_alive() const;
   HttpResponse Take();
 
@@ -78,12 +79,13 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// True when method and target can stand in a request line.
+// Whether the method and the target are valid in a request line.
 bool IsValidRequestLine(const HttpRequest& request);
 
-// Start line and fields, with the final empty line. Host, Content-Length and
-// Connection are set here; such fields of the message, fields with malformed
-// names and control characters in values are left out.
+// Serializes the start line and the fields, with the final empty line. Host,
+// Content-Length and Connection are set here. These and Transfer-Encoding are
+// not copied from the message, nor are fields with malformed names and control
+// characters in values.
 std::string SerializeHeader(const HttpRequest& request,
                             const std::string& host);
 std::string SerializeHeader(const HttpResponse& response, bool keep_alive);
--- a/src/libs/net/http_message.cc
+++ b/src/libs/net/http_message.cc
@@ -1,4 +1,4 @@
-// Header lookup without regard to case, and the parts of a target.
+// Implements case-insensitive header lookup and the parsing of targets.
 #include "net/http_message.h"
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 namespace thornplank {
 namespace {
 
-bool SameName(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
     return std::tolower(static_cast<unsigned char>(x)) ==
            std::tolower(static_cast<unsigned char>(y));
   });
 }
 
-// Undoes percent encoding and '+'; a malformed escape stays as it is.
+// Decodes percent encoding and '+'. A malformed escape is left unchanged.
 std::string DecodeQuery(std::string_view text) {
   std::string decoded;
   for (size_t i = 0; i < text.size(); ++i) {
@@ -43,7 +43,7 @@
 void HttpHeaders::Set(std::string_view name, std::string_view value) {
   fields_.erase(std::remove_if(fields_.begin(), fields_.end(),
                                [name](const auto& field) {
-                                 return SameName(field.first, name);
+                                 return EqualsIgnoreCase(field.first, name);
                                }),
                 fields_.end());
   Add(name, value);
@@ -55,7 +55,7 @@
 
 std::string HttpHeaders::Value(std::string_view name) const {
   for (const auto& [field, value] : fields_) {
-    if (SameName(field, name)) return value;
+    if (EqualsIgnoreCase(field, name)) return value;
   }
   return "";
 }
@@ -63,9 +63,10 @@
 bool HttpHeaders::Has(std::string_view name) const { return Count(name) > 0; }
 
 size_t HttpHeaders::Count(std::string_view name) const {
-  return std::count_if(
-      fields_.begin(), fields_.end(),
-      [name](const auto& field) { return SameName(field.first, name); });
+  return std::count_if(fields_.begin(), fields_.end(),
+                       [name](const auto& field) {
+                         return EqualsIgnoreCase(field.first, name);
+                       });
 }
 
 std::string HttpRequest::path() const {
--- a/src/libs/net/http_message.h
+++ b/src/libs/net/http_message.h
@@ -1,4 +1,4 @@
-// HTTP requests and responses as plain values, free of any library type.
+// HTTP requests and responses as plain values, independent of any library.
 #ifndef THORNPLANK_NET_HTTP_MESSAGE_H_
 #define THORNPLANK_NET_HTTP_MESSAGE_H_
 
@@ -10,17 +10,17 @@
 
 namespace thornplank {
 
-// Header fields in order of arrival. Names compare without regard to case.
+// Header fields in order of arrival. Names are case-insensitive.
 class HttpHeaders {
  public:
-  // Replaces every field of that name.
+  // Replaces all fields of that name.
   void Set(std::string_view name, std::string_view value);
-  // Appends a field, beside others of that name.
+  // Appends a field and keeps others of the same name.
   void Add(std::string_view name, std::string_view value);
-  // The first field of that name, or "" when absent.
+  // The value of the first field of that name, or "" when absent.
   std::string Value(std::string_view name) const;
   bool Has(std::string_view name) const;
-  // How many fields have that name.
+  // The number of fields of that name.
   size_t Count(std::string_view name) const;
 
   const std::vector<std::pair<std::string, std::string>>& fields() const {
@@ -33,7 +33,7 @@
 
 struct HttpRequest {
   std::string method = "GET";
-  // Origin form, query included: "/v1/jobs?account=north".
+  // Origin form, including the query: "/v1/jobs?account=north".
   std::string target = "/";
   HttpHeaders headers;
   std::string body;
@@ -42,7 +42,7 @@
 
   // The target without its query.
   std::string path() const;
-  // The decoded value of a query parameter, or "".
+  // The decoded value of a query parameter, or "" when absent.
   std::string query(std::string_view name) const;
 };
 
--- a/src/libs/net/http_server.cc
+++ b/src/libs/net/http_server.cc
@@ -1,4 +1,4 @@
-// Accepts connections and keeps the counts that bound them.
+// Accepts connections and enforces the limits that span connections.
 #include "net/http_server.h"
 
 #include <sys/socket.h>
@@ -26,10 +26,11 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Beyond the limit this many are refused with an answer, the rest by closing.
+// Up to this many connections above the limit are refused with a response; any
+// more are closed without one.
 constexpr size_t kMaxRefusals = 64;
-// After a failed accept (out of file descriptors).
-constexpr Milliseconds kAcceptPause{50};
+// Delay after a failed accept, such as when out of file descriptors.
+constexpr Milliseconds kAcceptRetryDelay{50};
 constexpr char kRetryAfterSeconds[] = "1";
 
 }  // namespace
@@ -50,8 +51,8 @@
     if (!endpoint) return false;
     error_code code;
     acceptor_.open(endpoint->protocol(), code);
-    // Lets a replacement listen while old connections are in TIME_WAIT; a
-    // second listener is an error all the same.
+    // Lets a restarted process listen while old connections are in TIME_WAIT.
+    // Binding still fails while another process listens.
     if (!code) acceptor_.set_option(tcp::acceptor::reuse_address(true), code);
     if (!code) acceptor_.bind(*endpoint, code);
     if (!code) acceptor_.listen(SOMAXCONN, code);
@@ -75,12 +76,12 @@
           {
             std::lock_guard lock(self->mutex_);
             self->draining_ = true;
-            self->drain_done_.push_back(std::move(done));
+            self->drain_callbacks_.push_back(std::move(done));
           }
-          for (const auto& connection : self->Connections()) {
+          for (const auto& connection : self->CopyConnections()) {
             connection->Drain();
           }
-          self->ReportWhenDrained();
+          self->NotifyIfDrained();
         });
   }
 
@@ -90,21 +91,21 @@
       error_code code;
       self->acceptor_.close(code);
       self->accept_timer_.cancel();
-      for (const auto& connection : self->Connections()) {
+      for (const auto& connection : self->CopyConnections()) {
         connection->Close();
       }
     });
   }
 
-  // For the destructor: also lets go of the connections, which would keep
-  // this alive when the io_context runs no more.
-  void Abandon() {
+  // For the destructor. Also releases the connections, which would otherwise
+  // keep this object alive if the io_context no longer runs.
+  void CloseAndRelease() {
     Close();
     std::unordered_set<std::shared_ptr<ServerConnection>> connections;
     {
       std::lock_guard lock(mutex_);
       connections.swap(connections_);
-      drain_done_.clear();
+      drain_callbacks_.clear();
     }
     for (const auto& connection : connections) {
       connection->Close();
@@ -125,7 +126,7 @@
     const size_t held = buffered_bytes_.fetch_add(bytes);
     if (held + bytes <= limits_.max_buffered_bytes) return true;
     buffered_bytes_.fetch_sub(bytes);
-    if (!buffers_full_.exchange(true)) {
+    if (!buffer_limit_logged_.exchange(true)) {
       LogEvent(events::kBufferLimitReached,
                {{"address", address_}, {"bytes", held}});
     }
@@ -135,10 +136,10 @@
   void ReleaseBytes(size_t bytes) override {
     if (bytes == 0) return;
     const size_t held = buffered_bytes_.fetch_sub(bytes) - bytes;
-    if (held < limits_.max_buffered_bytes / 2) buffers_full_ = false;
+    if (held < limits_.max_buffered_bytes / 2) buffer_limit_logged_ = false;
   }
 
-  void OnRequestBegun() override { ++in_flight_; }
+  void OnRequestStarted() override { ++in_flight_; }
   void OnRequestEnded() override { --in_flight_; }
 
   void Handle(HttpRequest request, Responder respond) override {
@@ -149,9 +150,9 @@
     {
       std::lock_guard lock(mutex_);
       connections_.erase(self);
-      if (connections_.size() < limits_.max_connections / 2) full_ = false;
+      if (connections_.size() < limits_.max_connections / 2) limit_hit_ = false;
     }
-    ReportWhenDrained();
+    NotifyIfDrained();
   }
 
  private:
@@ -163,25 +164,25 @@
             strand_, [self = shared_from_this()](const error_code& code,
                                                  tcp::socket socket) {
               if (!code) {
-                self->Add(std::move(socket));
+                self->AddConnection(std::move(socket));
                 return self->Accept();
               }
               if (code != boost::asio::error::operation_aborted) {
-                self->AcceptLater();
+                self->ScheduleAccept();
               }
             }));
   }
 
-  void AcceptLater() {
-    accept_timer_.expires_after(kAcceptPause);
+  void ScheduleAccept() {
+    accept_timer_.expires_after(kAcceptRetryDelay);
     accept_timer_.async_wait(
         [self = shared_from_this()](const error_code& code) {
           if (!code) self->Accept();
         });
   }
 
-  // Connections that already stand in the backlog are taken, since closing
-  // the listener would reset them.
+  // Accepts the connections in the backlog first, because closing the listener
+  // would reset them.
   void StopAccepting() {
     if (!acceptor_.is_open()) return;
     error_code code;
@@ -189,16 +190,16 @@
     while (!code) {
       tcp::socket socket(boost::asio::make_strand(io_));
       acceptor_.accept(socket, code);
-      if (!code) Add(std::move(socket));
+      if (!code) AddConnection(std::move(socket));
     }
     acceptor_.close(code);
     accept_timer_.cancel();
   }
 
-  void Add(tcp::socket socket) {
+  void AddConnection(tcp::socket socket) {
     if (closed_) return;
     bool refuse = false;
-    bool log_full = false;
+    bool log_limit = false;
     std::shared_ptr<ServerConnection> connection;
     {
       std::lock_guard lock(mutex_);
@@ -208,9 +209,9 @@
                                                       shared_from_this());
       connections_.insert(connection);
       refuse = count >= limits_.max_connections;
-      if (refuse) log_full = !std::exchange(full_, true);
+      if (refuse) log_limit = !std::exchange(limit_hit_, true);
     }
-    if (log_full) {
+    if (log_limit) {
       LogEvent(events::kConnectionLimitReached,
                {{"address", address_},
                 {"max_connections", limits_.max_connections}});
@@ -222,17 +223,17 @@
     connection->Refuse(std::move(response));
   }
 
-  std::vector<std::shared_ptr<ServerConnection>> Connections() const {
+  std::vector<std::shared_ptr<ServerConnection>> CopyConnections() const {
     std::lock_guard lock(mutex_);
     return {connections_.begin(), connections_.end()};
   }
 
-  void ReportWhenDrained() {
+  void NotifyIfDrained() {
     std::vector<std::function<void()>> done;
     {
       std::lock_guard lock(mutex_);
       if (!draining_ || !connections_.empty()) return;
-      done.swap(drain_done_);
+      done.swap(drain_callbacks_);
     }
     if (done.empty()) return;
     LogEvent(events::kHttpDrained, {{"address", address_}});
@@ -245,7 +246,7 @@
   const HttpServerLimits limits_;
   const Handler handler_;
   boost::asio::strand<boost::asio::io_context::executor_type> strand_;
-  // On strand_ once Listen has returned.
+  // Used on strand_ only once Listen has returned.
   tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_timer_;
   bool closed_ = false;
@@ -254,21 +255,24 @@
 
   std::atomic<size_t> in_flight_{0};
   std::atomic<size_t> buffered_bytes_{0};
-  // Set at the first refusal, cleared at half the limit: one line each time.
-  std::atomic<bool> buffers_full_{false};
+  // Set at the first refusal and cleared below half the limit, so that each
+  // episode is logged once.
+  std::atomic<bool> buffer_limit_logged_{false};
   std::atomic<bool> draining_{false};
 
   mutable std::mutex mutex_;
-  // Under mutex_. Every connection that is not closed.
+  // Guarded by mutex_. All connections that are not closed.
   std::unordered_set<std::shared_ptr<ServerConnection>> connections_;
-  std::vector<std::function<void()>> drain_done_;
-  bool full_ = false;
+  std::vector<std::function<void()>> drain_callbacks_;
+  // Set when a connection is refused, cleared below half the limit, so that
+  // each episode is logged once.
+  bool limit_hit_ = false;
 };
 
 HttpServer::HttpServer(boost::asio::io_context& io, HttpServerLimits limits,
                        Handler handler)
     : impl_(std::make_shared<Impl>(io, limits, std::move(handler))) {}
-HttpServer::~HttpServer() { impl_->Abandon(); }
+HttpServer::~HttpServer() { impl_->CloseAndRelease(); }
 
 bool HttpServer::Listen(const std::string& address, Error* error) {
   return impl_->Listen(address, error);
--- a/src/libs/net/http_server.h
+++ b/src/libs/net/http_server.h
@@ -1,7 +1,7 @@
-// An HTTP/1.1 server with bounds on what one caller may cost.
+// An HTTP/1.1 server that limits the resources a single caller can use.
 //
-// Every limit refuses with a problem-details body (RFC 9457) and leaves other
-// connections alone. Beast stays inside http_codec.cc.
+// A request that exceeds a limit is refused with a problem-details body (RFC
+// 9457); other connections are not affected.
 #ifndef THORNPLANK_NET_HTTP_SERVER_H_
 #define THORNPLANK_NET_HTTP_SERVER_H_
 
@@ -26,44 +26,45 @@
   size_t max_header_bytes = 16 * 1024;
   size_t max_body_bytes = 4 * 1024 * 1024;
   size_t max_connections = 4096;
-  // Request bodies held in memory over all connections; beyond it new bodies
-  // are refused with 503 and Retry-After.
+  // Memory for request bodies over all connections. Above it, new bodies are
+  // refused with 503 and Retry-After.
   size_t max_buffered_bytes = 48 * 1024 * 1024;
-  // A sender has this long for a whole header, and then for a whole body.
+  // Time in which a caller must send the complete header, and then the complete
+  // body.
   Milliseconds header_timeout{10000};
   Milliseconds body_timeout{30000};
   Milliseconds idle_timeout{75000};
-  // A peer has this long to take a whole response.
+  // Time in which a peer must receive the complete response.
   Milliseconds write_timeout{30000};
-  // After Drain, how long a connection without a request stays open: one that
-  // was sent just before is still answered.
+  // After Drain, how long a connection without a request stays open, so that a
+  // request sent just before is still answered.
   Milliseconds drain_grace{200};
 };
 
 class HttpServer {
  public:
-  // Called once per request; may be called, and calls back, on any thread. A
-  // responder that is dropped uncalled answers 500; calls after the first, or
-  // after the connection is gone, do nothing. It must not outlive the
-  // io_context, called or not.
+  // The handler is called once per request, on any thread; the responder may be
+  // called on any thread. A responder destroyed without a call responds with
+  // 500. Calls after the first one, or after the connection has closed, do
+  // nothing. Responders must not outlive the io_context, called or not.
   using Responder = std::function<void(HttpResponse)>;
   using Handler = std::function<void(HttpRequest, Responder)>;
 
   HttpServer(boost::asio::io_context& io, HttpServerLimits limits,
              Handler handler);
-  // Closes. Handlers that run on other threads at that moment still finish.
+  // Calls Close. Handlers running on other threads at that time still finish.
   ~HttpServer();
 
-  // Listens on "ip:port"; port 0 takes a free one. False and `*error` when
-  // the address is in use or malformed.
+  // Listens on "ip:port"; port 0 selects a free port. Returns false and sets
+  // `*error` when the address is in use or malformed.
   bool Listen(const std::string& address, Error* error);
-  // The address in force, "ip:port".
+  // The address being listened on, "ip:port".
   std::string address() const;
 
-  // Graceful shutdown: stops accepting, lets every request in flight end,
-  // answers them with "Connection: close", then calls `done` once.
+  // Graceful shutdown: stops accepting, lets the requests in flight finish with
+  // "Connection: close" in their responses, then calls `done` once.
   void Drain(std::function<void()> done);
-  // Closes everything at once.
+  // Closes the listener and all connections immediately.
   void Close();
 
   size_t requests_in_flight() const;
--- a/src/libs/net/io_pool.h
+++ b/src/libs/net/io_pool.h
@@ -1,4 +1,4 @@
-// An io_context with the threads that run it.
+// An io_context and the threads that run it.
 #ifndef THORNPLANK_NET_IO_POOL_H_
 #define THORNPLANK_NET_IO_POOL_H_
 
@@ -12,16 +12,17 @@
 
 class IoPool {
  public:
-  // Threads start with Start; `threads` is at least 1.
+  // The threads are started by Start. Values of `threads` below 1 count as 1.
   explicit IoPool(int threads);
-  // Stops.
+  // Calls Stop.
   ~IoPool();
 
   void Start();
-  // Drops what has not run yet and joins the threads. Not from one of them.
+  // Discards handlers that have not run yet and joins the threads. Must not be
+  // called from one of them.
   void Stop();
 
-  // Lives as long as the pool, also after Stop.
+  // Valid as long as the pool, also after Stop.
   boost::asio::io_context& io();
 
  private:
--- a/src/libs/net/problem_response.cc
+++ b/src/libs/net/problem_response.cc
@@ -1,4 +1,4 @@
-// Builds problem-details bodies.
+// Builds problem-details responses.
 #include "net/problem_response.h"
 
 #include "base/json.h"
--- a/src/libs/net/problem_response.h
+++ b/src/libs/net/problem_response.h
@@ -9,11 +9,12 @@
 
 namespace thornplank {
 
-// The standard phrase of `status`, or "Error".
+// The standard reason phrase of `status`, or "Error".
 std::string_view StatusTitle(int status);
 
-// {"type","title","status","detail","step","peer"} with the error's reason as
-// the detail.
+// Builds a response with the body
+// {"type","title","status","detail","step","peer"}; the detail is the error's
+// reason.
 HttpResponse ProblemResponse(int status, const Error& error);
 
 }  // namespace thornplank
--- a/src/libs/net/server_connection.cc
+++ b/src/libs/net/server_connection.cc
@@ -1,4 +1,4 @@
-// The phases of a server connection and their timeouts.
+// Implements the phases of a server connection and their timeouts.
 #include "net/server_connection.h"
 
 #include <array>
@@ -19,12 +19,13 @@
 
 constexpr size_t kHeaderReadBytes = 4 * 1024;
 constexpr size_t kBodyReadBytes = 16 * 1024;
-constexpr std::chrono::seconds kLingerTime{1};
+constexpr std::chrono::seconds kLingerTimeout{1};
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr char kRetryAfterSeconds[] = "1";
-// Small bodies of all connections together take at most this part of the budget
-// in addition to it.
-constexpr size_t kSmallBodies = 8;
+// Bodies below the budget divided by this number and by the maximum number of
+// connections are exempt from the budget. All of them together take at most
+// 1/kSmallBodyDivisor of the budget in addition to it.
+constexpr size_t kSmallBodyDivisor = 8;
 
 std::string_view View(const boost::asio::streambuf& buffer) {
   const auto data = buffer.data();
@@ -33,21 +34,21 @@
 
 }  // namespace
 
-// The one response that a handler owes. Dropped without an answer, it answers
-// 500, so that a lost responder does not hold the connection for ever.
+// The response that a handler owes. If it is destroyed unsent it responds with
+// 500, so that a lost responder does not hold the connection forever.
 class ServerConnection::PendingResponse {
  public:
   explicit PendingResponse(std::shared_ptr<ServerConnection> connection)
       : connection_(std::move(connection)) {}
 
   ~PendingResponse() {
-    if (used_.load()) return;
+    if (sent_.load()) return;
     Send(ProblemResponse(500, {"handle", connection_->remote_,
                                "the request was dropped without an answer"}));
   }
 
   void Send(HttpResponse response) {
-    if (used_.exchange(true)) return;
+    if (sent_.exchange(true)) return;
     boost::asio::dispatch(
         connection_->socket_.get_executor(),
         [connection = connection_, response = std::move(response)]() mutable {
@@ -57,7 +58,7 @@
 
  private:
   const std::shared_ptr<ServerConnection> connection_;
-  std::atomic<bool> used_{false};
+  std::atomic<bool> sent_{false};
 };
 
 ServerConnection::ServerConnection(boost::asio::ip::tcp::socket socket,
@@ -96,7 +97,7 @@
 
 void ServerConnection::Close() {
   boost::asio::dispatch(socket_.get_executor(),
-                        [self = shared_from_this()] { self->Finish(); });
+                        [self = shared_from_this()] { self->CloseNow(); });
 }
 
 void ServerConnection::BeginRequest(Duration first_byte_timeout) {
@@ -121,7 +122,7 @@
                              self->phase_ == Phase::kHeader ||
                              self->phase_ == Phase::kBody;
         if (!reading) return;
-        if (code) return self->Finish();
+        if (code) return self->CloseNow();
         self->OnRead(bytes);
       });
 }
@@ -169,8 +170,9 @@
   phase_ = Phase::kBody;
   SetDeadline(owner_->limits().body_timeout);
   const std::optional<uint64_t> length = parser_->content_length();
-  // Refuses early what cannot fit now. The budget is taken as bytes arrive, so
-  // that announcing bodies without sending them shuts nobody out.
+  // Refuses early a body that does not fit now. The reservation is released
+  // again and the budget charged as bytes arrive, so that callers who announce
+  // bodies without sending them do not exclude others.
   if (length && !ReserveBody(static_cast<size_t>(*length))) return false;
   owner_->ReleaseBytes(std::exchange(reserved_bytes_, 0));
   if (parser_->expects_continue() && buffer_.size() == 0) SendContinue();
@@ -179,10 +181,11 @@
 
 bool ServerConnection::ReserveBody(size_t bytes) {
   if (bytes <= reserved_bytes_) return true;
-  // Slow senders of large bodies, who fill the budget, shut no small ones out.
+  // Small bodies are exempt, so that slow senders of large bodies who use up
+  // the budget do not exclude them.
   const HttpServerLimits& limits = owner_->limits();
   if (bytes <=
-      limits.max_buffered_bytes / kSmallBodies / limits.max_connections) {
+      limits.max_buffered_bytes / kSmallBodyDivisor / limits.max_connections) {
     return true;
   }
   if (!owner_->ReserveBytes(bytes - reserved_bytes_)) {
@@ -194,8 +197,8 @@
 }
 
 void ServerConnection::SendContinue() {
-  // It fits into any socket buffer; should it not, the client sends its body
-  // after a short wait anyway.
+  // The text fits into any socket buffer. If the write fails, the client sends
+  // its body after a short wait anyway.
   error_code code;
   socket_.non_blocking(true, code);
   socket_.write_some(boost::asio::buffer(kContinue.data(), kContinue.size()),
@@ -208,9 +211,9 @@
   keep_alive_ = parser_->keep_alive();
   HttpRequest request = parser_->Take();
   request.remote_address = remote_;
-  is_head_ = request.method == "HEAD";
+  is_head_request_ = request.method == "HEAD";
   in_flight_ = true;
-  owner_->OnRequestBegun();
+  owner_->OnRequestStarted();
   auto pending = std::make_shared<PendingResponse>(shared_from_this());
   owner_->Handle(std::move(request), [pending](HttpResponse response) {
     pending->Send(std::move(response));
@@ -236,52 +239,52 @@
   parser_.reset();
   owner_->ReleaseBytes(std::exchange(reserved_bytes_, 0));
   header_out_ = SerializeHeader(response, keep_alive_);
-  body_out_ = is_head_ ? std::string() : std::move(response.body);
+  body_out_ = is_head_request_ ? std::string() : std::move(response.body);
   const std::array<boost::asio::const_buffer, 2> buffers = {
       boost::asio::buffer(header_out_), boost::asio::buffer(body_out_)};
   boost::asio::async_write(
       socket_, buffers,
       [self = shared_from_this()](const error_code& code, size_t) {
         if (self->phase_ != Phase::kWriting) return;
-        if (code) return self->Finish();
+        if (code) return self->CloseNow();
         self->OnWritten();
       });
 }
 
 void ServerConnection::OnWritten() {
   body_out_ = std::string();
-  is_head_ = false;
+  is_head_request_ = false;
   if (std::exchange(in_flight_, false)) owner_->OnRequestEnded();
   if (!keep_alive_) return Linger();
   BeginRequest(owner_->limits().idle_timeout);
-  // A drain that began during the write did not find this connection idle.
+  // A drain that began during the write found this connection busy.
   if (owner_->draining()) Drain();
 }
 
 void ServerConnection::Linger() {
   phase_ = Phase::kLingering;
-  SetDeadline(kLingerTime);
+  SetDeadline(kLingerTimeout);
   error_code code;
-  // A read that a timeout left pending would take the bytes to be discarded.
+  // A read left pending by a timeout would consume the bytes to be discarded.
   socket_.cancel(code);
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, code);
   buffer_.consume(buffer_.size());
-  Discard();
+  DiscardInput();
 }
 
-void ServerConnection::Discard() {
+void ServerConnection::DiscardInput() {
   socket_.async_read_some(
       buffer_.prepare(kBodyReadBytes),
       [self = shared_from_this()](const error_code& code, size_t) {
-        if (code) return self->Finish();
-        self->Discard();
+        if (code) return self->CloseNow();
+        self->DiscardInput();
       });
 }
 
-void ServerConnection::Finish() {
+void ServerConnection::CloseNow() {
   if (phase_ == Phase::kClosed) return;
   phase_ = Phase::kClosed;
-  // The counts change before the caller can see the close.
+  // Updates the counts before the peer can observe the close.
   owner_->ReleaseBytes(std::exchange(reserved_bytes_, 0));
   if (std::exchange(in_flight_, false)) owner_->OnRequestEnded();
   error_code code;
@@ -294,18 +297,19 @@
   deadline_ = from_now == Duration::max()
                   ? Time::max()
                   : std::chrono::steady_clock::now() + from_now;
-  if (deadline_ < armed_until_) ArmTimer();
+  if (deadline_ < timer_expiry_) ArmTimer();
 }
 
-// Most deadlines are replaced long before they come; the timer is moved only
-// to an earlier moment, and looks at the deadline in force when it runs.
+// Most deadlines are replaced long before they expire. The timer is therefore
+// rearmed only for an earlier time, and checks the current deadline when it
+// expires.
 void ServerConnection::ArmTimer() {
-  armed_until_ = deadline_;
-  timer_.expires_at(armed_until_);
+  timer_expiry_ = deadline_;
+  timer_.expires_at(timer_expiry_);
   timer_.async_wait([self = shared_from_this()](const error_code& code) {
     if (code || self->phase_ == Phase::kClosed) return;
-    if (std::chrono::steady_clock::now() < self->armed_until_) return;
-    self->armed_until_ = Time::max();
+    if (std::chrono::steady_clock::now() < self->timer_expiry_) return;
+    self->timer_expiry_ = Time::max();
     if (std::chrono::steady_clock::now() >= self->deadline_) {
       self->OnDeadline();
     } else if (self->deadline_ != Time::max()) {
@@ -321,7 +325,7 @@
   if (phase_ == Phase::kBody) {
     return RefuseRequest(408, "the body took too long");
   }
-  if (phase_ != Phase::kHandling) Finish();
+  if (phase_ != Phase::kHandling) CloseNow();
 }
 
 }  // namespace thornplank
--- a/src/libs/net/server_connection.h
+++ b/src/libs/net/server_connection.h
@@ -1,5 +1,5 @@
-// One connection of an HttpServer: reads a request, has it handled, writes the
-// response, and begins again.
+// One connection of an HttpServer: reads a request, passes it to the handler,
+// writes the response, and repeats.
 #ifndef THORNPLANK_NET_SERVER_CONNECTION_H_
 #define THORNPLANK_NET_SERVER_CONNECTION_H_
 
@@ -20,20 +20,21 @@
 
 class ServerConnection;
 
-// The server as its connections see it. Every member is thread-safe.
+// The server's interface to its connections. Thread-safe.
 class ServerConnectionOwner {
  public:
   virtual ~ServerConnectionOwner() = default;
 
   virtual const HttpServerLimits& limits() const = 0;
   virtual bool draining() const = 0;
-  // Takes `bytes` out of the budget for bodies; false when it is used up.
+  // Reserves `bytes` of the budget for request bodies; false when not enough is
+  // left.
   virtual bool ReserveBytes(size_t bytes) = 0;
   virtual void ReleaseBytes(size_t bytes) = 0;
-  virtual void OnRequestBegun() = 0;
+  virtual void OnRequestStarted() = 0;
   virtual void OnRequestEnded() = 0;
   virtual void Handle(HttpRequest request, HttpServer::Responder respond) = 0;
-  // The last call of a connection.
+  // Called last by each connection.
   virtual void OnClosed(const std::shared_ptr<ServerConnection>& self) = 0;
 };
 
@@ -43,12 +44,12 @@
   ServerConnection(boost::asio::ip::tcp::socket socket,
                    std::shared_ptr<ServerConnectionOwner> owner);
 
-  // Each of these may be called on any thread.
+  // The following functions are thread-safe.
   void Start();
-  // Answers before any request was read, and closes.
+  // Sends `response` without reading a request, then closes.
   void Refuse(HttpResponse response);
-  // A connection without a request gets a short grace, then closes; another
-  // closes after its response.
+  // Closes an idle connection after a grace period, and any other one after its
+  // response.
   void Drain();
   void Close();
 
@@ -59,8 +60,9 @@
     kBody,
     kHandling,
     kWriting,
-    // Everything is written; what the peer still sends is discarded, since
-    // closing on unread bytes would reset the connection under the response.
+    // The response is written. Further input is discarded, because closing a
+    // socket with unread bytes would reset the connection before the peer has
+    // read the response.
     kLingering,
     kClosed,
   };
@@ -79,8 +81,8 @@
   void Write(HttpResponse response, bool keep_alive);
   void OnWritten();
   void Linger();
-  void Discard();
-  void Finish();
+  void DiscardInput();
+  void CloseNow();
   void SetDeadline(Duration from_now);
   void ArmTimer();
   void OnDeadline();
@@ -92,17 +94,17 @@
   Phase phase_ = Phase::kIdle;
   boost::asio::streambuf buffer_;
   std::optional<RequestParser> parser_;
-  // Bytes of this connection's body that are counted in the owner's budget.
+  // Bytes reserved from the owner's budget for the request body.
   size_t reserved_bytes_ = 0;
   bool keep_alive_ = true;
-  bool is_head_ = false;
+  bool is_head_request_ = false;
   bool in_flight_ = false;
   std::string header_out_;
   std::string body_out_;
-  // When the present phase ends by timeout. The timer may be armed for an
-  // earlier moment, never for a later one.
+  // Deadline of the current phase. The timer may be armed for an earlier time,
+  // never for a later one.
   Time deadline_ = Time::max();
-  Time armed_until_ = Time::max();
+  Time timer_expiry_ = Time::max();
   boost::asio::steady_timer timer_;
 };
 
--- a/src/libs/net/traffic_counters.h
+++ b/src/libs/net/traffic_counters.h
@@ -1,4 +1,4 @@
-// Bytes that a client has written to and read from its connections.
+// Counters of the bytes a client has written to and read from its connections.
 #ifndef THORNPLANK_NET_TRAFFIC_COUNTERS_H_
 #define THORNPLANK_NET_TRAFFIC_COUNTERS_H_
 
@@ -7,7 +7,7 @@
 
 namespace thornplank {
 
-// Payload of TCP, headers of HTTP included. Thread-safe.
+// TCP payload, including HTTP headers. Thread-safe.
 struct TrafficCounters {
   std::atomic<uint64_t> sent{0};
   std::atomic<uint64_t> received{0};
--- a/tests/auto/net/test_sockets.h
+++ b/tests/auto/net/test_sockets.h
@@ -1,5 +1,5 @@
-// Raw sockets for tests: a caller that sends any bytes, and a peer that
-// answers with any bytes.
+// Raw sockets for tests: a caller that sends arbitrary bytes and a peer that
+// responds with arbitrary bytes.
 #ifndef THORNPLANK_TESTS_NET_TEST_SOCKETS_H_
 #define THORNPLANK_TESTS_NET_TEST_SOCKETS_H_
 
@@ -22,7 +22,7 @@
 
 namespace thornplank::test {
 
-// A blocking connection; every read gives up after five seconds.
+// A blocking connection. Reads time out after five seconds.
 class RawConnection {
  public:
   explicit RawConnection(boost::asio::ip::tcp::socket socket)
@@ -38,7 +38,7 @@
     return !code;
   }
 
-  // Reads until `end` stands in what was read, or until the connection ends.
+  // Reads until the text read contains `end` or the connection ends.
   std::string ReadUntil(const std::string& end) {
     std::string text;
     char byte = 0;
@@ -49,7 +49,7 @@
     return text;
   }
   std::string ReadHeader() { return ReadUntil("\r\n\r\n"); }
-  // Everything up to the end of the connection.
+  // Reads up to the end of the connection.
   std::string ReadAll() {
     std::string text;
     char bytes[4096];
@@ -61,7 +61,8 @@
     ended_ = count == 0;
     return text;
   }
-  // After ReadAll: the peer closed in order, with no reset and no timeout.
+  // After ReadAll: whether the peer closed the connection without a reset or a
+  // timeout.
   bool ended() const { return ended_; }
 
   boost::asio::ip::tcp::socket& socket() { return socket_; }
@@ -79,8 +80,8 @@
   return RawConnection(std::move(socket));
 }
 
-// A peer of which each accepted connection plays the next script, in a thread
-// of its own; connections beyond the scripts are closed at once.
+// A peer that runs the next script for each accepted connection, on its own
+// thread. Connections beyond the last script are closed immediately.
 class ScriptedPeer {
  public:
   using Script = std::function<void(RawConnection&)>;
@@ -93,10 +94,10 @@
 
   ~ScriptedPeer() {
     stopping_ = true;
-    // Wakes the blocking accept.
+    // Unblocks the accept call.
     ConnectRaw(io_, address_);
     thread_.join();
-    for (std::thread& thread : players_) {
+    for (std::thread& thread : script_threads_) {
       thread.join();
     }
   }
@@ -115,9 +116,11 @@
       if (code) continue;
       ++accepted_;
       if (next == scripts_.size()) continue;
-      players_.emplace_back([script = scripts_[next++],
-                             connection = RawConnection(std::move(
-                                 socket))]() mutable { script(connection); });
+      script_threads_.emplace_back(
+          [script = scripts_[next++],
+           connection = RawConnection(std::move(socket))]() mutable {
+            script(connection);
+          });
     }
   }
 
@@ -127,7 +130,7 @@
   const std::vector<Script> scripts_;
   std::atomic<bool> stopping_{false};
   std::atomic<int> accepted_{0};
-  std::vector<std::thread> players_;
+  std::vector<std::thread> script_threads_;
   std::thread thread_;
 };
 
--- a/tests/auto/net/tst_http_client.cc
+++ b/tests/auto/net/tst_http_client.cc
@@ -1,4 +1,4 @@
-// The HTTP client against a server of ours and against faulty peers: every
+// Tests the HTTP client against the HTTP server and against faulty peers: every
 // failure, with the progress it reports.
 #include <doctest/doctest.h>
 
@@ -27,7 +27,7 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Reads one request and answers it.
+// A script that reads one request and responds with `answer`.
 ScriptedPeer::Script Reply(const std::string& answer) {
   return [answer](RawConnection& connection) {
     connection.ReadHeader();
@@ -48,7 +48,7 @@
   return request;
 }
 
-HttpSendOptions Within(Milliseconds timeout) {
+HttpSendOptions WithTimeout(Milliseconds timeout) {
   HttpSendOptions options;
   options.timeout = timeout;
   return options;
@@ -121,7 +121,7 @@
     limits.max_response_bytes = 4096;
     ScriptedPeer peer({c.script});
     Fixture fixture(limits);
-    HttpSendOptions options = Within(Milliseconds(200));
+    HttpSendOptions options = WithTimeout(Milliseconds(200));
     options.match_header = kIdHeader;
     const SendResult result =
         fixture.Send(peer.address(), WithId("a"), options);
@@ -133,15 +133,15 @@
   }
 }
 
-TEST_CASE("what was provably not sent says so") {
+TEST_CASE("a failure before the first byte reports kNotSent") {
   HttpClientLimits limits;
   limits.max_connections_per_peer = 1;
-  // The one connection is held by a request that is never answered.
+  // The only connection is occupied by a request that is never answered.
   ScriptedPeer silent({[](RawConnection& c) { c.ReadAll(); }});
   Fixture fixture(limits);
   auto held = SendAsync(fixture.client, silent.address(), Get(),
-                        Within(Milliseconds(400)));
-  HttpSendOptions refused = Within(Milliseconds(1000));
+                        WithTimeout(Milliseconds(400)));
+  HttpSendOptions refused = WithTimeout(Milliseconds(1000));
   refused.may_send = [] { return false; };
   HttpRequest split = Get("/a b");
   struct Case {
@@ -156,7 +156,7 @@
       {"connect refused", "127.0.0.1:1", Get(), {}, true},
       {"not an address", "localhost", Get(), {}, false},
       {"timed out in the queue", silent.address(), Get(),
-       Within(Milliseconds(50)), false},
+       WithTimeout(Milliseconds(50)), false},
       {"the holder takes it back", idle.address(), Get(), refused, false},
       {"malformed target", idle.address(), split, {}, false},
   };
@@ -172,7 +172,7 @@
   CHECK(held.get().failure.progress == SendProgress::kUnknown);
 }
 
-TEST_CASE("a late answer never reaches another request") {
+TEST_CASE("a late response never reaches another request") {
   std::promise<void> answer_late;
   std::shared_future<void> late = answer_late.get_future().share();
   ScriptedPeer peer({[late](RawConnection& c) {
@@ -183,7 +183,7 @@
                      Reply(Answer("own"))});
   Fixture fixture;
   const SendResult first =
-      fixture.Send(peer.address(), Get(), Within(Milliseconds(100)));
+      fixture.Send(peer.address(), Get(), WithTimeout(Milliseconds(100)));
   CHECK(first.failure.progress == SendProgress::kUnknown);
   answer_late.set_value();
   const SendResult second = fixture.Send(peer.address(), Get());
@@ -192,10 +192,10 @@
   CHECK(peer.accepted() == 2);
 }
 
-TEST_CASE("a kept connection that closed or holds stray bytes is not used") {
+TEST_CASE("a connection that closed or has unsolicited bytes is not reused") {
   struct Case {
     std::string name;
-    // What the peer does after its first answer, before the second request.
+    // Action of the peer after its first response, before the second request.
     ScriptedPeer::Script afterwards;
   };
   const std::vector<Case> cases = {
@@ -208,21 +208,21 @@
   };
   for (const Case& c : cases) {
     CAPTURE(c.name);
-    std::promise<void> go_on;
-    std::promise<void> gone_on;
+    std::promise<void> proceed;
+    std::promise<void> proceeded;
     ScriptedPeer peer({[&](RawConnection& connection) {
                          connection.ReadHeader();
                          connection.Send(Answer("one"));
-                         go_on.get_future().wait();
+                         proceed.get_future().wait();
                          c.afterwards(connection);
-                         gone_on.set_value();
+                         proceeded.set_value();
                          connection.ReadAll();
                        },
                        Reply(Answer("two"))});
     Fixture fixture;
     CHECK(fixture.Send(peer.address(), Get()).response->body == "one");
-    go_on.set_value();
-    gone_on.get_future().wait();
+    proceed.set_value();
+    proceeded.get_future().wait();
     const SendResult second = fixture.Send(peer.address(), Get());
     REQUIRE(second.response);
     CHECK(second.response->body == "two");
@@ -230,7 +230,7 @@
   }
 }
 
-TEST_CASE("bytes that come along with an answer are never the next answer") {
+TEST_CASE("bytes after a response are not taken for the next response") {
   ScriptedPeer peer(
       {Reply(Answer("one") + Answer("stray")), Reply(Answer("two"))});
   Fixture fixture;
@@ -238,7 +238,7 @@
   CHECK(fixture.Send(peer.address(), Get()).response->body == "two");
 }
 
-TEST_CASE("an interim answer is skipped, and connections are kept") {
+TEST_CASE("interim responses are skipped and connections are reused") {
   ScriptedPeer peer({[](RawConnection& c) {
     c.ReadHeader();
     c.Send("HTTP/1.1 102 Processing\r\n\r\n" + Answer("one"));
@@ -257,8 +257,9 @@
   CHECK(peer.accepted() == 1);
 }
 
-TEST_CASE("a silent kept connection is probed before the request") {
-  // The first connection answers once and goes silent; the second lives.
+TEST_CASE("a stale connection is found by a probe before the request") {
+  // The first connection responds once and then stops; the second keeps
+  // responding.
   std::atomic<int> sent_on_silent{0};
   const ScriptedPeer::Script silent = [&](RawConnection& c) {
     c.ReadHeader();
@@ -295,7 +296,7 @@
         std::vector<std::string>{"GET /healthz HTTP", "POST /pay HTTP"});
 }
 
-TEST_CASE("a failed probe on a new connection proves the request not sent") {
+TEST_CASE("a failed probe on a new connection reports kNotSent") {
   const std::vector<ScriptedPeer::Script> scripts = {
       [](RawConnection& c) { c.ReadAll(); },
       [](RawConnection& c) { c.ReadHeader(); },
@@ -315,11 +316,11 @@
   }
 }
 
-TEST_CASE("a timeout drops idle connections that were not proved since") {
+TEST_CASE("a timeout closes idle connections without a response since") {
   std::promise<void> both_open;
   std::shared_future<void> open = both_open.get_future().share();
   std::atomic<int> waiting{0};
-  // Two connections open side by side, answer once and go silent.
+  // Two concurrent connections each respond once and then stop.
   const ScriptedPeer::Script answer_once = [&, open](RawConnection& c) {
     c.ReadHeader();
     if (++waiting == 2) both_open.set_value();
@@ -335,14 +336,14 @@
   CHECK(second.get().response);
   CHECK(fixture.client.connections(peer.address()) == 2);
   const SendResult timed_out =
-      fixture.Send(peer.address(), Get(), Within(Milliseconds(100)));
+      fixture.Send(peer.address(), Get(), WithTimeout(Milliseconds(100)));
   CHECK(timed_out.failure.progress == SendProgress::kUnknown);
   const SendResult next = fixture.Send(peer.address(), Get());
   REQUIRE(next.response);
   CHECK(next.response->body == "new");
 }
 
-TEST_CASE("an idle connection is closed after its time") {
+TEST_CASE("an idle connection is closed after the idle timeout") {
   ScriptedPeer peer({Reply(Answer("one"))});
   HttpClientLimits limits;
   limits.idle_timeout = Milliseconds(50);
@@ -355,7 +356,7 @@
   CHECK(fixture.client.connections(peer.address()) == 0);
 }
 
-TEST_CASE("closing fails what is pending, once each") {
+TEST_CASE("Close fails each pending request once") {
   ScriptedPeer peer({[](RawConnection& c) { c.ReadAll(); }});
   HttpClientLimits limits;
   limits.max_connections_per_peer = 1;
@@ -376,7 +377,7 @@
         SendProgress::kNotSent);
 }
 
-TEST_CASE("many requests at once share few connections, each its own answer") {
+TEST_CASE("concurrent requests share connections and get their own responses") {
   IoPool server_pool(2);
   HttpServer server(server_pool.io(), {},
                     [](HttpRequest request, HttpServer::Responder respond) {
--- a/tests/auto/net/tst_http_server.cc
+++ b/tests/auto/net/tst_http_server.cc
@@ -1,4 +1,5 @@
-// The HTTP server: its limits, its order and its shutdown, against raw bytes.
+// Tests the limits, the ordering and the shutdown of the HTTP server with raw
+// bytes.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -30,7 +31,8 @@
   return limits;
 }
 
-// Echoes the body, and keeps the responders of "/hold" for the test.
+// A server that echoes bodies. The responder of a request to "/hold" is kept
+// for the test; the responder of a request to "/drop" is destroyed.
 class Fixture {
  public:
   explicit Fixture(HttpServerLimits limits = SmallLimits())
@@ -42,10 +44,10 @@
 
   HttpServer& server() { return server_; }
   RawConnection Connect() { return ConnectRaw(io_, server_.address()); }
-  void AwaitNoConnections() {
+  void WaitForNoConnections() {
     while (server_.connections() > 0) std::this_thread::yield();
   }
-  HttpServer::Responder Held() { return held_.get_future().get(); }
+  HttpServer::Responder HeldResponder() { return held_.get_future().get(); }
 
  private:
   HttpServer::Handler Handler() {
@@ -78,7 +80,7 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-TEST_CASE("each limit answers with problem details and closes") {
+TEST_CASE("exceeding a limit responds with problem details and closes") {
   struct Case {
     std::string name;
     std::string bytes;
@@ -119,8 +121,9 @@
   Fixture fixture;
   for (const Case& c : cases) {
     CAPTURE(c.name);
-    // One that its peer has closed counts until the server has seen that.
-    fixture.AwaitNoConnections();
+    // A connection closed by its peer still counts until the server has
+    // noticed.
+    fixture.WaitForNoConnections();
     RawConnection connection = fixture.Connect();
     connection.Send(c.bytes);
     const std::string answer = connection.ReadAll();
@@ -137,7 +140,7 @@
   CHECK(fixture.server().buffered_bytes() == 0);
 }
 
-TEST_CASE("one connection too many is refused, the others go on") {
+TEST_CASE("a connection above the limit is refused, the others continue") {
   Fixture fixture;
   RawConnection first = fixture.Connect();
   RawConnection second = fixture.Connect();
@@ -153,7 +156,7 @@
   CHECK(first.ReadUntil("POST again").find("200 OK") != std::string::npos);
 }
 
-TEST_CASE("a body that is announced but not sent takes no budget") {
+TEST_CASE("a body that is announced but not sent uses no budget") {
   Fixture fixture;
   RawConnection slow = fixture.Connect();
   slow.Send(
@@ -165,7 +168,7 @@
   CHECK(StatusOf(other.ReadHeader()) == 200);
 }
 
-TEST_CASE("whole requests in every form are answered in order") {
+TEST_CASE("complete requests of every form are answered in order") {
   Fixture fixture;
   RawConnection connection = fixture.Connect();
   connection.Send(Post("one") +
@@ -185,7 +188,7 @@
   CHECK(answers.find("\nX-Injected") == std::string::npos);
 }
 
-TEST_CASE("a caller that is quiet or does not read is let go") {
+TEST_CASE("connections of callers that are idle or do not read are closed") {
   HttpServerLimits limits = SmallLimits();
   limits.max_body_bytes = 16 * 1024 * 1024;
   limits.max_buffered_bytes = limits.max_body_bytes;
@@ -199,7 +202,7 @@
   CHECK(quiet.ReadAll().empty());
   CHECK(quiet.ended());
 
-  // More than the sockets' buffers hold, so that the write cannot end.
+  // Larger than the socket buffers, so that the write cannot complete.
   const std::string large(12 * 1024 * 1024, 'x');
   RawConnection reads_nothing = fixture.Connect();
   reads_nothing.Send(Post(large));
@@ -210,7 +213,7 @@
   CHECK(fixture.server().requests_in_flight() == 0);
 }
 
-TEST_CASE("a body is asked for when the caller waits to be asked") {
+TEST_CASE("Expect: 100-continue is answered before the body is sent") {
   Fixture fixture;
   RawConnection connection = fixture.Connect();
   connection.Send(
@@ -221,7 +224,7 @@
   CHECK(connection.ReadUntil("POST ok").find("200 OK") != std::string::npos);
 }
 
-TEST_CASE("a responder that is dropped answers 500") {
+TEST_CASE("a responder destroyed without a call responds with 500") {
   Fixture fixture;
   RawConnection connection = fixture.Connect();
   connection.Send("GET /drop HTTP/1.1\r\n\r\n");
@@ -232,7 +235,7 @@
   Fixture fixture;
   RawConnection connection = fixture.Connect();
   connection.Send("GET /hold HTTP/1.1\r\n\r\n");
-  const HttpServer::Responder respond = fixture.Held();
+  const HttpServer::Responder respond = fixture.HeldResponder();
   fixture.server().Close();
   connection.ReadAll();
   respond({});
@@ -255,7 +258,7 @@
   }
 }
 
-TEST_CASE("draining cuts off no request") {
+TEST_CASE("draining lets all requests finish") {
   HttpServerLimits limits = SmallLimits();
   limits.max_connections = 10;
   limits.body_timeout = Milliseconds(5000);
@@ -268,7 +271,7 @@
   half_sent.ReadHeader();
   RawConnection held = fixture.Connect();
   held.Send("GET /hold HTTP/1.1\r\n\r\n");
-  const HttpServer::Responder respond = fixture.Held();
+  const HttpServer::Responder respond = fixture.HeldResponder();
 
   std::promise<void> done;
   std::future<void> drained = done.get_future();
