--- a/src/libs/platform/instance_list_client.cc
+++ b/src/libs/platform/instance_list_client.cc
@@ -1,4 +1,4 @@
-// The wire form of the instance list.
+// Requests the instance list and decodes it.
 #include "platform/instance_list_client.h"
 
 #include <mutex>
@@ -20,11 +20,11 @@
   return std::nullopt;
 }
 
-int SmallInt(const Json& item, std::string_view name) {
+int IntOrZero(const Json& item, std::string_view name) {
   return static_cast<int>(IntField(item, name).value_or(0));
 }
 
-std::optional<Instance> ReadInstance(const Json& item) {
+std::optional<Instance> DecodeInstance(const Json& item) {
   const auto name = StringField(item, "name");
   const auto address = StringField(item, "address");
   const auto kind = ParseKind(StringField(item, "kind").value_or(""));
@@ -36,24 +36,24 @@
   instance.failure_domain = StringField(item, "failure_domain").value_or("");
   instance.leaving = StringField(item, "state") == "leaving";
   instance.rack = StringField(item, "rack").value_or("");
-  instance.accelerators = SmallInt(item, "accelerators");
-  instance.cores = SmallInt(item, "cores");
+  instance.accelerators = IntOrZero(item, "accelerators");
+  instance.cores = IntOrZero(item, "cores");
   instance.memory_mb = IntField(item, "memory_mb").value_or(0);
   instance.service = StringField(item, "service").value_or("");
-  instance.slots = SmallInt(item, "slots");
+  instance.slots = IntOrZero(item, "slots");
   return instance;
 }
 
-// Entries of an unknown kind, or without name or address, are left out: one
-// strange entry must not hide all others.
-std::optional<InstanceList> ReadList(const Json& body) {
+// Skips instances of an unknown kind or without a name or address, so that one
+// invalid item does not invalidate the whole list.
+std::optional<InstanceList> DecodeList(const Json& body) {
   const auto as_of = IntField(body, "as_of_ms");
   const Json* items = ArrayField(body, "instances");
   if (!as_of || items == nullptr) return std::nullopt;
   InstanceList list;
   list.as_of = FromUnixMilliseconds(*as_of);
   for (const Json& item : *items) {
-    std::optional<Instance> instance = ReadInstance(item);
+    std::optional<Instance> instance = DecodeInstance(item);
     if (!instance) continue;
     list.instances.push_back(std::move(*instance));
   }
@@ -62,10 +62,10 @@
 
 }  // namespace
 
-// The last list and the validator that came with it.
+// The most recent list and its ETag. Thread-safe.
 struct InstanceListClient::Cache {
   std::mutex mutex;
-  // Empty while there is no list, or when the platform gives none.
+  // Empty before the first list, or when the platform sends no ETag.
   std::string etag;
   InstanceList list;
 
@@ -102,7 +102,7 @@
        cache = cache_](const PlatformReply& reply) {
         if (!reply.ok()) return callback(std::nullopt, reply.error);
         if (reply.status == kNotModified) return callback(cache->List(), {});
-        std::optional<InstanceList> list = ReadList(reply.body);
+        std::optional<InstanceList> list = DecodeList(reply.body);
         if (!list) {
           return callback(std::nullopt, {kStep, address, "malformed answer"});
         }
--- a/src/libs/platform/instance_list_client.h
+++ b/src/libs/platform/instance_list_client.h
@@ -1,4 +1,4 @@
-// The client of the platform's lagging list of live and leaving instances.
+// Client of the platform's list of live and leaving instances, which lags.
 #ifndef THORNPLANK_PLATFORM_INSTANCE_LIST_CLIENT_H_
 #define THORNPLANK_PLATFORM_INSTANCE_LIST_CLIENT_H_
 
@@ -20,7 +20,7 @@
 struct Instance {
   std::string name;
   InstanceKind kind = InstanceKind::kWorker;
-  // "ip:port" of its HTTP interface.
+  // "ip:port" of the instance's HTTP interface.
   std::string address;
   std::string failure_domain;
   bool leaving = false;
@@ -36,7 +36,7 @@
 
 struct InstanceList {
   std::vector<Instance> instances;
-  // The moment that the list describes; it lags.
+  // The time that the list describes, which lags behind the present.
   WallTime as_of;
 };
 
@@ -47,8 +47,9 @@
 
   InstanceListClient(HttpClient& http, std::string address);
 
-  // Where the platform gives an ETag, a list that has not changed costs one
-  // short answer, and comes back as it was, `as_of` included.
+  // Reads the list. Sends the ETag of the previous list; when the platform
+  // answers that it has not changed, the callback gets the previous list with
+  // its `as_of`.
   void Read(Duration timeout, Callback callback);
 
  private:
--- a/src/libs/platform/log_client.cc
+++ b/src/libs/platform/log_client.cc
@@ -1,4 +1,4 @@
-// The wire form of the log service.
+// Encodes calls to the log service and decodes its responses.
 #include "platform/log_client.h"
 
 #include <utility>
@@ -15,11 +15,11 @@
   return "/v1/streams/" + stream + "/records";
 }
 
-int64_t CountMilliseconds(Duration duration) {
+int64_t ToMilliseconds(Duration duration) {
   return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
-std::optional<LogRecord> ReadRecord(const Json& item) {
+std::optional<LogRecord> DecodeRecord(const Json& item) {
   const auto offset = IntField(item, "offset");
   const auto time = IntField(item, "time_ms");
   const auto id = StringField(item, "id");
@@ -32,7 +32,8 @@
   return record;
 }
 
-std::optional<LogReadResult> ReadRecords(const Json& body, bool truncated) {
+std::optional<LogReadResult> DecodeReadResult(const Json& body,
+                                              bool truncated) {
   const auto first = IntField(body, "first_offset");
   const auto next = IntField(body, "next_offset");
   if (!first || !next || *first < 0 || *next < *first) return std::nullopt;
@@ -45,22 +46,23 @@
   if (records == nullptr) return std::nullopt;
   result.records.reserve(records->size());
   for (const Json& item : *records) {
-    std::optional<LogRecord> record = ReadRecord(item);
+    std::optional<LogRecord> record = DecodeRecord(item);
     if (!record) return std::nullopt;
     result.records.push_back(std::move(*record));
   }
   return result;
 }
 
-LogAppendOutcome ReadOutcome(const PlatformReply& reply,
-                             const std::string& address) {
+LogAppendOutcome ToAppendOutcome(const PlatformReply& reply,
+                                 const std::string& address) {
   LogAppendOutcome outcome;
   outcome.error = reply.error;
   outcome.retry_after = reply.retry_after;
   outcome.rate_capped = reply.status == kTooManyRequests;
   const bool not_sent =
       reply.status == 0 && reply.progress == SendProgress::kNotSent;
-  // Any other refusal, an outage's 503 included, proves nothing.
+  // Any other error status, including a 503 during an outage, does not prove
+  // that the batch was not applied.
   outcome.may_be_applied = !outcome.rate_capped && !not_sent;
   if (!reply.ok()) return outcome;
   const auto first = IntField(reply.body, "first_offset");
@@ -103,7 +105,7 @@
   SendPlatformCall(http_, call,
                    [callback = std::move(callback),
                     address = address_](const PlatformReply& reply) {
-                     callback(ReadOutcome(reply, address));
+                     callback(ToAppendOutcome(reply, address));
                    });
 }
 
@@ -114,7 +116,7 @@
   call.address = address_;
   call.target = RecordsTarget(stream) + "?from=" + std::to_string(from) +
                 "&max=" + std::to_string(max_records) +
-                "&wait_ms=" + std::to_string(CountMilliseconds(wait));
+                "&wait_ms=" + std::to_string(ToMilliseconds(wait));
   call.timeout = timeout;
   SendPlatformCall(http_, call,
                    [callback = std::move(callback),
@@ -124,7 +126,7 @@
                        return callback(std::nullopt, reply.error);
                      }
                      std::optional<LogReadResult> result =
-                         ReadRecords(reply.body, truncated);
+                         DecodeReadResult(reply.body, truncated);
                      if (!result) {
                        return callback(std::nullopt, {"read log", address,
                                                       "malformed answer"});
--- a/src/libs/platform/log_client.h
+++ b/src/libs/platform/log_client.h
@@ -1,7 +1,7 @@
-// The client of the platform's log service: append and read, one call each.
+// Client of the platform's log service: append and read, one call each.
 //
-// See docs/PROTOCOLS.md for the wire form. Retries, ordering and duplicates
-// are the business of StreamWriter and StreamFollower.
+// See docs/PROTOCOLS.md for the wire format. StreamWriter and StreamFollower
+// handle retries, ordering and duplicates.
 #ifndef THORNPLANK_PLATFORM_LOG_CLIENT_H_
 #define THORNPLANK_PLATFORM_LOG_CLIENT_H_
 
@@ -19,11 +19,11 @@
 
 class HttpClient;
 
-// One record of a stream. `id` is unique for ever; a reader ignores a record
-// whose id it has already folded.
+// One record of a stream. `id` is never reused; readers ignore a record whose
+// id they have already applied.
 struct LogRecord {
   int64_t offset = -1;
-  // The log service's own clock at the append.
+  // Time of the append by the log service's clock.
   WallTime time;
   std::string id;
   Json data;
@@ -33,26 +33,27 @@
   int64_t first_offset = -1;
 };
 
-// How one append ended, in full.
+// The detailed outcome of one append.
 struct LogAppendOutcome {
   // Set when the service confirmed the append.
   std::optional<LogAppendResult> result;
   Error error;
-  // Without a result: the batch may have been applied all the same.
+  // When `result` is not set: whether the batch may have been applied.
   bool may_be_applied = false;
-  // The service refused because of its rate cap.
+  // The service rejected the append because of its rate limit.
   bool rate_capped = false;
-  // As the service asked, else zero.
+  // The delay requested by the service, or zero.
   Duration retry_after = Duration::zero();
 };
 
 struct LogReadResult {
   std::vector<LogRecord> records;
-  // The oldest offset still kept.
+  // The oldest retained offset.
   int64_t first_offset = 0;
-  // The offset that the next append will get.
+  // The offset of the next record to be appended.
   int64_t next_offset = 0;
-  // `from` was older than first_offset: records were lost to retention.
+  // `from` was below first_offset: records before first_offset were removed by
+  // retention.
   bool truncated = false;
 };
 
@@ -66,15 +67,16 @@
 
   LogClient(HttpClient& http, std::string address);
 
-  // Appends all of `records` (id and data are used) as one batch. After an
+  // Appends `records` as one batch; only their id and data are used. After an
   // error the batch may still have been applied.
   void Append(const std::string& stream, const std::vector<LogRecord>& records,
               Duration timeout, AppendCallback callback);
-  // The same, telling what a retry needs to know.
+  // Like Append, but reports what a caller needs to decide about a retry.
   void TryAppend(const std::string& stream,
                  const std::vector<LogRecord>& records, Duration timeout,
                  OutcomeCallback callback);
-  // Reads from `from` on, waiting up to `wait` when nothing is there yet.
+  // Reads up to `max_records` records from offset `from`, waiting up to `wait`
+  // for the first one.
   void Read(const std::string& stream, int64_t from, int max_records,
             Duration wait, Duration timeout, ReadCallback callback);
 
--- a/src/libs/platform/log_reachability.h
+++ b/src/libs/platform/log_reachability.h
@@ -1,4 +1,5 @@
-// Logs changes in how the log service answers, not each failed attempt.
+// Logs an event when the reachability of the log service changes, instead of
+// one for each failed attempt.
 #ifndef THORNPLANK_PLATFORM_LOG_REACHABILITY_H_
 #define THORNPLANK_PLATFORM_LOG_REACHABILITY_H_
 
@@ -13,7 +14,7 @@
 // Not thread-safe.
 class LogReachability {
  public:
-  // `use`: "append" or "read".
+  // `use` is "append" or "read".
   LogReachability(std::string stream, std::string use)
       : stream_(std::move(stream)), use_(std::move(use)) {}
 
--- a/src/libs/platform/platform_call.cc
+++ b/src/libs/platform/platform_call.cc
@@ -1,4 +1,4 @@
-// Sends JSON calls and reads their answers.
+// Sends JSON requests and decodes the responses.
 #include "platform/platform_call.h"
 
 #include <charconv>
@@ -21,7 +21,7 @@
   return std::min<Duration>(std::chrono::seconds(seconds), kMaxRetryAfter);
 }
 
-// "status 503: the problem's detail".
+// Formats the status and the problem's detail: "status 503: detail".
 std::string DescribeStatus(const PlatformReply& reply) {
   std::string reason = "status " + std::to_string(reply.status);
   const auto detail = StringField(reply.body, "detail");
@@ -29,9 +29,9 @@
   return reason;
 }
 
-PlatformReply ReadReply(const PlatformCall& call,
-                        const std::optional<HttpResponse>& response,
-                        const HttpFailure& failure) {
+PlatformReply ToReply(const PlatformCall& call,
+                      const std::optional<HttpResponse>& response,
+                      const HttpFailure& failure) {
   PlatformReply reply;
   if (!response) {
     reply.progress = failure.progress;
@@ -63,19 +63,19 @@
   if (!call.etag.empty()) request.headers.Set("If-None-Match", call.etag);
   if (!call.body.is_null()) {
     request.headers.Set("Content-Type", "application/json");
-    // Text from callers may hold bytes that are not UTF-8.
+    // Texts from callers may contain invalid UTF-8.
     request.body =
         call.body.dump(-1, ' ', false, Json::error_handler_t::replace);
   }
   HttpSendOptions options;
   options.timeout = call.timeout;
-  PlatformCall described = call;
-  described.body = nullptr;
+  PlatformCall call_without_body = call;
+  call_without_body.body = nullptr;
   http.Send(
       call.address, std::move(request), std::move(options),
-      [call = std::move(described), callback = std::move(callback)](
+      [call = std::move(call_without_body), callback = std::move(callback)](
           std::optional<HttpResponse> response, const HttpFailure& failure) {
-        callback(ReadReply(call, response, failure));
+        callback(ToReply(call, response, failure));
       });
 }
 
--- a/src/libs/platform/platform_call.h
+++ b/src/libs/platform/platform_call.h
@@ -1,4 +1,4 @@
-// What the clients of the platform share: JSON requests and their answers.
+// JSON requests and responses, shared by the clients of the platform.
 #ifndef THORNPLANK_PLATFORM_PLATFORM_CALL_H_
 #define THORNPLANK_PLATFORM_PLATFORM_CALL_H_
 
@@ -14,9 +14,9 @@
 
 namespace thornplank {
 
-// One call of the platform.
+// One request to the platform.
 struct PlatformCall {
-  // For errors: "append", "grant".
+  // The step named in errors: "append", "grant".
   std::string step;
   // "ip:port".
   std::string address;
@@ -24,22 +24,24 @@
   std::string target;
   // Not sent when null.
   Json body;
-  // If-None-Match; empty for none. The answer may then be 304 without a body.
+  // Sent as If-None-Match unless empty. The response may then be 304 without a
+  // body.
   std::string etag;
   Duration timeout = std::chrono::seconds(1);
 };
 
-// How a call ended.
+// The outcome of a call.
 struct PlatformReply {
-  // 0 when no whole answer came.
+  // 0 when no complete response was received.
   int status = 0;
-  // Of an answer with a JSON object as its body, else null.
+  // The response body when it is a JSON object, else null.
   Json body;
-  // The answer's ETag, or "".
+  // The response's ETag, or "".
   std::string etag;
-  // Of the answer's Retry-After in seconds, else zero.
+  // The response's Retry-After (seconds on the wire), at most one minute; zero
+  // when absent.
   Duration retry_after = Duration::zero();
-  // Meaningful when status is 0.
+  // Valid only when status is 0.
   SendProgress progress = SendProgress::kUnknown;
   // Set unless status is 200 with a JSON object, or 304.
   Error error;
@@ -47,7 +49,7 @@
   bool ok() const { return error.step.empty(); }
 };
 
-// `callback` runs once, on a thread of the client.
+// Sends `call`. `callback` runs once, on a thread of `http`.
 void SendPlatformCall(HttpClient& http, const PlatformCall& call,
                       std::function<void(const PlatformReply&)> callback);
 
--- a/src/libs/platform/stream_follower.cc
+++ b/src/libs/platform/stream_follower.cc
@@ -1,4 +1,4 @@
-// Long polls of one stream, with its offsets checked for continuity.
+// Long-polls one stream and checks that its offsets are contiguous.
 #include "platform/stream_follower.h"
 
 #include <algorithm>
@@ -39,7 +39,7 @@
         max_records_(settings.max_records) {}
 
   void Start(int64_t from) {
-    next_ = from;
+    next_offset_ = from;
     boost::asio::post(strand_, [self = shared_from_this()] { self->Read(); });
   }
 
@@ -49,7 +49,7 @@
         strand_, [self = shared_from_this()] { self->retry_timer_.cancel(); });
   }
 
-  int64_t next_offset() const { return next_; }
+  int64_t next_offset() const { return next_offset_; }
   bool caught_up() const { return caught_up_; }
   std::optional<Time> last_success() const {
     std::lock_guard lock(mutex_);
@@ -63,8 +63,9 @@
  private:
   void Read() {
     if (stopped_) return;
-    read_begun_ = Now();
-    log_.Read(stream_, next_, max_records_, settings_.wait, settings_.timeout,
+    read_start_ = Now();
+    log_.Read(stream_, next_offset_, max_records_, settings_.wait,
+              settings_.timeout,
               [self = shared_from_this()](std::optional<LogReadResult> result,
                                           const Error& error) {
                 boost::asio::dispatch(
@@ -79,11 +80,11 @@
     if (stopped_) return;
     if (!result) {
       reachability_.OnFailure(error);
-      return Retry(std::move(error));
+      return ScheduleRetry(std::move(error));
     }
     reachability_.OnSuccess();
-    const int64_t before = next_;
-    if (!SkipGap(*result) || !HandOn(*result)) return;
+    const int64_t previous_offset = next_offset_;
+    if (!CheckOffsets(*result) || !DeliverRecords(*result)) return;
     if (stopped_) return;
     {
       std::lock_guard lock(mutex_);
@@ -93,61 +94,65 @@
     inconsistent_ = false;
     retry_delay_ = settings_.retry_delay;
     max_records_ = std::min(max_records_ * 2, settings_.max_records);
-    if (next_ >= result->next_offset) caught_up_ = true;
-    // A service that does not wait must not be asked without end.
-    const bool waited = Now() - read_begun_ >= settings_.wait / 2;
-    if (next_ != before || waited) return Read();
+    if (next_offset_ >= result->next_offset) caught_up_ = true;
+    // Avoids a busy loop when the service responds without waiting.
+    const bool waited = Now() - read_start_ >= settings_.wait / 2;
+    if (next_offset_ != previous_offset || waited) return Read();
     ReadAfter(settings_.retry_delay);
   }
 
-  // False when the answer cannot be true, and is read again later.
-  bool SkipGap(const LogReadResult& result) {
-    if (result.next_offset < next_) {
-      return Refuse("the next offset " + std::to_string(result.next_offset) +
-                    " is behind what was read, " + std::to_string(next_));
+  // Checks the offsets of `result` against what was read before, and reports a
+  // gap left by retention. Returns false, with a new read scheduled, when they
+  // contradict each other.
+  bool CheckOffsets(const LogReadResult& result) {
+    if (result.next_offset < next_offset_) {
+      return RejectResponse(
+          "the next offset " + std::to_string(result.next_offset) +
+          " is behind what was read, " + std::to_string(next_offset_));
     }
-    if (result.first_offset <= next_) {
-      return !result.truncated || Refuse("gone, but still kept");
+    if (result.first_offset <= next_offset_) {
+      return !result.truncated || RejectResponse("gone, but still kept");
     }
-    const int64_t from = next_;
+    const int64_t from = next_offset_;
     LogEvent(events::kLogRecordsLost, {{"stream", stream_},
                                        {"from", from},
                                        {"first_kept", result.first_offset}});
-    next_ = result.first_offset;
+    next_offset_ = result.first_offset;
     if (on_gap_) on_gap_(from, result.first_offset);
     return true;
   }
 
-  bool HandOn(const LogReadResult& result) {
+  bool DeliverRecords(const LogReadResult& result) {
     for (const LogRecord& record : result.records) {
       if (stopped_) return false;
-      if (record.offset < next_) continue;
-      if (record.offset > next_) {
-        return Refuse("offset " + std::to_string(record.offset) +
-                      " follows where " + std::to_string(next_) + " was due");
+      if (record.offset < next_offset_) continue;
+      if (record.offset > next_offset_) {
+        return RejectResponse("offset " + std::to_string(record.offset) +
+                              " follows where " + std::to_string(next_offset_) +
+                              " was due");
       }
       on_record_(record);
-      ++next_;
+      ++next_offset_;
     }
     return true;
   }
 
-  bool Refuse(const std::string& reason) {
+  bool RejectResponse(const std::string& reason) {
     Error error{"read log", stream_, reason};
     if (!std::exchange(inconsistent_, true)) {
       LogEvent(events::kLogInconsistent, error, {{"stream", stream_}});
     }
-    Retry(std::move(error));
+    ScheduleRetry(std::move(error));
     return false;
   }
 
-  void Retry(Error error) {
+  void ScheduleRetry(Error error) {
     {
       std::lock_guard lock(mutex_);
       last_error_ = std::move(error);
     }
     ReadAfter(retry_delay_);
-    // Large records can make an answer too large, or too slow.
+    // Large records can make a response too large or too slow to receive.
     max_records_ = std::max(max_records_ / 2, 1);
     retry_delay_ = std::min(retry_delay_ * 2, settings_.max_retry_delay);
   }
@@ -167,11 +172,11 @@
   const GapHandler on_gap_;
   std::atomic<bool> stopped_{false};
   // Written on the strand, after Start.
-  std::atomic<int64_t> next_{0};
+  std::atomic<int64_t> next_offset_{0};
   std::atomic<bool> caught_up_{false};
 
   mutable std::mutex mutex_;
-  // Under mutex_.
+  // Guarded by mutex_.
   std::optional<Time> last_success_;
   Error last_error_;
 
@@ -180,10 +185,11 @@
   boost::asio::steady_timer retry_timer_;
   LogReachability reachability_;
   Milliseconds retry_delay_;
-  // Between 1 and settings_.max_records.
+  // Requested per read; between 1 and settings_.max_records.
   int max_records_;
-  Time read_begun_;
-  // The last answer contradicted what was read before; logged once.
+  Time read_start_;
+  // The last response contradicted what was read before. Logged once per
+  // occurrence.
   bool inconsistent_ = false;
 };
 
--- a/src/libs/platform/stream_follower.h
+++ b/src/libs/platform/stream_follower.h
@@ -1,4 +1,4 @@
-// Follows one stream of the log and hands its records on in order, once each.
+// Follows one stream of the log and delivers each record once, in order.
 #ifndef THORNPLANK_PLATFORM_STREAM_FOLLOWER_H_
 #define THORNPLANK_PLATFORM_STREAM_FOLLOWER_H_
 
@@ -27,11 +27,13 @@
 
 class StreamFollower {
  public:
-  // Records in order of offset, each offset once; called from one thread at a
-  // time. Duplicate ids are not filtered here: the fold does that.
+  // Receives records in order of offset, each offset once; calls do not
+  // overlap. Duplicate ids are not filtered here but by the state that the
+  // records are applied to.
   using RecordHandler = std::function<void(const LogRecord&)>;
-  // Records between `from` and `first_kept` were lost to retention before
-  // they could be read; the fold needs a snapshot or a peer.
+  // Called when the records from `from` up to, but not including, `first_kept`
+  // were removed by retention before they could be read. The receiver needs a
+  // snapshot or a peer to recover.
   using GapHandler = std::function<void(int64_t from, int64_t first_kept)>;
 
   StreamFollower(boost::asio::io_context& io, LogClient& log,
@@ -39,16 +41,17 @@
                  RecordHandler on_record, GapHandler on_gap);
   ~StreamFollower();
 
-  // Begins at `from`; reads until Stop. Once.
+  // Reads from offset `from` until Stop. Call at most once.
   void Start(int64_t from);
-  // A handler that runs at that moment ends; no other begins.
+  // Does not wait for a handler that is running; no other handler call begins
+  // afterwards.
   void Stop();
 
-  // The offset that comes next; all before it have been handed on.
+  // The offset of the next record to be delivered.
   int64_t next_offset() const;
-  // True once a read has reached the end of the stream.
+  // Whether any read has reached the end of the stream.
   bool caught_up() const;
-  // When a read last succeeded.
+  // Time of the last successful read.
   std::optional<Time> last_success() const;
   Error last_error() const;
 
--- a/src/libs/platform/stream_writer.cc
+++ b/src/libs/platform/stream_writer.cc
@@ -1,4 +1,4 @@
-// The queue of a stream's writer, its batches, retries and deadlines.
+// Implements the writer's queue, batching, retries and deadlines.
 #include "platform/stream_writer.h"
 
 #include <algorithm>
@@ -40,18 +40,19 @@
 
   void Append(std::string id, Json data, Time deadline, Callback callback,
               Duration linger) {
-    auto entry = std::make_shared<Entry>();
-    entry->record.id = std::move(id);
-    entry->record.data = std::move(data);
-    entry->deadline = deadline;
-    entry->start_by = Now() + linger;
-    entry->callback = std::move(callback);
-    const bool room = pending_.fetch_add(1) < settings_.max_pending;
-    boost::asio::post(strand_, [self = shared_from_this(), entry, room] {
+    auto queued = std::make_shared<PendingRecord>();
+    queued->record.id = std::move(id);
+    queued->record.data = std::move(data);
+    queued->deadline = deadline;
+    queued->start_by = Now() + linger;
+    queued->callback = std::move(callback);
+    const bool has_room = pending_.fetch_add(1) < settings_.max_pending;
+    boost::asio::post(strand_, [self = shared_from_this(), queued, has_room] {
       if (self->stopped_) return;
-      room ? self->Enqueue(entry)
-           : self->End(entry, AppendState::kNotAppended, -1,
-                       {"append", self->stream_, "too many records wait"});
+      has_room
+          ? self->Enqueue(queued)
+          : self->Complete(queued, AppendState::kNotAppended, -1,
+                           {"append", self->stream_, "too many records wait"});
     });
   }
 
@@ -73,68 +74,70 @@
   }
 
  private:
-  struct Entry {
+  struct PendingRecord {
     LogRecord record;
     Time deadline;
     Time start_by;
     Callback callback;
-    // An attempt with it may have been applied, or is in flight.
+    // An append with this record is in flight or may have been applied.
     bool may_be_applied = false;
-    bool ended = false;
+    bool completed = false;
   };
-  using EntryPointer = std::shared_ptr<Entry>;
-  using Batch = std::vector<EntryPointer>;
+  using RecordPointer = std::shared_ptr<PendingRecord>;
+  using Batch = std::vector<RecordPointer>;
 
-  void Enqueue(const EntryPointer& entry) {
-    queue_.push_back(entry);
-    due_ = std::min(due_, entry->start_by);
-    const auto it = by_deadline_.emplace(entry->deadline, entry);
-    if (it == by_deadline_.begin()) ArmDeadline();
-    Pump();
+  void Enqueue(const RecordPointer& queued) {
+    queue_.push_back(queued);
+    earliest_start_ = std::min(earliest_start_, queued->start_by);
+    const auto it = by_deadline_.emplace(queued->deadline, queued);
+    if (it == by_deadline_.begin()) ArmDeadlineTimer();
+    StartNextAppend();
   }
 
-  // Starts the next append, unless one is in flight or it is too early.
-  void Pump() {
+  // Starts the next append, unless one is in flight or its start time has not
+  // been reached.
+  void StartNextAppend() {
     if (in_flight_ || stopped_ || queue_.empty()) return;
-    const Time start = std::max(next_start_, due_);
-    if (Now() < start) return ArmStart(start);
+    const Time start = std::max(next_start_, earliest_start_);
+    if (Now() < start) return ArmStartTimer(start);
     Batch batch = TakeBatch();
     if (batch.empty()) return;
     in_flight_ = true;
     next_start_ = Now() + settings_.min_interval;
     std::vector<LogRecord> records;
     records.reserve(batch.size());
-    // What each record was before this attempt, should it prove not sent.
-    std::vector<bool> before;
-    for (const EntryPointer& entry : batch) {
-      records.push_back(entry->record);
-      before.push_back(std::exchange(entry->may_be_applied, true));
+    // The previous values of may_be_applied, restored if nothing was sent.
+    std::vector<bool> previous;
+    for (const RecordPointer& queued : batch) {
+      records.push_back(queued->record);
+      previous.push_back(std::exchange(queued->may_be_applied, true));
     }
     log_.TryAppend(
         stream_, records, settings_.timeout,
         [self = shared_from_this(), batch = std::move(batch),
-         before = std::move(before)](const LogAppendOutcome& outcome) {
-          boost::asio::dispatch(self->strand_, [self, batch, before, outcome] {
-            self->OnOutcome(batch, before, outcome);
-          });
+         previous = std::move(previous)](const LogAppendOutcome& outcome) {
+          boost::asio::dispatch(self->strand_,
+                                [self, batch, previous, outcome] {
+                                  self->OnOutcome(batch, previous, outcome);
+                                });
         });
   }
 
-  // Leaves out what is past its deadline: Expire ends it.
+  // Skips records whose deadline has passed; ExpireOverdue completes them.
   Batch TakeBatch() {
     const Time now = Now();
     Batch batch;
     while (!queue_.empty() && batch.size() < settings_.max_batch) {
-      const EntryPointer entry = queue_.front();
+      const RecordPointer queued = queue_.front();
       queue_.pop_front();
-      if (entry->ended || entry->deadline <= now) continue;
-      batch.push_back(entry);
+      if (queued->completed || queued->deadline <= now) continue;
+      batch.push_back(queued);
     }
-    due_ = queue_.empty() ? Time::max() : now;
+    earliest_start_ = queue_.empty() ? Time::max() : now;
     return batch;
   }
 
-  void OnOutcome(const Batch& batch, const std::vector<bool>& before,
+  void OnOutcome(const Batch& batch, const std::vector<bool>& previous,
                  const LogAppendOutcome& outcome) {
     in_flight_ = false;
     if (stopped_) return;
@@ -144,23 +147,24 @@
     if (outcome.result) {
       OnConfirmed(batch, outcome.result->first_offset);
     } else {
-      OnFailed(batch, before, outcome);
+      OnFailed(batch, previous, outcome);
     }
-    Pump();
+    StartNextAppend();
   }
 
   void OnConfirmed(const Batch& batch, int64_t first_offset) {
     reachability_.OnSuccess();
     retry_delay_ = settings_.retry_delay;
     int64_t offset = first_offset;
-    for (const EntryPointer& entry : batch) {
-      End(entry, AppendState::kAppended, offset, {});
+    for (const RecordPointer& queued : batch) {
+      Complete(queued, AppendState::kAppended, offset, {});
       ++offset;
     }
   }
 
-  // The batch goes back to the front, in order, under the same ids.
-  void OnFailed(const Batch& batch, const std::vector<bool>& before,
+  // Puts the batch back at the front of the queue, in order and under the same
+  // ids.
+  void OnFailed(const Batch& batch, const std::vector<bool>& previous,
                 const LogAppendOutcome& outcome) {
     last_error_ = outcome.error;
     if (outcome.rate_capped) {
@@ -169,65 +173,65 @@
       reachability_.OnFailure(outcome.error);
     }
     for (size_t i = 0; i < batch.size(); ++i) {
-      if (!outcome.may_be_applied) batch[i]->may_be_applied = before[i];
+      if (!outcome.may_be_applied) batch[i]->may_be_applied = previous[i];
     }
     queue_.insert(queue_.begin(), batch.begin(), batch.end());
-    due_ = Now();
+    earliest_start_ = Now();
     const Duration pause =
         std::max<Duration>(retry_delay_, outcome.retry_after);
     next_start_ = std::max(next_start_, Now() + pause);
     retry_delay_ = std::min(retry_delay_ * 2, settings_.max_retry_delay);
   }
 
-  void ArmStart(Time start) {
-    if (armed_for_ && *armed_for_ <= start) return;
-    armed_for_ = start;
+  void ArmStartTimer(Time start) {
+    if (start_timer_expiry_ && *start_timer_expiry_ <= start) return;
+    start_timer_expiry_ = start;
     start_timer_.expires_at(start);
     start_timer_.async_wait(
         [self = shared_from_this()](const error_code& code) {
           if (code) return;
-          self->armed_for_.reset();
-          self->Pump();
+          self->start_timer_expiry_.reset();
+          self->StartNextAppend();
         });
   }
 
-  void ArmDeadline() {
+  void ArmDeadlineTimer() {
     deadline_timer_.expires_at(by_deadline_.begin()->first);
     deadline_timer_.async_wait(
         [self = shared_from_this()](const error_code& code) {
-          if (!code && !self->stopped_) self->Expire();
+          if (!code && !self->stopped_) self->ExpireOverdue();
         });
   }
 
-  void Expire() {
+  void ExpireOverdue() {
     const Time now = Now();
     while (!by_deadline_.empty() && by_deadline_.begin()->first <= now) {
-      const EntryPointer entry = by_deadline_.begin()->second;
+      const RecordPointer queued = by_deadline_.begin()->second;
       by_deadline_.erase(by_deadline_.begin());
-      if (entry->ended) continue;
-      const AppendState state = entry->may_be_applied
+      if (queued->completed) continue;
+      const AppendState state = queued->may_be_applied
                                     ? AppendState::kUnknown
                                     : AppendState::kNotAppended;
       std::string reason = "the deadline passed";
       if (!healthy_) reason += "; last failure: " + last_error_.reason;
-      End(entry, state, -1, {"append", stream_, reason});
+      Complete(queued, state, -1, {"append", stream_, reason});
     }
-    while (!queue_.empty() && queue_.front()->ended) {
+    while (!queue_.empty() && queue_.front()->completed) {
       queue_.pop_front();
     }
-    if (!by_deadline_.empty()) ArmDeadline();
+    if (!by_deadline_.empty()) ArmDeadlineTimer();
   }
 
-  void End(const EntryPointer& entry, AppendState state, int64_t offset,
-           const Error& error) {
-    if (entry->ended) return;
-    entry->ended = true;
+  void Complete(const RecordPointer& queued, AppendState state, int64_t offset,
+                const Error& error) {
+    if (queued->completed) return;
+    queued->completed = true;
     --pending_;
-    const auto [begin, end] = by_deadline_.equal_range(entry->deadline);
+    const auto [begin, end] = by_deadline_.equal_range(queued->deadline);
     const auto it = std::find_if(
-        begin, end, [&](const auto& item) { return item.second == entry; });
+        begin, end, [&](const auto& item) { return item.second == queued; });
     if (it != end) by_deadline_.erase(it);
-    const Callback callback = std::move(entry->callback);
+    const Callback callback = std::move(queued->callback);
     if (callback) callback(state, offset, error);
   }
 
@@ -236,7 +240,7 @@
   const StreamWriterSettings settings_;
   std::atomic<size_t> pending_{0};
   std::atomic<bool> healthy_{true};
-  // Means nothing while healthy_.
+  // Valid only while healthy_ is false.
   std::atomic<Time> failing_since_{};
   std::atomic<bool> stopped_{false};
 
@@ -245,16 +249,17 @@
   boost::asio::steady_timer start_timer_;
   boost::asio::steady_timer deadline_timer_;
   LogReachability reachability_;
-  // In order of arrival; may hold entries that have ended.
-  std::deque<EntryPointer> queue_;
-  // Every entry that has not ended, in flight ones included.
-  std::multimap<Time, EntryPointer> by_deadline_;
+  // In order of arrival; may contain records that are already complete.
+  std::deque<RecordPointer> queue_;
+  // Every record that is not complete, including those in flight.
+  std::multimap<Time, RecordPointer> by_deadline_;
   bool in_flight_ = false;
+  // Earliest start of the next append, by the rate limit and retry delays.
   Time next_start_ = Time::min();
-  // The earliest start_by of what is queued.
-  Time due_ = Time::max();
-  // When start_timer_ fires; it may be too early, never too late.
-  std::optional<Time> armed_for_;
+  // The earliest `start_by` of the queued records.
+  Time earliest_start_ = Time::max();
+  // Expiry of start_timer_. May be earlier than needed, never later.
+  std::optional<Time> start_timer_expiry_;
   Milliseconds retry_delay_;
   Error last_error_;
 };
--- a/src/libs/platform/stream_writer.h
+++ b/src/libs/platform/stream_writer.h
@@ -1,9 +1,9 @@
-// Appends records to one stream in batches, with one append in flight.
+// Appends records to one stream in batches, with at most one append in flight.
 //
-// The budget of the log is several hundred appends a second for everyone, so
-// what arrives while an append is in flight travels in the next one. A lost
-// reply never decides anything: the caller learns the fate of a record by
-// seeing it come back through the StreamFollower.
+// The log service allows several hundred appends per second over all clients,
+// so records that arrive during an append are sent together in the next one. A
+// lost response leaves the outcome of an append open: the caller learns whether
+// the record was stored by reading it back through a StreamFollower.
 #ifndef THORNPLANK_PLATFORM_STREAM_WRITER_H_
 #define THORNPLANK_PLATFORM_STREAM_WRITER_H_
 
@@ -26,43 +26,46 @@
   Milliseconds timeout{2000};
   Milliseconds retry_delay{50};
   Milliseconds max_retry_delay{1000};
-  // At least this long between the starts of two appends.
+  // Minimum time between the starts of two appends.
   Milliseconds min_interval{10};
   size_t max_batch = 200;
   size_t max_pending = 20000;
 };
 
-// What is known of an append whose record has not been read back.
+// What the writer knows about an append that has not been read back.
 enum class AppendState {
-  // The service confirmed it; the offset is known.
+  // Confirmed by the service; the offset is known.
   kAppended,
-  // It never left this process: the deadline passed while it was queued.
+  // Never sent: the deadline passed while the record was queued, or the queue
+  // was full.
   kNotAppended,
-  // It was sent at least once and no reply confirmed it.
+  // Sent at least once without a confirmation.
   kUnknown,
 };
 
 class StreamWriter {
  public:
-  // Runs once per record, one at a time. `offset` is -1 unless kAppended; an
-  // earlier copy may stand before it when an attempt lost its reply.
+  // Runs once per record; calls do not overlap. `offset` is -1 unless the state
+  // is kAppended. If an earlier attempt lost its response, the stream may
+  // contain an earlier copy of the record.
   using Callback =
       std::function<void(AppendState, int64_t offset, const Error&)>;
 
   StreamWriter(boost::asio::io_context& io, LogClient& log, std::string stream,
                StreamWriterSettings settings);
-  // What is pending then gets no callback.
+  // Pending records get no callback.
   ~StreamWriter();
 
-  // Queues a record. It is sent again, under the same id, until confirmed or
-  // until `deadline`. It may be kept back for `linger`, to travel with others.
+  // Queues a record. It is sent, under the same id, until the service confirms
+  // it or `deadline` passes. It may be delayed by up to `linger` to be batched
+  // with others.
   void Append(std::string id, Json data, Time deadline, Callback callback,
               Duration linger = Duration::zero());
 
   size_t pending() const;
-  // True when the last attempt succeeded, or none was made yet.
+  // True when the last attempt succeeded or none has been made.
   bool healthy() const;
-  // When the first of the attempts failed that have since the last success.
+  // Time of the first failure since the last success; nullopt while healthy.
   std::optional<Time> failing_since() const;
 
  private:
--- a/src/libs/platform/worker_client.cc
+++ b/src/libs/platform/worker_client.cc
@@ -1,4 +1,4 @@
-// The wire form of a worker's lease interface.
+// Encodes calls to a worker's lease interface and decodes its reports.
 #include "platform/worker_client.h"
 
 #include <utility>
@@ -10,7 +10,7 @@
 
 constexpr int kConflict = 409;
 constexpr int kInsufficientStorage = 507;
-// Far above any run time; a larger number is taken for garbage.
+// 10 years, far above any run time. Larger values are treated as invalid.
 constexpr int64_t kMaxProgressMs = int64_t{10} * 366 * 24 * 3600 * 1000;
 
 struct StateName {
@@ -35,7 +35,7 @@
   return std::nullopt;
 }
 
-int64_t CountMilliseconds(Duration duration) {
+int64_t ToMilliseconds(Duration duration) {
   return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
@@ -43,7 +43,7 @@
   return {{"epoch", token.epoch}, {"sequence", token.sequence}};
 }
 
-FencingToken ReadToken(const Json& body) {
+FencingToken DecodeToken(const Json& body) {
   FencingToken token;
   const Json* object = ObjectField(body, "newest_token");
   if (object == nullptr) return token;
@@ -52,7 +52,7 @@
   return token;
 }
 
-std::optional<Duration> ReadProgress(const Json& item) {
+std::optional<Duration> DecodeProgress(const Json& item) {
   const std::optional<int64_t> progress = IntField(item, "progress_ms");
   if (!progress || *progress < 0 || *progress > kMaxProgressMs) {
     return std::nullopt;
@@ -60,7 +60,7 @@
   return Milliseconds(*progress);
 }
 
-std::optional<LeaseReport> ReadLease(const Json& item) {
+std::optional<LeaseReport> DecodeLease(const Json& item) {
   const auto id = StringField(item, "lease_id");
   const auto state = ParseState(StringField(item, "state").value_or(""));
   if (!id || !state) return std::nullopt;
@@ -73,13 +73,13 @@
   lease.reason = StringField(item, "reason").value_or("");
   lease.accelerators =
       static_cast<int>(IntField(item, "accelerators").value_or(0));
-  lease.progress = ReadProgress(item);
+  lease.progress = DecodeProgress(item);
   return lease;
 }
 
-// A report with a lease that cannot be read is no report: a lease left out
-// would pass for one that ended.
-std::optional<WorkerReport> ReadReport(const Json& body) {
+// Rejects the whole report when a lease cannot be decoded: a missing lease
+// would be taken for one that has ended.
+std::optional<WorkerReport> DecodeReport(const Json& body) {
   const auto worker = StringField(body, "worker");
   const auto accelerators = IntField(body, "accelerators");
   const Json* leases = ArrayField(body, "leases");
@@ -87,9 +87,9 @@
   WorkerReport report;
   report.worker = *worker;
   report.accelerators = static_cast<int>(*accelerators);
-  report.newest_token = ReadToken(body);
+  report.newest_token = DecodeToken(body);
   for (const Json& item : *leases) {
-    std::optional<LeaseReport> lease = ReadLease(item);
+    std::optional<LeaseReport> lease = DecodeLease(item);
     if (!lease) return std::nullopt;
     report.leases.push_back(std::move(*lease));
   }
@@ -102,23 +102,23 @@
   return report;
 }
 
-WorkerRefusal ReadRefusal(const PlatformReply& reply) {
+WorkerRefusal ToRefusal(const PlatformReply& reply) {
   if (reply.status == 0) return WorkerRefusal::kUnreachable;
   if (reply.status == kConflict) return WorkerRefusal::kStaleToken;
   if (reply.status == kInsufficientStorage) return WorkerRefusal::kNoRoom;
   return WorkerRefusal::kOther;
 }
 
-void Call(HttpClient& http, const PlatformCall& call,
-          WorkerClient::Callback callback) {
+void SendCall(HttpClient& http, const PlatformCall& call,
+              WorkerClient::Callback callback) {
   SendPlatformCall(
       http, call,
       [callback = std::move(callback), step = call.step,
        address = call.address](const PlatformReply& reply) {
         if (!reply.ok()) {
-          return callback(std::nullopt, ReadRefusal(reply), reply.error);
+          return callback(std::nullopt, ToRefusal(reply), reply.error);
         }
-        std::optional<WorkerReport> report = ReadReport(reply.body);
+        std::optional<WorkerReport> report = DecodeReport(reply.body);
         if (!report) {
           return callback(std::nullopt, WorkerRefusal::kOther,
                           {step, address, "malformed report"});
@@ -127,9 +127,9 @@
       });
 }
 
-PlatformCall TokenCall(const std::string& step, const std::string& address,
-                       const std::string& target, const FencingToken& token,
-                       Duration timeout) {
+PlatformCall MakeTokenCall(const std::string& step, const std::string& address,
+                           const std::string& target, const FencingToken& token,
+                           Duration timeout) {
   PlatformCall call;
   call.step = step;
   call.address = address;
@@ -154,22 +154,23 @@
                      {"job_id", lease.job_id},
                      {"account", lease.account},
                      {"accelerators", lease.accelerators},
-                     {"term_ms", CountMilliseconds(lease.term)},
+                     {"term_ms", ToMilliseconds(lease.term)},
                      {"task", lease.task}});
   }
-  PlatformCall call = TokenCall("grant", address, "/v1/leases", token, timeout);
+  PlatformCall call =
+      MakeTokenCall("grant", address, "/v1/leases", token, timeout);
   call.body["leases"] = std::move(items);
-  Call(http_, call, std::move(callback));
+  SendCall(http_, call, std::move(callback));
 }
 
 void WorkerClient::Renew(const std::string& address, const FencingToken& token,
                          const std::vector<std::string>& lease_ids,
                          Duration term, Duration timeout, Callback callback) {
   PlatformCall call =
-      TokenCall("renew", address, "/v1/renewals", token, timeout);
+      MakeTokenCall("renew", address, "/v1/renewals", token, timeout);
   call.body["lease_ids"] = lease_ids;
-  call.body["term_ms"] = CountMilliseconds(term);
-  Call(http_, call, std::move(callback));
+  call.body["term_ms"] = ToMilliseconds(term);
+  SendCall(http_, call, std::move(callback));
 }
 
 void WorkerClient::Throttle(const std::string& address,
@@ -178,10 +179,10 @@
                             bool throttled, Duration timeout,
                             Callback callback) {
   PlatformCall call =
-      TokenCall("throttle", address, "/v1/throttle", token, timeout);
+      MakeTokenCall("throttle", address, "/v1/throttle", token, timeout);
   call.body["lease_ids"] = lease_ids;
   call.body["throttled"] = throttled;
-  Call(http_, call, std::move(callback));
+  SendCall(http_, call, std::move(callback));
 }
 
 void WorkerClient::Checkpoint(const std::string& address,
@@ -189,17 +190,18 @@
                               const std::vector<std::string>& lease_ids,
                               Duration timeout, Callback callback) {
   PlatformCall call =
-      TokenCall("checkpoint", address, "/v1/checkpoint", token, timeout);
+      MakeTokenCall("checkpoint", address, "/v1/checkpoint", token, timeout);
   call.body["lease_ids"] = lease_ids;
-  Call(http_, call, std::move(callback));
+  SendCall(http_, call, std::move(callback));
 }
 
 void WorkerClient::Stop(const std::string& address, const FencingToken& token,
                         const std::vector<std::string>& lease_ids,
                         Duration timeout, Callback callback) {
-  PlatformCall call = TokenCall("stop", address, "/v1/stop", token, timeout);
+  PlatformCall call =
+      MakeTokenCall("stop", address, "/v1/stop", token, timeout);
   call.body["lease_ids"] = lease_ids;
-  Call(http_, call, std::move(callback));
+  SendCall(http_, call, std::move(callback));
 }
 
 void WorkerClient::Read(const std::string& address, Duration timeout,
@@ -209,7 +211,7 @@
   call.address = address;
   call.target = "/v1/state";
   call.timeout = timeout;
-  Call(http_, call, std::move(callback));
+  SendCall(http_, call, std::move(callback));
 }
 
 }  // namespace thornplank
--- a/src/libs/platform/worker_client.h
+++ b/src/libs/platform/worker_client.h
@@ -1,4 +1,4 @@
-// The client of a worker's lease interface. See docs/PROTOCOLS.md.
+// Client of a worker's lease interface. See docs/PROTOCOLS.md.
 #ifndef THORNPLANK_PLATFORM_WORKER_CLIENT_H_
 #define THORNPLANK_PLATFORM_WORKER_CLIENT_H_
 
@@ -16,8 +16,8 @@
 
 class HttpClient;
 
-// A worker refuses every call whose token is older than the newest it has
-// seen. Tokens compare by epoch, then by sequence.
+// Fencing token of a leader. A worker rejects calls with a token older than the
+// newest one it has seen. Tokens are ordered by epoch, then by sequence.
 struct FencingToken {
   int64_t epoch = 0;
   int64_t sequence = 0;
@@ -38,7 +38,7 @@
   kCheckpointed,
   kFinished,
   kFailed,
-  // The worker does not know it: lapsed, stopped, or never granted.
+  // Unknown to the worker: expired, stopped, or never granted.
   kGone,
 };
 
@@ -49,7 +49,7 @@
   std::string account;
   int accelerators = 0;
   Duration term = std::chrono::seconds(15);
-  // Passed through to the task, the run time of a stand-in included.
+  // Passed through to the task. Includes the run time for a stand-in worker.
   Json task;
 };
 
@@ -60,10 +60,10 @@
   std::string account;
   LeaseState state = LeaseState::kGone;
   int accelerators = 0;
-  // Readable cause of kFailed.
+  // Cause of kFailed, for operators.
   std::string reason;
-  // How far the task has come since the start of this lease; nullopt when the
-  // worker does not say. Saved only in state kCheckpointed.
+  // Progress of the task since the start of this lease; nullopt when the worker
+  // does not report it. It is saved only in state kCheckpointed.
   std::optional<Duration> progress;
 };
 
@@ -72,24 +72,24 @@
   FencingToken newest_token;
   std::vector<LeaseReport> leases;
   int accelerators = 0;
-  // Usage as the worker measured it, which lags.
+  // Usage as measured by the worker at usage_as_of; lags behind.
   int accelerators_in_use = 0;
   WallTime usage_as_of;
 };
 
-// Why a worker refused a call.
+// Why a call to a worker failed.
 enum class WorkerRefusal { kNone, kStaleToken, kNoRoom, kUnreachable, kOther };
 
 class WorkerClient {
  public:
-  // `refusal` is kNone exactly when the report is set.
+  // `refusal` is kNone if and only if the report is set.
   using Callback = std::function<void(std::optional<WorkerReport>,
                                       WorkerRefusal refusal, const Error&)>;
 
   explicit WorkerClient(HttpClient& http);
 
-  // Grants every lease of `leases`, throttled, or none of them; repeating a
-  // granted lease changes nothing.
+  // Grants all of `leases`, throttled, or none of them. Granting a lease again
+  // has no effect.
   void Grant(const std::string& address, const FencingToken& token,
              const std::vector<LeaseRequest>& leases, Duration timeout,
              Callback callback);
@@ -107,7 +107,7 @@
   void Stop(const std::string& address, const FencingToken& token,
             const std::vector<std::string>& lease_ids, Duration timeout,
             Callback callback);
-  // Reads without a token.
+  // Reads the worker's report; needs no token.
   void Read(const std::string& address, Duration timeout, Callback callback);
 
  private:
--- a/tests/auto/platform/fake_service.h
+++ b/tests/auto/platform/fake_service.h
@@ -1,4 +1,4 @@
-// A platform service in this process, with answers of the test's choice.
+// An in-process platform service with responses defined by the test.
 #ifndef THORNPLANK_TESTS_PLATFORM_FAKE_SERVICE_H_
 #define THORNPLANK_TESTS_PLATFORM_FAKE_SERVICE_H_
 
@@ -26,11 +26,12 @@
   return response;
 }
 
-// Waits until `condition` holds under the lock; fails the test after 10 s.
-class Notebook {
+// Guards state shared between the test and the service's threads. WaitFor waits
+// until `condition` holds under the lock and fails the test after 10 s.
+class SharedState {
  public:
   template <class Change>
-  void Write(Change change) {
+  void Update(Change change) {
     std::lock_guard lock(mutex_);
     change();
     changed_.notify_all();
@@ -46,7 +47,7 @@
   std::condition_variable changed_;
 };
 
-// A server whose handler is the test's, and a client for it.
+// A server that runs the test's handler, and a client for it.
 class FakeService {
  public:
   using Handler =
--- a/tests/auto/platform/tst_platform_clients.cc
+++ b/tests/auto/platform/tst_platform_clients.cc
@@ -1,4 +1,4 @@
-// The wire forms of workers and the instance list.
+// Tests for the wire formats of workers and of the instance list.
 #include <doctest/doctest.h>
 
 #include <future>
@@ -28,11 +28,11 @@
   int status = 200;
   std::string body;
   std::string etag;
-  // Of the last request.
+  // The last request received.
   HttpRequest request;
 };
 
-FakeService::Handler Play(Answer& answer) {
+FakeService::Handler MakeHandler(Answer& answer) {
   return [&answer](const HttpRequest& request, HttpServer::Responder respond) {
     answer.request = request;
     HttpResponse response;
@@ -59,10 +59,10 @@
   return promise.get_future().get();
 }
 
-TEST_CASE("each worker call has its wire form, and reads the report") {
+TEST_CASE("each worker call sends its wire format and decodes the report") {
   Answer answer;
   answer.body = kReport;
-  FakeService service(Play(answer));
+  FakeService service(MakeHandler(answer));
   WorkerClient client(service.http);
   const std::string address = service.server.address();
   const FencingToken token{3, 9};
@@ -132,9 +132,9 @@
   }
 }
 
-TEST_CASE("progress that is missing or senseless is none") {
+TEST_CASE("missing or invalid progress is nullopt") {
   Answer answer;
-  FakeService service(Play(answer));
+  FakeService service(MakeHandler(answer));
   WorkerClient client(service.http);
   for (const char* field : {"", R"(,"progress_ms":-1)", R"(,"progress_ms":"7")",
                             R"(,"progress_ms":9000000000000000000)"}) {
@@ -151,7 +151,7 @@
   }
 }
 
-TEST_CASE("a worker's refusals are told apart") {
+TEST_CASE("the refusals of a worker are distinguished") {
   struct Case {
     int status;
     std::string body;
@@ -164,13 +164,13 @@
       {500, "oops", WorkerRefusal::kOther},
       {200, "no json", WorkerRefusal::kOther},
       {200, R"({"worker":"w1"})", WorkerRefusal::kOther},
-      // A lease that cannot be read must not be left out.
+      // A lease that cannot be decoded must not be skipped.
       {200, R"({"worker":"w1","accelerators":8,
                 "leases":[{"lease_id":"l1","state":"dancing"}]})",
        WorkerRefusal::kOther},
   };
   Answer answer;
-  FakeService service(Play(answer));
+  FakeService service(MakeHandler(answer));
   WorkerClient client(service.http);
   for (const Case& c : cases) {
     CAPTURE(c.body);
@@ -191,7 +191,7 @@
   CHECK(unreachable.refusal == WorkerRefusal::kUnreachable);
 }
 
-TEST_CASE("the instance list leaves out what it cannot name") {
+TEST_CASE("the instance list skips invalid items") {
   Answer answer;
   answer.body = R"({"as_of_ms": 5000, "instances": [
     {"name": "w1", "kind": "worker", "address": "127.0.0.1:5",
@@ -201,7 +201,7 @@
     {"kind": "entry", "address": "127.0.0.1:7"},
     {"name": "e1", "kind": "executor", "address": "127.0.0.1:8",
      "state": "live", "service": "price", "slots": 8}]})";
-  FakeService service(Play(answer));
+  FakeService service(MakeHandler(answer));
   InstanceListClient client(service.http, service.server.address());
   const auto read = [&client] {
     std::promise<std::optional<InstanceList>> promise;
@@ -220,7 +220,7 @@
   CHECK(list->instances[0].memory_mb == 64000);
   CHECK(list->instances[1].kind == InstanceKind::kExecutor);
   CHECK(list->instances[1].slots == 8);
-  // With a validator, an unchanged list travels once.
+  // With an ETag, an unchanged list is not sent again.
   answer.etag = "\"7\"";
   REQUIRE(read());
   answer.status = 304;
--- a/tests/auto/platform/tst_stream_follower.cc
+++ b/tests/auto/platform/tst_stream_follower.cc
@@ -1,4 +1,5 @@
-// The stream follower against a log service that forgets, fails and repeats.
+// Tests the stream follower against a log service that drops records, fails and
+// repeats records.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -13,7 +14,7 @@
 
 using test::FakeService;
 using test::JsonResponse;
-using test::Notebook;
+using test::SharedState;
 
 using Offsets = std::vector<int64_t>;
 
@@ -28,16 +29,18 @@
   return {{"records", records}, {"first_offset", first}, {"next_offset", next}};
 }
 
-struct Step {
+struct Response {
   int status;
   Json body;
 };
 
-// Answers reads by the steps in turn, then with an empty stream's end.
+// Answers reads with the given responses in turn, then with empty reads at the
+// end of the stream.
 class Fixture {
  public:
-  explicit Fixture(std::vector<Step> steps, HttpClientLimits limits = {})
-      : steps_(std::move(steps)),
+  explicit Fixture(std::vector<Response> responses,
+                   HttpClientLimits limits = {})
+      : responses_(std::move(responses)),
         service_(
             [this](const HttpRequest& request,
                    const HttpServer::Responder& respond) {
@@ -48,21 +51,21 @@
         follower_(
             service_.pool.io(), log_, "jobs", Settings(),
             [this](const LogRecord& record) {
-              notes_.Write([&] { handed_on.push_back(record.offset); });
+              state_.Update([&] { delivered.push_back(record.offset); });
             },
             [this](int64_t from, int64_t first) {
-              notes_.Write([&] { gaps.emplace_back(from, first); });
+              state_.Update([&] { gaps.emplace_back(from, first); });
             }) {}
   ~Fixture() { service_.pool.Stop(); }
 
   StreamFollower& follower() { return follower_; }
   void WaitForReads(size_t count) {
-    notes_.WaitFor([&] { return reads.size() >= count; });
+    state_.WaitFor([&] { return reads.size() >= count; });
   }
 
-  Offsets handed_on;
+  Offsets delivered;
   std::vector<std::pair<int64_t, int64_t>> gaps;
-  // "from" and "max" of each read.
+  // The query parameters "from" and "max" of each read.
   std::vector<std::pair<std::string, std::string>> reads;
 
  private:
@@ -77,33 +80,33 @@
   }
 
   HttpResponse OnRead(const HttpRequest& request) {
-    size_t step = 0;
-    notes_.Write([&] {
-      step = reads.size();
+    size_t index = 0;
+    state_.Update([&] {
+      index = reads.size();
       reads.emplace_back(request.query("from"), request.query("max"));
     });
-    if (step < steps_.size()) {
-      return JsonResponse(steps_[step].status, steps_[step].body);
+    if (index < responses_.size()) {
+      return JsonResponse(responses_[index].status, responses_[index].body);
     }
     const int64_t from = std::stoll(request.query("from"));
     return JsonResponse(200, Records({}, 0, from));
   }
 
-  const std::vector<Step> steps_;
-  Notebook notes_;
+  const std::vector<Response> responses_;
+  SharedState state_;
   FakeService service_;
   LogClient log_;
   StreamFollower follower_;
 };
 
-TEST_CASE("records are handed on in order, each offset once") {
+TEST_CASE("records are delivered in order, each offset once") {
   struct Case {
     std::string name;
-    std::vector<Step> steps;
-    Offsets handed_on;
+    std::vector<Response> responses;
+    Offsets delivered;
     std::vector<std::pair<int64_t, int64_t>> gaps;
   };
-  const Step whole = {200, Records({0, 1, 2}, 0, 3)};
+  const Response whole = {200, Records({0, 1, 2}, 0, 3)};
   const std::vector<Case> cases = {
       {"plain", {whole, {200, Records({3}, 0, 4)}}, {0, 1, 2, 3}, {}},
       {"an answer repeats what was read",
@@ -146,20 +149,20 @@
   };
   for (const Case& c : cases) {
     CAPTURE(c.name);
-    Fixture fixture(c.steps);
+    Fixture fixture(c.responses);
     fixture.follower().Start(0);
-    fixture.WaitForReads(c.steps.size() + 2);
+    fixture.WaitForReads(c.responses.size() + 2);
     fixture.follower().Stop();
-    CHECK(fixture.handed_on == c.handed_on);
+    CHECK(fixture.delivered == c.delivered);
     CHECK(fixture.gaps == c.gaps);
-    CHECK(fixture.follower().next_offset() == c.handed_on.back() + 1);
+    CHECK(fixture.follower().next_offset() == c.delivered.back() + 1);
     CHECK(fixture.follower().caught_up());
     CHECK(fixture.follower().last_success());
   }
 }
 
-TEST_CASE("a failing log shows in last_error, and is not the stream's end") {
-  Fixture fixture(std::vector<Step>(1000, Step{503, Json::object()}));
+TEST_CASE("a failing log sets last_error and does not count as caught up") {
+  Fixture fixture(std::vector<Response>(1000, Response{503, Json::object()}));
   fixture.follower().Start(5);
   fixture.WaitForReads(3);
   fixture.follower().Stop();
@@ -169,7 +172,7 @@
   CHECK(fixture.follower().next_offset() == 5);
 }
 
-TEST_CASE("an answer that is too large is asked for in smaller parts") {
+TEST_CASE("a response that is too large is requested again in smaller parts") {
   HttpClientLimits limits;
   limits.max_response_bytes = 120;
   Fixture fixture({{200, Records({0, 1, 2, 3}, 0, 4)},
@@ -179,7 +182,7 @@
   fixture.follower().Start(0);
   fixture.WaitForReads(4);
   fixture.follower().Stop();
-  CHECK(fixture.handed_on == Offsets{0});
+  CHECK(fixture.delivered == Offsets{0});
   CHECK(fixture.reads[1].second == "2");
   CHECK(fixture.reads[2].second == "1");
   CHECK(fixture.reads[3].second == "2");
--- a/tests/auto/platform/tst_stream_writer.cc
+++ b/tests/auto/platform/tst_stream_writer.cc
@@ -1,4 +1,5 @@
-// The stream writer against a log service that loses, refuses and delays.
+// Tests the stream writer against a log service that loses, refuses and delays
+// appends.
 #include <doctest/doctest.h>
 
 #include <future>
@@ -14,16 +15,17 @@
 
 using test::FakeService;
 using test::JsonResponse;
-using test::Notebook;
+using test::SharedState;
 
 using Ids = std::vector<std::string>;
 
-struct Fate {
+struct Outcome {
   AppendState state;
   int64_t offset;
 };
 
-// Answers the n-th append as `answer` says; what is not answered is lost.
+// Passes the n-th append to `answer`. An append that it does not answer is
+// lost.
 class Fixture {
  public:
   using Answer = std::function<void(size_t n, const HttpServer::Responder&)>;
@@ -38,7 +40,7 @@
         writer_(service_.pool.io(), log_, "jobs", Settings()) {}
   ~Fixture() {
     service_.pool.Stop();
-    lost_.clear();
+    unanswered_.clear();
   }
 
   void Append(const std::string& id, Milliseconds deadline,
@@ -46,23 +48,23 @@
     writer_.Append(
         id, Json::object(), std::chrono::steady_clock::now() + deadline,
         [this, id](AppendState state, int64_t offset, const Error&) {
-          notes_.Write([&] {
-            REQUIRE(fates_.count(id) == 0);
-            fates_[id] = {state, offset};
+          state_.Update([&] {
+            REQUIRE(outcomes_.count(id) == 0);
+            outcomes_[id] = {state, offset};
           });
         },
         linger);
   }
-  Fate FateOf(const std::string& id) {
-    notes_.WaitFor([&] { return fates_.count(id) == 1; });
-    return fates_[id];
+  Outcome OutcomeOf(const std::string& id) {
+    state_.WaitFor([&] { return outcomes_.count(id) == 1; });
+    return outcomes_[id];
   }
   void WaitForAttempts(size_t count) {
-    notes_.WaitFor([&] { return attempts_.size() >= count; });
+    state_.WaitFor([&] { return attempts_.size() >= count; });
   }
   std::vector<Ids> attempts() {
     std::vector<Ids> copy;
-    notes_.Write([&] { copy = attempts_; });
+    state_.Update([&] { copy = attempts_; });
     return copy;
   }
   StreamWriter& writer() { return writer_; }
@@ -86,19 +88,19 @@
       ids.push_back(*StringField(record, "id"));
     }
     size_t attempt = 0;
-    notes_.Write([&] {
+    state_.Update([&] {
       attempts_.push_back(ids);
       attempt = attempts_.size();
-      // Kept, so that dropping it does not answer.
-      lost_.push_back(respond);
+      // Kept alive, because destroying a responder responds with 500.
+      unanswered_.push_back(respond);
     });
     answer_(attempt, respond);
   }
 
-  Notebook notes_;
-  std::map<std::string, Fate> fates_;
+  SharedState state_;
+  std::map<std::string, Outcome> outcomes_;
   std::vector<Ids> attempts_;
-  std::vector<HttpServer::Responder> lost_;
+  std::vector<HttpServer::Responder> unanswered_;
   const Answer answer_;
   FakeService service_;
   LogClient log_;
@@ -110,7 +112,7 @@
                        {{"first_offset", first_offset}, {"next_offset", 100}}));
 }
 
-TEST_CASE("a lost or refused append is repeated under the same id") {
+TEST_CASE("a lost or refused append is retried under the same id") {
   struct Case {
     std::string name;
     Fixture::Answer first_answer;
@@ -136,9 +138,9 @@
       n == 1 ? c.first_answer(n, respond) : Confirm(respond, 7);
     });
     fixture.Append("a", Milliseconds(5000));
-    const Fate fate = fixture.FateOf("a");
-    CHECK(fate.state == AppendState::kAppended);
-    CHECK(fate.offset == 7);
+    const Outcome outcome = fixture.OutcomeOf("a");
+    CHECK(outcome.state == AppendState::kAppended);
+    CHECK(outcome.offset == 7);
     CHECK(fixture.attempts() == std::vector<Ids>{{"a"}, {"a"}});
     CHECK(fixture.writer().healthy());
     CHECK_FALSE(fixture.writer().failing_since().has_value());
@@ -146,9 +148,9 @@
   }
 }
 
-TEST_CASE("what arrives during an append travels in the next one, in order") {
-  std::promise<void> go_on;
-  std::shared_future<void> wait = go_on.get_future().share();
+TEST_CASE("records queued during an append are sent together, in order") {
+  std::promise<void> proceed;
+  std::shared_future<void> wait = proceed.get_future().share();
   Fixture fixture([&](size_t n, const HttpServer::Responder& respond) {
     if (n == 1) wait.wait();
     Confirm(respond, n == 1 ? 0 : 10);
@@ -157,28 +159,28 @@
   fixture.WaitForAttempts(1);
   fixture.Append("b", Milliseconds(5000));
   fixture.Append("c", Milliseconds(5000));
-  go_on.set_value();
-  CHECK(fixture.FateOf("c").offset == 11);
-  CHECK(fixture.FateOf("b").offset == 10);
-  CHECK(fixture.FateOf("a").offset == 0);
+  proceed.set_value();
+  CHECK(fixture.OutcomeOf("c").offset == 11);
+  CHECK(fixture.OutcomeOf("b").offset == 10);
+  CHECK(fixture.OutcomeOf("a").offset == 0);
   CHECK(fixture.attempts() == std::vector<Ids>{{"a"}, {"b", "c"}});
 }
 
-TEST_CASE("what may linger travels with the next record, or alone at last") {
+TEST_CASE("a lingering record is sent with the next one, or alone in the end") {
   Fixture fixture([](size_t n, const HttpServer::Responder& respond) {
     Confirm(respond, n == 1 ? 0 : 10);
   });
   fixture.Append("kept back", Milliseconds(60000), Milliseconds(50000));
   fixture.Append("urgent", Milliseconds(5000));
-  CHECK(fixture.FateOf("kept back").offset == 0);
-  CHECK(fixture.FateOf("urgent").offset == 1);
+  CHECK(fixture.OutcomeOf("kept back").offset == 0);
+  CHECK(fixture.OutcomeOf("urgent").offset == 1);
   fixture.Append("alone", Milliseconds(5000), Milliseconds(10));
-  CHECK(fixture.FateOf("alone").offset == 10);
+  CHECK(fixture.OutcomeOf("alone").offset == 10);
   CHECK(fixture.attempts() ==
         std::vector<Ids>{{"kept back", "urgent"}, {"alone"}});
 }
 
-TEST_CASE("the deadline tells unknown from never sent") {
+TEST_CASE("an expired record is reported as unknown or as never sent") {
   SUBCASE("sent without a reply, and queued behind it") {
     Fixture fixture([](size_t, const HttpServer::Responder&) {});
     fixture.Append("sent", Milliseconds(60));
@@ -186,17 +188,17 @@
     fixture.Append("queued", Milliseconds(1));
     fixture.Append("third", Milliseconds(60));
     fixture.Append("one too many", Milliseconds(5000));
-    CHECK(fixture.FateOf("one too many").state == AppendState::kNotAppended);
-    CHECK(fixture.FateOf("queued").state == AppendState::kNotAppended);
-    CHECK(fixture.FateOf("sent").state == AppendState::kUnknown);
-    CHECK(fixture.FateOf("third").state == AppendState::kNotAppended);
+    CHECK(fixture.OutcomeOf("one too many").state == AppendState::kNotAppended);
+    CHECK(fixture.OutcomeOf("queued").state == AppendState::kNotAppended);
+    CHECK(fixture.OutcomeOf("sent").state == AppendState::kUnknown);
+    CHECK(fixture.OutcomeOf("third").state == AppendState::kNotAppended);
   }
   SUBCASE("an outage's refusal proves nothing") {
     Fixture fixture([](size_t, const HttpServer::Responder& respond) {
       respond(JsonResponse(503, Json::object()));
     });
     fixture.Append("a", Milliseconds(60));
-    CHECK(fixture.FateOf("a").state == AppendState::kUnknown);
+    CHECK(fixture.OutcomeOf("a").state == AppendState::kUnknown);
     CHECK_FALSE(fixture.writer().healthy());
     CHECK(fixture.writer().failing_since().has_value());
   }
@@ -205,7 +207,7 @@
       if (n > 1) respond(JsonResponse(429, Json::object()));
     });
     fixture.Append("a", Milliseconds(300));
-    CHECK(fixture.FateOf("a").state == AppendState::kUnknown);
+    CHECK(fixture.OutcomeOf("a").state == AppendState::kUnknown);
     CHECK(fixture.attempts().size() > 1);
   }
   SUBCASE("no connection") {
@@ -223,14 +225,14 @@
   }
 }
 
-TEST_CASE("Retry-After of the rate cap is obeyed") {
+TEST_CASE("Retry-After of the rate limit is honored") {
   Fixture fixture([](size_t, const HttpServer::Responder& respond) {
     HttpResponse response = JsonResponse(429, Json::object());
     response.headers.Set("Retry-After", "30");
     respond(std::move(response));
   });
   fixture.Append("a", Milliseconds(300));
-  CHECK(fixture.FateOf("a").state == AppendState::kNotAppended);
+  CHECK(fixture.OutcomeOf("a").state == AppendState::kNotAppended);
   CHECK(fixture.attempts().size() == 1);
 }
 
