--- a/src/libs/client/api_client.cc
+++ b/src/libs/client/api_client.cc
@@ -1,4 +1,4 @@
-// Blocking calls on top of the asynchronous HttpClient.
+// Implements blocking calls on top of the asynchronous HttpClient.
 #include "client/api_client.h"
 
 #include <future>
@@ -55,9 +55,9 @@
         entry, MakeRequest(method, target, body, headers), settings_.timeout);
     if (result.response.has_value()) return result.response;
     if (error != nullptr) *error = result.failure.error;
-    const bool repeatable =
+    const bool may_retry =
         method == "GET" || result.failure.progress == SendProgress::kNotSent;
-    if (!repeatable) return std::nullopt;
+    if (!may_retry) return std::nullopt;
   }
   return std::nullopt;
 }
--- a/src/libs/client/api_client.h
+++ b/src/libs/client/api_client.h
@@ -1,4 +1,4 @@
-// A blocking client of the entries' HTTP interface, for command-line tools.
+// Blocking client of the entries' HTTP interface, for command-line tools.
 #ifndef THORNPLANK_CLIENT_API_CLIENT_H_
 #define THORNPLANK_CLIENT_API_CLIENT_H_
 
@@ -17,7 +17,7 @@
   // Entries as "ip:port", tried in this order.
   std::vector<std::string> entries;
   std::string token;
-  // The account an operator acts for; empty for none.
+  // The client account on whose behalf an operator acts; empty for none.
   std::string account;
   Milliseconds timeout{10000};
 };
@@ -27,14 +27,14 @@
   explicit ApiClient(ApiClientSettings settings);
   ~ApiClient();
 
-  // Sends to the first entry that takes it. The next entry is tried only when
-  // the request provably did not leave this process, or when `method` is GET.
-  // nullopt when no entry gave an answer.
+  // Tries the entries in order until one responds. After a failure, the next
+  // entry is tried only when the request was provably not sent or `method` is
+  // GET. nullopt when no entry responded.
   std::optional<HttpResponse> Send(const std::string& method,
                                    const std::string& target,
                                    const std::string& body,
                                    const HttpHeaders& headers, Error* error);
-  // Sends to that entry alone.
+  // Sends to `entry` only.
   std::optional<HttpResponse> SendTo(const std::string& entry,
                                      const std::string& method,
                                      const std::string& target,
@@ -46,7 +46,7 @@
  private:
   class Impl;
 
-  // Adds token, account and content type.
+  // Sets the token, account and content type headers unless `headers` has them.
   HttpRequest MakeRequest(const std::string& method, const std::string& target,
                           const std::string& body,
                           const HttpHeaders& headers) const;
--- a/src/libs/client/table_printer.cc
+++ b/src/libs/client/table_printer.cc
@@ -1,4 +1,4 @@
-// Column widths and padding.
+// Computes column widths and pads the cells.
 #include "client/table_printer.h"
 
 #include <algorithm>
--- a/src/libs/client/table_printer.h
+++ b/src/libs/client/table_printer.h
@@ -1,4 +1,4 @@
-// Prints rows as a table with aligned columns.
+// Formats rows as a table with aligned columns.
 #ifndef THORNPLANK_CLIENT_TABLE_PRINTER_H_
 #define THORNPLANK_CLIENT_TABLE_PRINTER_H_
 
@@ -11,13 +11,14 @@
  public:
   explicit TablePrinter(std::vector<std::string> header);
 
-  // A row shorter than the header is filled with empty cells.
+  // A row shorter than the header is padded with empty cells; extra cells are
+  // dropped.
   void AddRow(std::vector<std::string> cells);
-  // The table, one line a row, columns two spaces apart.
+  // Returns the table, one line per row, columns separated by two spaces.
   std::string ToText() const;
 
  private:
-  // The header first; every row has as many cells as the header.
+  // The header is the first row. All rows have the same number of cells.
   std::vector<std::vector<std::string>> rows_;
 };
 
--- a/src/libs/instances/instance_directory.cc
+++ b/src/libs/instances/instance_directory.cc
@@ -1,4 +1,4 @@
-// Merging, and the two views.
+// Merges the list with the drains and converts it for routing and scheduling.
 #include "instances/instance_directory.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
                   instance.service, instance.slots);
 }
 
-bool Same(const std::vector<Instance>& a, const std::vector<Instance>& b) {
+bool AreEqual(const std::vector<Instance>& a, const std::vector<Instance>& b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](const Instance& left, const Instance& right) {
                       return AsTuple(left) == AsTuple(right);
@@ -25,9 +25,9 @@
 }  // namespace
 
 bool InstanceDirectory::SetList(const InstanceList& list) {
-  if (seen_ && list.as_of < list_.as_of) return false;
-  const bool first = !seen_;
-  seen_ = true;
+  if (has_list_ && list.as_of < list_.as_of) return false;
+  const bool first = !has_list_;
+  has_list_ = true;
   list_ = list;
   return Rebuild() || first;
 }
@@ -45,7 +45,7 @@
   std::sort(
       merged.begin(), merged.end(),
       [](const Instance& a, const Instance& b) { return a.name < b.name; });
-  if (Same(merged, instances_)) return false;
+  if (AreEqual(merged, instances_)) return false;
   instances_ = std::move(merged);
   return true;
 }
--- a/src/libs/instances/instance_directory.h
+++ b/src/libs/instances/instance_directory.h
@@ -1,7 +1,7 @@
 // The instance list merged with the operators' drains.
 //
-// Decision code: what the list shows goes in, workers and executors in the
-// words of routing and scheduling come out.
+// Pure decision logic: converts instances to the executor and worker types of
+// routing and scheduling.
 #ifndef THORNPLANK_INSTANCES_INSTANCE_DIRECTORY_H_
 #define THORNPLANK_INSTANCES_INSTANCE_DIRECTORY_H_
 
@@ -17,18 +17,18 @@
 
 class InstanceDirectory {
  public:
-  // True when something changed. A list older than the one held is ignored:
-  // the platform's answers may overtake each other.
+  // Return whether the directory changed. A list older than the current one is
+  // ignored, because responses of the platform may arrive out of order.
   bool SetList(const InstanceList& list);
   bool SetDrains(const std::set<std::string>& drains);
 
-  // An instance that the list or a drain names as leaving is leaving.
+  // An instance is leaving when the list or a drain says so.
   std::vector<ExecutorInfo> executors() const;
   std::vector<WorkerInfo> workers() const;
   // All instances, with drains applied, sorted by name.
   const std::vector<Instance>& instances() const { return instances_; }
-  // True once a list has been seen.
-  bool has_list() const { return seen_; }
+  // Whether a list has been received.
+  bool has_list() const { return has_list_; }
 
  private:
   bool Rebuild();
@@ -37,7 +37,7 @@
   std::set<std::string> drains_;
   // list_ with drains_ applied.
   std::vector<Instance> instances_;
-  bool seen_ = false;
+  bool has_list_ = false;
 };
 
 }  // namespace thornplank
--- a/src/libs/instances/instance_watcher.cc
+++ b/src/libs/instances/instance_watcher.cc
@@ -1,4 +1,4 @@
-// The polling loop: one read in flight, then a pause.
+// Polls the list: one read at a time, with a pause after each.
 #include "instances/instance_watcher.h"
 
 #include <atomic>
@@ -41,12 +41,12 @@
                  [self = shared_from_this()](std::optional<InstanceList> list,
                                              const Error& error) {
                    boost::asio::post(self->strand_, [self, list, error] {
-                     self->Finish(list, error);
+                     self->OnRead(list, error);
                    });
                  });
   }
 
-  void Finish(const std::optional<InstanceList>& list, const Error& error) {
+  void OnRead(const std::optional<InstanceList>& list, const Error& error) {
     if (stopped_) return;
     if (list.has_value()) {
       if (!reachable_) {
@@ -66,7 +66,7 @@
   }
 
   boost::asio::strand<boost::asio::io_context::executor_type> strand_;
-  // Used on the strand, as is reachable_.
+  // Used on the strand only, like reachable_.
   boost::asio::steady_timer timer_;
   InstanceListClient& client_;
   const InstanceWatcherSettings settings_;
--- a/src/libs/instances/instance_watcher.h
+++ b/src/libs/instances/instance_watcher.h
@@ -1,7 +1,7 @@
-// Reads the platform's instance list at an interval.
+// Polls the platform's instance list.
 //
-// When the list cannot be read, the last one stays in force: an outage of the
-// platform takes nobody out.
+// When the list cannot be read, the last one stays in effect: an outage of the
+// platform must not make instances disappear.
 #ifndef THORNPLANK_INSTANCES_INSTANCE_WATCHER_H_
 #define THORNPLANK_INSTANCES_INSTANCE_WATCHER_H_
 
@@ -26,7 +26,7 @@
  public:
   using Handler = std::function<void(const InstanceList&)>;
 
-  // `on_list` runs for every list read, on one thread at a time.
+  // `on_list` runs for every list read; calls do not overlap.
   InstanceWatcher(boost::asio::io_context& io, InstanceListClient& client,
                   InstanceWatcherSettings settings, Handler on_list);
   ~InstanceWatcher();
--- a/tests/auto/client/tst_table_printer.cc
+++ b/tests/auto/client/tst_table_printer.cc
@@ -1,4 +1,4 @@
-// Alignment of table output.
+// Tests for the alignment of table output.
 #include <doctest/doctest.h>
 
 #include "client/table_printer.h"
--- a/tests/auto/instances/tst_instance_directory.cc
+++ b/tests/auto/instances/tst_instance_directory.cc
@@ -1,4 +1,5 @@
-// Lists, drains, and lists that arrive out of order.
+// Tests for InstanceDirectory: lists, drains, and lists that arrive out of
+// order.
 #include <doctest/doctest.h>
 
 #include "instances/instance_directory.h"
