--- a/src/libs/base/error.h
+++ b/src/libs/base/error.h
@@ -1,8 +1,8 @@
 // The error type of the project: which step failed, at which peer, and why.
 //
-// Functions that can fail return std::optional and take a trailing `Error*
-// error`; on failure they return std::nullopt and fill in `*error`. Objects
-// that fail outside of a call keep the most recent Error, available as
+// Functions that can fail return std::optional and take a trailing parameter
+// `Error* error`; on failure they return std::nullopt and fill in `*error`.
+// Objects that fail outside of a call keep the most recent Error, available as
 // `last_error()`.
 #ifndef THORNPLANK_BASE_ERROR_H_
 #define THORNPLANK_BASE_ERROR_H_
--- a/tests/auto/net/tst_http_client.cc
+++ b/tests/auto/net/tst_http_client.cc
@@ -149,7 +149,7 @@
     std::string peer;
     HttpRequest request;
     HttpSendOptions options;
-    bool nobody_listens;
+    bool connection_refused;
   };
   ScriptedPeer idle({Reply(Answer("unused"))});
   const std::vector<Case> cases = {
@@ -165,7 +165,7 @@
     const SendResult result = fixture.Send(c.peer, c.request, c.options);
     CHECK_FALSE(result.response);
     CHECK(result.failure.progress == SendProgress::kNotSent);
-    CHECK(result.failure.connection_refused == c.nobody_listens);
+    CHECK(result.failure.connection_refused == c.connection_refused);
     CHECK_FALSE(result.failure.error.step.empty());
     CHECK(result.failure.error.peer == c.peer);
   }
