--- a/src/libs/api/api_router.cc
+++ b/src/libs/api/api_router.cc
@@ -1,4 +1,4 @@
-// Matching of routes, bearer tokens and roles.
+// Matching of routes, and checks of bearer tokens and roles.
 #include "api/api_router.h"
 
 #include <algorithm>
@@ -27,7 +27,7 @@
   return segment.size() > 2 && segment.front() == '{' && segment.back() == '}';
 }
 
-bool TakesRest(const std::string& segment) {
+bool MatchesRest(const std::string& segment) {
   constexpr std::string_view kRest = "...}";
   return IsPlaceholder(segment) && segment.size() > kRest.size() &&
          segment.compare(segment.size() - kRest.size(), kRest.size(), kRest) ==
@@ -43,13 +43,13 @@
   return joined;
 }
 
-// Fills `parameters` and returns true when the path has the pattern's shape.
+// Returns whether the path matches the pattern; if so, fills `parameters`.
 bool MatchPath(const std::vector<std::string>& pattern,
                const std::vector<std::string>& path,
                PathParameters* parameters) {
   for (size_t i = 0; i < pattern.size(); ++i) {
     const std::string& segment = pattern[i];
-    if (TakesRest(segment)) {
+    if (MatchesRest(segment)) {
       (*parameters)[segment.substr(1, segment.size() - 5)] = JoinFrom(path, i);
       return true;
     }
@@ -73,8 +73,8 @@
   return difference == 0;
 }
 
-// Roles in rising order of what they may do.
-int Rank(Role role) {
+// A role with a higher rank has the permissions of the lower ones.
+int RoleRank(Role role) {
   switch (role) {
     case Role::kCaller:
       return 0;
@@ -107,13 +107,13 @@
     : tokens_(std::move(tokens)) {}
 
 void ApiRouter::Add(const std::string& method, const std::string& pattern,
-                    Role least_role, Handler handler) {
+                    Role min_role, Handler handler) {
   routes_.push_back(
-      {method, SplitPath(pattern), false, least_role, std::move(handler)});
+      {method, SplitPath(pattern), false, min_role, std::move(handler)});
 }
 
 void ApiRouter::AddPublic(const std::string& method, const std::string& pattern,
-                        Handler handler) {
+                          Handler handler) {
   routes_.push_back(
       {method, SplitPath(pattern), true, Role::kCaller, std::move(handler)});
 }
@@ -151,7 +151,7 @@
       allowed += route.method;
       continue;
     }
-    if (route.open) {
+    if (route.is_public) {
       route.handler(request, Caller(), parameters, std::move(respond));
       return;
     }
@@ -160,7 +160,7 @@
       respond(Unauthorized());
       return;
     }
-    if (Rank(caller->role) < Rank(route.least_role)) {
+    if (RoleRank(caller->role) < RoleRank(route.min_role)) {
       respond(ProblemResponse(
           403, "role not sufficient",
           "token '" + caller->token_name + "' may not do this"));
--- a/src/libs/api/api_router.h
+++ b/src/libs/api/api_router.h
@@ -1,5 +1,5 @@
-// Hands each HTTP request to the handler of its route, once the caller is
-// known and allowed.
+// Dispatches each HTTP request to the handler of its route, after
+// authenticating the caller and checking its role.
 #ifndef THORNPLANK_API_API_ROUTER_H_
 #define THORNPLANK_API_API_ROUTER_H_
 
@@ -23,7 +23,7 @@
   kOperator,
 };
 
-// Who sends a request, as its bearer token says.
+// The sender of a request, identified by its bearer token.
 struct Caller {
   Role role = Role::kCaller;
   // The client account a kCaller is bound to; for others the account named
@@ -52,36 +52,40 @@
 
   explicit ApiRouter(std::vector<AccessToken> tokens);
 
-  // `pattern` is like "/v1/jobs/{id}"; "{path...}" at the end takes the rest.
-  // `least_role`: kCaller lets everyone with a token in, kViewer viewers and
-  // operators, kOperator only operators. Routes are added before Route runs.
-  void Add(const std::string& method, const std::string& pattern,
-           Role least_role, Handler handler);
-  // Open routes need no token: /healthz, /readyz, /metrics.
+  // `pattern` is like "/v1/jobs/{id}"; "{path...}" at the end matches the rest
+  // of the path. `min_role`: kCaller admits every token, kViewer viewers and
+  // operators, kOperator only operators. All routes must be added before Route
+  // is called.
+  void Add(const std::string& method, const std::string& pattern, Role min_role,
+           Handler handler);
+  // Adds a route that needs no token, such as /healthz, /readyz and /metrics.
   void AddPublic(const std::string& method, const std::string& pattern,
-               Handler handler);
+                 Handler handler);
 
-  // Answers 401, 403, 404 or 405 itself.
+  // Runs the handler of the matching route, or responds with 401, 403, 404 or
+  // 405.
   void Route(HttpRequest request, HttpServer::Responder respond) const;
 
  private:
   struct RouteEntry {
     std::string method;
     std::vector<std::string> segments;
-    bool open = false;
-    Role least_role = Role::kOperator;
+    // Needs no token.
+    bool is_public = false;
+    Role min_role = Role::kOperator;
     Handler handler;
   };
 
-  // Who the bearer token belongs to; nullopt when missing or unknown.
+  // The owner of the bearer token; nullopt if the token is missing or unknown.
   std::optional<Caller> Authenticate(const HttpRequest& request) const;
 
   std::vector<AccessToken> tokens_;
   std::vector<RouteEntry> routes_;
 };
 
-// A JSON answer, and one in problem-details form (RFC 9457).
+// A JSON response.
 HttpResponse JsonResponse(int status, const std::string& body);
+// A response in problem-details form (RFC 9457).
 HttpResponse ProblemResponse(int status, const std::string& title,
                              const std::string& detail);
 
--- a/tests/auto/api/tst_api_router.cc
+++ b/tests/auto/api/tst_api_router.cc
@@ -29,7 +29,7 @@
   return router;
 }
 
-TEST_CASE("each request reaches its route, or a clear refusal") {
+TEST_CASE("each request reaches its route or is refused with its status") {
   struct Row {
     const char* method;
     const char* target;
