--- a/src/libs/admin/admin_api.cc
+++ b/src/libs/admin/admin_api.cc
@@ -1,4 +1,5 @@
-// Reads from the tree in force; writes through SettingsManager.
+// Handlers of the operators' routes: reads use the tree in force, writes go
+// through SettingsManager.
 #include "admin/admin_api.h"
 
 #include <utility>
@@ -10,10 +11,10 @@
 
 using Responder = HttpServer::Responder;
 
-// Rounds of a write without a precondition that others overtake.
+// Attempts of a write without a precondition while other changes come first.
 constexpr int kMaxAttempts = 4;
 
-// What callers wrote need not be UTF-8.
+// Replaces invalid UTF-8, which callers may have written, instead of throwing.
 std::string Dump(const Json& json) {
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
@@ -58,7 +59,7 @@
   return UnavailableResponse(result);
 }
 
-// Answers 503 itself when there is nothing to read from.
+// Returns whether the settings are ready, and responds with 503 if not.
 bool CheckReady(const SettingsManager& settings, const Responder& respond) {
   if (settings.ready()) return true;
   WriteResult result;
@@ -94,7 +95,7 @@
   change.path = path;
   change.expected_version = precondition.version;
   change.value = std::move(*value);
-  change.by = caller.token_name;
+  change.author = caller.token_name;
   Write(settings, std::move(change), respond);
 }
 
@@ -103,7 +104,7 @@
             const Responder& respond) {
   if (!CheckReady(settings, respond)) return;
   const std::shared_ptr<const SettingsTree> tree = settings.tree();
-  if (tree->own(path) == nullptr) {
+  if (tree->own_value(path) == nullptr) {
     respond(AbsentResponse(*tree, path));
     return;
   }
@@ -116,19 +117,20 @@
   change.kind = RemoveKind(path);
   change.path = path;
   change.expected_version = precondition.version;
-  change.by = caller.token_name;
+  change.author = caller.token_name;
   Write(settings, std::move(change), respond);
 }
 
-// Writes over whatever stands there, going round again when overtaken.
+// Writes whatever the present version of the path is, and tries again if
+// another change comes first.
 void WriteUnconditionally(SettingsManager& settings, SettingsChange change,
                           Responder respond, int attempt) {
   change.expected_version = settings.tree()->version(change.path);
   settings.Write(
       change, [&settings, change, respond, attempt](const WriteResult& result) {
-        const bool again = result.outcome == WriteOutcome::kLostRace &&
+        const bool retry = result.outcome == WriteOutcome::kLostRace &&
                            attempt + 1 < kMaxAttempts;
-        if (again) {
+        if (retry) {
           WriteUnconditionally(settings, change, respond, attempt + 1);
           return;
         }
@@ -153,13 +155,13 @@
   }
   if (!CheckReady(settings, respond)) return;
   const std::shared_ptr<const SettingsTree> tree = settings.tree();
-  if (tree->own(path) == nullptr || IsDocumentPath(path)) {
+  if (tree->own_value(path) == nullptr || IsDocumentPath(path)) {
     respond(AbsentResponse(*tree, path));
     return;
   }
   NodeView view;
-  view.own = caller.role != Role::kCaller;
-  view.explain = view.own && request.query("explain") == "1";
+  view.show_own = caller.role != Role::kCaller;
+  view.show_sources = view.show_own && request.query("explain") == "1";
   Json body = NodeJson(*tree, path, view);
   body["offset"] = settings.next_offset();
   respond(VersionedResponse(200, body, tree->version(path)));
@@ -169,7 +171,7 @@
                  const Responder& respond) {
   if (!CheckReady(settings, respond)) return;
   const std::shared_ptr<const SettingsTree> tree = settings.tree();
-  if (tree->own(path) == nullptr) {
+  if (tree->own_value(path) == nullptr) {
     respond(AbsentResponse(*tree, path));
     return;
   }
@@ -216,7 +218,7 @@
                 const std::string& instance, const Responder& respond) {
   if (!CheckReady(settings, respond)) return;
   const std::string path = DrainPath(instance);
-  if (settings.tree()->own(path) != nullptr) {
+  if (settings.tree()->own_value(path) != nullptr) {
     GetDocument(settings, path, respond);
     return;
   }
@@ -224,7 +226,7 @@
   change.kind = ChangeKind::kDocumentPut;
   change.path = path;
   change.value = {{"instance", instance}};
-  change.by = caller.token_name;
+  change.author = caller.token_name;
   WriteUnconditionally(settings, std::move(change), respond, /*attempt=*/0);
 }
 
@@ -233,14 +235,14 @@
   if (!CheckReady(settings, respond)) return;
   const std::string path = DrainPath(instance);
   const std::shared_ptr<const SettingsTree> tree = settings.tree();
-  if (tree->own(path) == nullptr) {
+  if (tree->own_value(path) == nullptr) {
     respond(AbsentResponse(*tree, path));
     return;
   }
   SettingsChange change;
   change.kind = ChangeKind::kDocumentRemove;
   change.path = path;
-  change.by = caller.token_name;
+  change.author = caller.token_name;
   WriteUnconditionally(settings, std::move(change), respond, /*attempt=*/0);
 }
 
@@ -258,13 +260,13 @@
                    });
 }
 
-// GET for `reader`, PUT and DELETE for operators, of the path that
-// `path_of` makes of the route's parameters.
+// Adds GET for `min_reader_role` and above, and PUT and DELETE for operators.
+// `path_of` gives the settings path for the parameters of the route.
 template <typename PathOf, typename Get>
 void AddResource(ApiRouter& router, SettingsManager& settings,
-                 const std::string& pattern, Role reader, PathOf path_of,
-                 Get get) {
-  router.Add("GET", pattern, reader, get);
+                 const std::string& pattern, Role min_reader_role,
+                 PathOf path_of, Get get) {
+  router.Add("GET", pattern, min_reader_role, get);
   router.Add("PUT", pattern, Role::kOperator,
              [&settings, path_of](
                  const HttpRequest& request, const Caller& caller,
--- a/src/libs/admin/admin_responses.cc
+++ b/src/libs/admin/admin_responses.cc
@@ -1,4 +1,4 @@
-// JSON, ETag and problem details of the operators' interface.
+// JSON bodies, ETags and problem details of the operators' interface.
 #include "admin/admin_responses.h"
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 namespace thornplank {
 namespace {
 
-// Digits that an int64_t always holds.
+// Any number with this many digits fits into an int64_t.
 constexpr size_t kMaxVersionDigits = 18;
-// An answer tells what is wrong with a large value, and does not give it back.
+// Limits on the reasons in a response, so that it does not echo a large value.
 constexpr size_t kMaxReasons = 20;
 constexpr size_t kMaxReasonBytes = 300;
 
@@ -42,16 +42,16 @@
   return response;
 }
 
-std::string Joined(const std::vector<std::string>& lines) {
+std::string JoinReasons(const std::vector<std::string>& reasons) {
   std::string text;
-  for (const std::string& line : lines) {
+  for (const std::string& reason : reasons) {
     if (!text.empty()) text += "; ";
-    text += line;
+    text += reason;
   }
   return text;
 }
 
-std::vector<std::string> Shortened(std::vector<std::string> reasons) {
+std::vector<std::string> Truncated(std::vector<std::string> reasons) {
   const size_t count = reasons.size();
   reasons.resize(std::min(count, kMaxReasons));
   for (std::string& reason : reasons) {
@@ -65,7 +65,7 @@
   return reasons;
 }
 
-Json ExplainJson(const SettingsTree& tree, const std::string& path) {
+Json SourcesJson(const SettingsTree& tree, const std::string& path) {
   Json explained = Json::object();
   for (const auto& [key, item] : tree.Explain(path)) {
     Json& entry = explained[key];
@@ -85,7 +85,7 @@
 }
 
 Json CurrentJson(const SettingsTree& tree, const std::string& path) {
-  if (tree.own(path) == nullptr) {
+  if (tree.own_value(path) == nullptr) {
     return {{"path", path}, {"version", tree.version(path)}, {"own", nullptr}};
   }
   return IsDocumentPath(path) ? DocumentJson(tree, path)
@@ -101,17 +101,17 @@
                {"effective", ToJson(tree.Effective(path))}};
   const std::optional<NodeKind> kind = tree.kind(path);
   if (kind) json["kind"] = NodeKindName(*kind);
-  if (view.own) {
-    const Json* own = tree.own(path);
+  if (view.show_own) {
+    const Json* own = tree.own_value(path);
     json["own"] = own == nullptr ? Json() : *own;
     json["children"] = ChildrenJson(tree, path);
   }
-  if (view.explain) json["explain"] = ExplainJson(tree, path);
+  if (view.show_sources) json["explain"] = SourcesJson(tree, path);
   return json;
 }
 
 Json DocumentJson(const SettingsTree& tree, const std::string& path) {
-  const Json* value = tree.own(path);
+  const Json* value = tree.own_value(path);
   return {{"name", LastSegment(path)},
           {"version", tree.version(path)},
           {"value", value == nullptr ? Json() : *value}};
@@ -133,8 +133,9 @@
 
 HttpResponse UnavailableResponse(const WriteResult& result) {
   const bool unknown = result.outcome == WriteOutcome::kUnknown;
-  HttpResponse response = ProblemResponse(
-      503, unknown ? "outcome unknown" : "not run", Joined(result.reasons));
+  HttpResponse response =
+      ProblemResponse(503, unknown ? "outcome unknown" : "not run",
+                      JoinReasons(result.reasons));
   const auto seconds =
       std::chrono::duration_cast<std::chrono::seconds>(result.retry_after);
   response.headers.Set("Retry-After",
@@ -144,9 +145,10 @@
 }
 
 HttpResponse InvalidResponse(const std::vector<std::string>& reasons) {
-  const std::vector<std::string> shown = Shortened(reasons);
-  return WithMember(ProblemResponse(400, "settings refused", Joined(shown)),
-                    "reasons", shown);
+  const std::vector<std::string> shown = Truncated(reasons);
+  return WithMember(
+      ProblemResponse(400, "settings refused", JoinReasons(shown)), "reasons",
+      shown);
 }
 
 HttpResponse LostRaceResponse(const SettingsTree& tree,
@@ -165,7 +167,7 @@
                               const std::string& path) {
   Precondition precondition;
   precondition.version = tree.version(path);
-  const bool exists = tree.own(path) != nullptr;
+  const bool exists = tree.own_value(path) != nullptr;
   const std::string match = request.headers.Value("If-Match");
   if (match == "*" || request.headers.Value("If-None-Match") == "*") {
     if (exists == (match == "*")) return precondition;
--- a/src/libs/admin/admin_responses.h
+++ b/src/libs/admin/admin_responses.h
@@ -1,4 +1,4 @@
-// Bodies and headers of the operators' interface.
+// Responses of the operators' interface, and the preconditions of its requests.
 #ifndef THORNPLANK_ADMIN_ADMIN_RESPONSES_H_
 #define THORNPLANK_ADMIN_ADMIN_RESPONSES_H_
 
@@ -13,11 +13,13 @@
 
 namespace thornplank {
 
-// What a node shows. Own values and children stay hidden from a client
-// account, which sees only what is in force for it.
+// Which parts of a node a response shows. A client account sees only the values
+// in force for it, neither a node's own values nor its children.
 struct NodeView {
-  bool own = true;
-  bool explain = false;
+  // The node's own values and its children.
+  bool show_own = true;
+  // Where each value in force comes from.
+  bool show_sources = false;
 };
 
 // {"path","version","kind","own","effective","children"[,"explain"]}.
@@ -26,7 +28,7 @@
 // {"name","version","value"} of an event or drain.
 Json DocumentJson(const SettingsTree& tree, const std::string& path);
 
-// A JSON answer with the version as ETag.
+// A JSON response with the version as ETag.
 HttpResponse VersionedResponse(int status, const Json& body, int64_t version);
 // 404 with the version of the removal as ETag.
 HttpResponse AbsentResponse(const SettingsTree& tree, const std::string& path);
@@ -34,12 +36,13 @@
 HttpResponse UnavailableResponse(const WriteResult& result);
 // 400 with one line for each reason.
 HttpResponse InvalidResponse(const std::vector<std::string>& reasons);
-// 412 with what stands now under "current".
+// 412 with the present version and value under "current".
 HttpResponse LostRaceResponse(const SettingsTree& tree,
                               const std::string& path);
 
-// What a write expects of a path, from If-Match and If-None-Match; `problem`
-// is set instead when the headers do not say, or say nonsense.
+// The version that a write expects of a path, from If-Match and If-None-Match.
+// `problem` is set instead if the headers are required and missing, malformed,
+// or already not fulfilled.
 struct Precondition {
   int64_t version = 0;
   std::optional<HttpResponse> problem;
--- a/src/libs/admin/change_writer.cc
+++ b/src/libs/admin/change_writer.cc
@@ -1,4 +1,4 @@
-// The life of an appended change, from its id to its verdict.
+// Appending, withdrawing and completing of changes.
 #include "admin/change_writer.h"
 
 #include <cstdio>
@@ -33,9 +33,9 @@
 }
 
 void ChangeWriter::Stop() {
-  std::shared_ptr<StreamWriter> ended;
+  std::shared_ptr<StreamWriter> stopped_writer;
   const std::lock_guard<std::mutex> lock(mutex_);
-  ended.swap(writer_);
+  stopped_writer.swap(writer_);
 }
 
 std::string ChangeWriter::NextId(const char* kind) {
@@ -43,19 +43,19 @@
   return id_prefix_ + kind + std::to_string(next_number_++);
 }
 
-void ChangeWriter::Append(const SettingsChange& change, Done done) {
+void ChangeWriter::Append(const SettingsChange& change, Callback callback) {
   const Time now = std::chrono::steady_clock::now();
   const Time deadline = now + options_.append_timeout;
   const std::string id = NextId("change-");
   const std::shared_ptr<StreamWriter> writer = this->writer();
   if (!writer) {
-    done(AppendOutcome::kNotAppended, ChangeResult());
+    callback(AppendOutcome::kNotAppended, ChangeResult());
     return;
   }
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    pending_[id] = {std::move(done), change.by,
-                    deadline + options_.decide_timeout};
+    pending_[id] = {std::move(callback), change.author,
+                    deadline + options_.verdict_timeout};
   }
   writer->Append(
       id, ToJson(change), deadline,
@@ -66,29 +66,29 @@
       });
 }
 
-void ChangeWriter::AppendSnapshot(Json data, StreamWriter::Callback done) {
+void ChangeWriter::AppendSnapshot(Json data, StreamWriter::Callback callback) {
   const std::shared_ptr<StreamWriter> writer = this->writer();
   if (!writer) {
-    done(AppendState::kNotAppended, -1, Error{"append", "", "stopped"});
+    callback(AppendState::kNotAppended, -1, Error{"append", "", "stopped"});
     return;
   }
   const Time now = std::chrono::steady_clock::now();
   writer->Append(NextId("snapshot-"), std::move(data),
-                 now + options_.append_timeout, std::move(done));
+                 now + options_.append_timeout, std::move(callback));
 }
 
 void ChangeWriter::OnAppended(const std::string& id, AppendState state) {
-  // The verdict comes with the replica.
+  // The callback runs when the record is applied.
   if (state == AppendState::kAppended) return;
-  Done not_appended;
-  std::string by;
+  Callback not_appended;
+  std::string author;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const auto it = pending_.find(id);
     if (it == pending_.end()) return;
-    by = it->second.by;
+    author = it->second.author;
     if (state == AppendState::kNotAppended) {
-      not_appended = std::move(it->second.done);
+      not_appended = std::move(it->second.callback);
       pending_.erase(it);
     }
   }
@@ -96,50 +96,52 @@
     not_appended(AppendOutcome::kNotAppended, ChangeResult());
     return;
   }
-  Withdraw(id, by);
+  Withdraw(id, author);
 }
 
-void ChangeWriter::Withdraw(const std::string& id, const std::string& by) {
+void ChangeWriter::Withdraw(const std::string& id, const std::string& author) {
   const std::shared_ptr<StreamWriter> writer = this->writer();
   if (!writer) return;
   const Time now = std::chrono::steady_clock::now();
-  writer->Append(id, WithdrawalData(by), now + options_.withdraw_timeout,
+  writer->Append(id, WithdrawalData(author), now + options_.withdraw_timeout,
                  [](AppendState, int64_t, const Error&) {});
 }
 
-ChangeWriter::Calls ChangeWriter::TakeDecided(const SettingsReplica& replica) {
-  Calls calls;
+ChangeWriter::DueCallbacks ChangeWriter::TakeDecided(
+    const SettingsReplica& replica) {
+  DueCallbacks callbacks;
   const std::lock_guard<std::mutex> lock(mutex_);
   for (auto it = pending_.begin(); it != pending_.end();) {
-    const std::optional<ChangeResult> result = replica.Decision(it->first);
+    const std::optional<ChangeResult> result = replica.FindDecision(it->first);
     if (!result) {
       ++it;
       continue;
     }
-    calls.push_back([done = std::move(it->second.done), result = *result] {
-      done(AppendOutcome::kDecided, result);
-    });
+    callbacks.push_back(
+        [callback = std::move(it->second.callback), result = *result] {
+          callback(AppendOutcome::kDecided, result);
+        });
     it = pending_.erase(it);
   }
-  return calls;
+  return callbacks;
 }
 
-ChangeWriter::Calls ChangeWriter::TakeExpired(Time now) {
-  Calls calls;
+ChangeWriter::DueCallbacks ChangeWriter::TakeExpired(Time now) {
+  DueCallbacks callbacks;
   const std::lock_guard<std::mutex> lock(mutex_);
   for (auto it = pending_.begin(); it != pending_.end();) {
-    if (now < it->second.give_up) {
+    if (now < it->second.deadline) {
       ++it;
       continue;
     }
     LogEvent(events::kSettingsWriteUndecided,
-             {{"id", it->first}, {"by", it->second.by}});
-    calls.push_back([done = std::move(it->second.done)] {
-      done(AppendOutcome::kUndecided, ChangeResult());
+             {{"id", it->first}, {"by", it->second.author}});
+    callbacks.push_back([callback = std::move(it->second.callback)] {
+      callback(AppendOutcome::kUndecided, ChangeResult());
     });
     it = pending_.erase(it);
   }
-  return calls;
+  return callbacks;
 }
 
 }  // namespace thornplank
--- a/src/libs/admin/change_writer.h
+++ b/src/libs/admin/change_writer.h
@@ -1,7 +1,8 @@
-// Appends changes to the stream of settings and finds out what became of each.
+// Appends changes to the settings stream and reports the decision on each.
 //
-// A confirmed append still has to be folded; an unconfirmed one is withdrawn
-// under the same id, and the order of the two in the stream decides.
+// A change whose append is confirmed is decided when its record is applied. An
+// unconfirmed change is withdrawn under the same id, and the first of the two
+// records in the stream takes effect.
 #ifndef THORNPLANK_ADMIN_CHANGE_WRITER_H_
 #define THORNPLANK_ADMIN_CHANGE_WRITER_H_
 
@@ -20,51 +21,52 @@
 namespace thornplank {
 
 enum class AppendOutcome {
-  // Folded; the result holds the verdict.
+  // The record was applied; the result holds the verdict.
   kDecided,
-  // It never left this process.
+  // The record never left this process.
   kNotAppended,
-  // The log did not answer in time; a withdrawal goes on in the background.
+  // No decision came in time. If the append was not confirmed, its withdrawal
+  // continues in the background.
   kUndecided,
 };
 
 class ChangeWriter : public std::enable_shared_from_this<ChangeWriter> {
  public:
-  using Done = std::function<void(AppendOutcome, const ChangeResult&)>;
-  // Calls that are due; run them without a lock held.
-  using Calls = std::vector<std::function<void()>>;
+  using Callback = std::function<void(AppendOutcome, const ChangeResult&)>;
+  // Callbacks that are due; the caller runs them without a lock held.
+  using DueCallbacks = std::vector<std::function<void()>>;
 
   ChangeWriter(boost::asio::io_context& io, LogClient& log,
                const SettingsManagerOptions& options);
 
-  // `done` runs once, on any thread.
-  void Append(const SettingsChange& change, Done done);
-  // Appends a record that nobody waits for, such as a snapshot.
-  void AppendSnapshot(Json data, StreamWriter::Callback done);
+  // `callback` runs once, on any thread.
+  void Append(const SettingsChange& change, Callback callback);
+  // Appends a snapshot. `callback` reports the append, not its application.
+  void AppendSnapshot(Json data, StreamWriter::Callback callback);
 
-  // Appends nothing any more; what is still pending is left to TakeExpired.
+  // Stops appending. Changes that are still pending remain for TakeExpired.
   void Stop();
 
-  // Takes out every change on which `fold` has a verdict.
-  Calls TakeDecided(const SettingsReplica& replica);
-  // Takes out every change that has waited too long.
-  Calls TakeExpired(Time now);
+  // Removes the pending changes on which `replica` has a decision.
+  DueCallbacks TakeDecided(const SettingsReplica& replica);
+  // Removes the pending changes whose deadline has passed.
+  DueCallbacks TakeExpired(Time now);
 
  private:
   struct Pending {
-    Done done;
-    std::string by;
-    // When the caller is told that the outcome is not known.
-    Time give_up;
+    Callback callback;
+    std::string author;
+    // When the caller is told that the outcome is unknown.
+    Time deadline;
   };
 
   std::shared_ptr<StreamWriter> writer() const;
   std::string NextId(const char* kind);
   void OnAppended(const std::string& id, AppendState state);
-  void Withdraw(const std::string& id, const std::string& by);
+  void Withdraw(const std::string& id, const std::string& author);
 
   const SettingsManagerOptions options_;
-  // Differs from process to process, so that ids never return.
+  // Unique to this process, so that record ids are never reused.
   const std::string id_prefix_;
 
   mutable std::mutex mutex_;
--- a/src/libs/admin/settings_manager.cc
+++ b/src/libs/admin/settings_manager.cc
@@ -1,5 +1,5 @@
-// Writing of changes: validation, review, append and verdict; and the plain
-// calls that SettingsManager passes on.
+// Writing of changes: validation, review, append and verdict; and the functions
+// of SettingsManager that forward to its implementation.
 #include "admin/settings_manager.h"
 
 #include <boost/asio/post.hpp>
@@ -12,24 +12,24 @@
 namespace {
 
 constexpr Milliseconds kRetryAfter{2000};
-// Rounds of a change whose review was overtaken by another one's.
+// Attempts at a change whose review or check other changes made outdated.
 constexpr int kMaxAttempts = 4;
 
-WriteResult Refused(WriteOutcome outcome, int64_t version,
-                    std::vector<std::string> reasons) {
+WriteResult MakeResult(WriteOutcome outcome, int64_t version,
+                       std::vector<std::string> reasons) {
   WriteResult result;
   result.outcome = outcome;
   result.version = version;
   result.reasons = std::move(reasons);
-  const bool may_come_back =
+  const bool can_retry =
       outcome == WriteOutcome::kNotRun || outcome == WriteOutcome::kUnknown;
-  if (may_come_back) result.retry_after = kRetryAfter;
+  if (can_retry) result.retry_after = kRetryAfter;
   return result;
 }
 
 }  // namespace
 
-std::string SettingsManager::Impl::Unwritable() const {
+std::string SettingsManager::Impl::ReasonNotWritable() const {
   const std::optional<Time> last_read =
       follower_ ? follower_->last_success() : std::nullopt;
   const Time now = std::chrono::steady_clock::now();
@@ -38,7 +38,7 @@
     if (stopped_) return "this entry is stopping";
   }
   if (!ready()) return "the settings of this entry are not complete yet";
-  if (!last_read || now - *last_read > options_.log_silent_after) {
+  if (!last_read || now - *last_read > options_.log_unavailable_after) {
     return "the log service does not answer";
   }
   return "";
@@ -57,9 +57,9 @@
 
 void SettingsManager::Impl::Submit(SettingsChange change,
                                    WriteCallback callback, int attempt) {
-  const std::string unwritable = Unwritable();
-  if (!unwritable.empty()) {
-    callback(Refused(WriteOutcome::kNotRun, -1, {unwritable}));
+  const std::string not_writable = ReasonNotWritable();
+  if (!not_writable.empty()) {
+    callback(MakeResult(WriteOutcome::kNotRun, -1, {not_writable}));
     return;
   }
   const std::shared_ptr<const SettingsTree> current = tree();
@@ -72,62 +72,63 @@
   SettingsTree proposed = *current;
   ChangeResult result = proposed.Apply(change);
   if (result.verdict == ChangeVerdict::kLostRace) {
-    callback(Refused(WriteOutcome::kLostRace, result.version, {}));
+    callback(MakeResult(WriteOutcome::kLostRace, result.version, {}));
     return;
   }
   if (result.verdict == ChangeVerdict::kApplied) {
     result.reasons = Review(*current, proposed);
   }
   if (!result.reasons.empty()) {
-    callback(Refused(WriteOutcome::kInvalid, current->version(change.path),
-                     std::move(result.reasons)));
+    callback(MakeResult(WriteOutcome::kInvalid, current->version(change.path),
+                        std::move(result.reasons)));
     return;
   }
   writer_->Append(
       change, [self = shared_from_this(), change, callback, attempt](
                   AppendOutcome outcome, const ChangeResult& verdict) {
-        self->OnOutcome(outcome, verdict, change, callback, attempt);
+        self->HandleAppendOutcome(outcome, verdict, change, callback, attempt);
       });
 }
 
-void SettingsManager::Impl::OnOutcome(AppendOutcome outcome,
-                                      const ChangeResult& result,
-                                      SettingsChange change,
-                                      const WriteCallback& callback,
-                                      int attempt) {
+void SettingsManager::Impl::HandleAppendOutcome(AppendOutcome outcome,
+                                                const ChangeResult& result,
+                                                SettingsChange change,
+                                                const WriteCallback& callback,
+                                                int attempt) {
   if (outcome == AppendOutcome::kNotAppended) {
-    callback(
-        Refused(WriteOutcome::kNotRun, -1, {"the log service took no record"}));
+    callback(MakeResult(WriteOutcome::kNotRun, -1,
+                        {"the log service took no record"}));
     return;
   }
   if (outcome == AppendOutcome::kUndecided) {
-    callback(Refused(WriteOutcome::kUnknown, -1,
-                     {"the log service did not say whether the change came"}));
+    callback(
+        MakeResult(WriteOutcome::kUnknown, -1,
+                   {"the log service did not say whether the change came"}));
     return;
   }
   switch (result.verdict) {
     case ChangeVerdict::kApplied:
-      callback(Refused(WriteOutcome::kApplied, result.version, {}));
+      callback(MakeResult(WriteOutcome::kApplied, result.version, {}));
       return;
     case ChangeVerdict::kLostRace:
-      callback(Refused(WriteOutcome::kLostRace, result.version, {}));
+      callback(MakeResult(WriteOutcome::kLostRace, result.version, {}));
       return;
     case ChangeVerdict::kWithdrawn:
-      callback(Refused(WriteOutcome::kNotRun, -1,
-                       {"the log service was too slow; withdrawn"}));
+      callback(MakeResult(WriteOutcome::kNotRun, -1,
+                          {"the log service was too slow; withdrawn"}));
       return;
     case ChangeVerdict::kStaleReview:
     case ChangeVerdict::kInvalid:
       break;
   }
-  // Another change came first. Judged against it, this one either goes
-  // through or gets its reasons.
+  // Another change was applied first. Checked against the new tree, this one is
+  // either applied or refused with reasons.
   if (attempt + 1 < kMaxAttempts) {
     Submit(std::move(change), callback, attempt + 1);
     return;
   }
-  callback(Refused(WriteOutcome::kNotRun, -1,
-                   {"other changes came first each time"}));
+  callback(MakeResult(WriteOutcome::kNotRun, -1,
+                      {"other changes came first each time"}));
 }
 
 void SettingsManager::Impl::Defer(SettingsChange change,
@@ -135,36 +136,36 @@
   const Time now = std::chrono::steady_clock::now();
   const std::lock_guard<std::mutex> lock(mutex_);
   deferred_.push_back(
-      {std::move(change), std::move(callback), now + options_.behind_timeout});
+      {std::move(change), std::move(callback), now + options_.defer_timeout});
 }
 
 void SettingsManager::Impl::ResubmitDeferred(Time now) {
-  std::vector<Deferred> ready_now;
+  std::vector<Deferred> ready_to_submit;
   std::vector<Deferred> expired;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     std::vector<Deferred> waiting;
     for (Deferred& deferred : deferred_) {
-      const int64_t version = visible_.tree->version(deferred.change.path);
+      const int64_t version = published_.tree->version(deferred.change.path);
       std::vector<Deferred>& list = deferred.change.expected_version <= version
-                                        ? ready_now
-                                    : now >= deferred.give_up ? expired
-                                                              : waiting;
+                                        ? ready_to_submit
+                                    : now >= deferred.deadline ? expired
+                                                               : waiting;
       list.push_back(std::move(deferred));
     }
     deferred_ = std::move(waiting);
   }
-  for (Deferred& deferred : ready_now) {
+  for (Deferred& deferred : ready_to_submit) {
     Submit(std::move(deferred.change), std::move(deferred.callback), 0);
   }
   for (const Deferred& deferred : expired) {
     const int64_t version = tree()->version(deferred.change.path);
-    deferred.callback(Refused(WriteOutcome::kLostRace, version, {}));
+    deferred.callback(MakeResult(WriteOutcome::kLostRace, version, {}));
   }
 }
 
-void SettingsManager::Impl::Recover(const std::string& by, bool accept_empty,
-                                    WriteCallback callback) {
+void SettingsManager::Impl::Recover(const std::string& author,
+                                    bool accept_empty, WriteCallback callback) {
   Json snapshot;
   std::string refusal;
   {
@@ -178,11 +179,11 @@
     }
   }
   if (!refusal.empty()) {
-    callback(Refused(WriteOutcome::kInvalid, -1, {refusal}));
+    callback(MakeResult(WriteOutcome::kInvalid, -1, {refusal}));
     return;
   }
   LogEvent(events::kSettingsRecovered,
-           {{"by", by}, {"covers", snapshot["covers"]}});
+           {{"by", author}, {"covers", snapshot["covers"]}});
   writer_->AppendSnapshot(
       std::move(snapshot),
       [callback](AppendState state, int64_t, const Error& error) {
@@ -192,7 +193,7 @@
                                                  : WriteOutcome::kUnknown;
         std::vector<std::string> reasons;
         if (outcome != WriteOutcome::kApplied) reasons = {error.ToString()};
-        callback(Refused(outcome, -1, std::move(reasons)));
+        callback(MakeResult(outcome, -1, std::move(reasons)));
       });
 }
 
@@ -207,7 +208,7 @@
 }
 
 void SettingsManager::AddChangeHandler(ChangeHandler handler) {
-  impl_->HandleChange(std::move(handler));
+  impl_->AddChangeHandler(std::move(handler));
 }
 
 void SettingsManager::SetSnapshotFetcher(SnapshotFetcher fetch) {
@@ -222,9 +223,9 @@
   impl_->Submit(std::move(change), std::move(callback), /*attempt=*/0);
 }
 
-void SettingsManager::Recover(const std::string& by, bool accept_empty,
+void SettingsManager::Recover(const std::string& author, bool accept_empty,
                               WriteCallback callback) {
-  impl_->Recover(by, accept_empty, std::move(callback));
+  impl_->Recover(author, accept_empty, std::move(callback));
 }
 
 std::shared_ptr<const SettingsTree> SettingsManager::tree() const {
--- a/src/libs/admin/settings_manager_impl.cc
+++ b/src/libs/admin/settings_manager_impl.cc
@@ -1,5 +1,5 @@
-// Following of the stream, publication of what is folded, peers and
-// snapshots.
+// Following the stream, publishing the applied state, fetching snapshots from
+// peers and appending them to the log.
 #include "admin/settings_manager_impl.h"
 
 #include <algorithm>
@@ -30,8 +30,8 @@
   return "";
 }
 
-void RunAll(const ChangeWriter::Calls& calls) {
-  for (const auto& call : calls) call();
+void RunAll(const ChangeWriter::DueCallbacks& callbacks) {
+  for (const auto& callback : callbacks) callback();
 }
 
 }  // namespace
@@ -48,7 +48,7 @@
 
 void SettingsManager::Impl::Start() {
   started_ = std::chrono::steady_clock::now();
-  next_ask_ = started_ + options_.ask_peers_after;
+  next_peer_fetch_ = started_ + options_.peer_fetch_delay;
   next_first_offset_read_ = started_;
   next_snapshot_ = started_;
   const auto weak = weak_from_this();
@@ -70,8 +70,8 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (std::exchange(stopped_, true)) return;
   }
-  // Tick and Publish do nothing from here on; the one that is running ends
-  // first, unless it is what calls.
+  // From here on Tick and Publish return at once. Waits for one that is
+  // running, unless it is the caller.
   if (!strand_.running_in_this_thread()) {
     const std::lock_guard<std::mutex> wait(active_mutex_);
   }
@@ -87,7 +87,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const bool is_snapshot = IsSnapshot(record.data);
   std::optional<int64_t> covers;
-  if (is_snapshot && SettingsReplica::Readable(record.data)) {
+  if (is_snapshot && SettingsReplica::IsReadable(record.data)) {
     covers = IntField(record.data, "covers");
   }
   if (is_snapshot && !covers) {
@@ -129,27 +129,29 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (stopped_) return;
   }
-  // Asked for before the lock: the follower calls in with locks of its own.
+  // Read before mutex_ is locked, because the follower holds its own locks when
+  // it calls OnRecord and OnGap.
   const bool caught_up = follower_->caught_up();
-  const int64_t handed_on = follower_->next_offset();
+  const int64_t follower_offset = follower_->next_offset();
   std::vector<RecordOutcome> outcomes;
-  ChangeWriter::Calls decided;
-  Visible next;
+  ChangeWriter::DueCallbacks decided;
+  Published next;
   bool was_ready = false;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     publish_requested_ = false;
     outcomes.swap(outcomes_);
-    was_ready = visible_.ready;
-    const bool log_is_read = caught_up && replica_.next_offset() >= handed_on;
-    next.ready =
-        replica_.complete() && (was_ready || from_peer_ || log_is_read);
-    next.offset = replica_.next_offset();
-    next.tree = visible_.tree;
+    was_ready = published_.ready;
+    const bool reached_log_end =
+        caught_up && replica_.next_offset() >= follower_offset;
+    next.ready = replica_.complete() &&
+                 (was_ready || synced_with_peer_ || reached_log_end);
+    next.next_offset = replica_.next_offset();
+    next.tree = published_.tree;
     if (next.tree->revision() != replica_.tree().revision()) {
       next.tree = std::make_shared<const SettingsTree>(replica_.tree());
     }
-    if (!next.ready) visible_.ready = false;
+    if (!next.ready) published_.ready = false;
     decided = writer_->TakeDecided(replica_);
   }
   LogOutcomes(outcomes);
@@ -159,11 +161,11 @@
       for (const ChangeHandler& handler : handlers_) handler(*next.tree);
     }
     if (!was_ready) {
-      LogEvent(events::kSettingsReady,
-               {{"offset", next.offset}, {"revision", next.tree->revision()}});
+      LogEvent(events::kSettingsReady, {{"offset", next.next_offset},
+                                        {"revision", next.tree->revision()}});
     }
     const std::lock_guard<std::mutex> lock(mutex_);
-    visible_ = std::move(next);
+    published_ = std::move(next);
   }
   RunAll(decided);
 }
@@ -181,7 +183,7 @@
                {{"path", outcome.change.path},
                 {"type", ChangeKindName(outcome.change.kind)},
                 {"version", outcome.result.version},
-                {"by", outcome.change.by},
+                {"by", outcome.change.author},
                 {"offset", outcome.offset}});
       continue;
     }
@@ -189,7 +191,7 @@
              {{"path", outcome.change.path},
               {"verdict", ChangeVerdictName(outcome.result.verdict)},
               {"reasons", outcome.result.reasons},
-              {"by", outcome.change.by},
+              {"by", outcome.change.author},
               {"offset", outcome.offset}});
   }
 }
@@ -199,7 +201,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (stopped_) return;
   }
-  timer_.expires_after(options_.tick);
+  timer_.expires_after(options_.tick_interval);
   timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& error) {
         const auto self = weak.lock();
@@ -214,19 +216,19 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (stopped_) return;
-    if (!visible_.ready) RequestPublish();
+    if (!published_.ready) RequestPublish();
   }
   const Time now = std::chrono::steady_clock::now();
   RunAll(writer_->TakeExpired(now));
   ResubmitDeferred(now);
-  AskPeers(now);
+  FetchPeerSnapshots(now);
   ReadFirstOffset(now);
   AppendSnapshotWhenDue(now);
 }
 
-void SettingsManager::Impl::AskPeers(Time now) {
-  if (!fetch_ || ready() || asking_ || now < next_ask_) return;
-  asking_ = true;
+void SettingsManager::Impl::FetchPeerSnapshots(Time now) {
+  if (!fetch_ || ready() || is_fetching_ || now < next_peer_fetch_) return;
+  is_fetching_ = true;
   fetch_([weak = weak_from_this()](std::vector<Json> snapshots) {
     const auto self = weak.lock();
     if (!self) return;
@@ -238,22 +240,25 @@
 
 void SettingsManager::Impl::OnPeerSnapshots(
     const std::vector<Json>& snapshots) {
-  asking_ = false;
-  next_ask_ = std::chrono::steady_clock::now() + options_.ask_peers_interval;
+  is_fetching_ = false;
+  next_peer_fetch_ =
+      std::chrono::steady_clock::now() + options_.peer_fetch_interval;
   const std::lock_guard<std::mutex> lock(mutex_);
   for (const Json& snapshot : snapshots) {
-    const SnapshotVerdict verdict = replica_.Adopt(snapshot, &outcomes_);
+    const SnapshotVerdict verdict =
+        replica_.AdoptSnapshot(snapshot, &outcomes_);
     if (verdict == SnapshotVerdict::kAdopted) {
-      from_peer_ = true;
+      synced_with_peer_ = true;
       LogEvent(events::kSettingsSnapshotAdopted,
                {{"covers", snapshot["covers"]}, {"source", "peer"}});
       continue;
     }
-    // A ready peer at the same offset proves that nothing more is known.
+    // A ready peer at the same offset shows that this entry has applied all
+    // records that are known.
     const bool same_offset =
         replica_.complete() &&
         IntField(snapshot, "covers") == replica_.next_offset();
-    if (same_offset) from_peer_ = true;
+    if (same_offset) synced_with_peer_ = true;
     if (verdict == SnapshotVerdict::kStale) continue;
     LogEvent(events::kSettingsSnapshotUnusable,
              {{"source", "peer"}, {"verdict", SnapshotVerdictName(verdict)}});
@@ -264,7 +269,7 @@
 void SettingsManager::Impl::ReadFirstOffset(Time now) {
   if (now < next_first_offset_read_ || !ready()) return;
   next_first_offset_read_ = now + options_.first_offset_interval;
-  // Read at the end of the stream: only its bounds are wanted.
+  // Reads at the end of the stream, because only its first offset is needed.
   log_.Read(options_.stream, next_offset(), /*max_records=*/1, Duration::zero(),
             options_.follower.timeout,
             [weak = weak_from_this()](std::optional<LogReadResult> result,
@@ -281,11 +286,12 @@
   Json snapshot;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!visible_.ready || !replica_.complete()) return;
+    if (!published_.ready || !replica_.complete()) return;
     if (!schedule_.IsDue(std::chrono::system_clock::now())) return;
     snapshot = replica_.Snapshot();
   }
-  // The next one waits until this one must have been read back.
+  // Waits with the next snapshot until this one is appended and read back, or
+  // has failed.
   next_snapshot_ = now + options_.append_timeout + options_.follower.wait;
   LogEvent(events::kSettingsSnapshotAppended,
            {{"covers", snapshot["covers"]},
@@ -296,7 +302,7 @@
 
 std::shared_ptr<const SettingsTree> SettingsManager::Impl::tree() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return visible_.tree;
+  return published_.tree;
 }
 
 std::vector<HistoryEntry> SettingsManager::Impl::history(
@@ -307,17 +313,17 @@
 
 int64_t SettingsManager::Impl::next_offset() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return visible_.offset;
+  return published_.next_offset;
 }
 
 bool SettingsManager::Impl::ready() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return visible_.ready;
+  return published_.ready;
 }
 
 std::optional<Json> SettingsManager::Impl::Snapshot() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (!visible_.ready || !replica_.complete()) return std::nullopt;
+  if (!published_.ready || !replica_.complete()) return std::nullopt;
   return replica_.Snapshot();
 }
 
--- a/src/libs/admin/settings_manager_impl.h
+++ b/src/libs/admin/settings_manager_impl.h
@@ -1,5 +1,5 @@
-// The inside of SettingsManager: one fold under one mutex, and a strand on
-// which changes are told in order.
+// Implementation of SettingsManager: a replica of the settings, guarded by a
+// mutex, and a strand on which its changes are published in order.
 #ifndef THORNPLANK_ADMIN_SETTINGS_MANAGER_IMPL_H_
 #define THORNPLANK_ADMIN_SETTINGS_MANAGER_IMPL_H_
 
@@ -25,7 +25,7 @@
        SettingsManagerOptions options);
 
   void AddReview(const SettingsReview* review) { reviews_.push_back(review); }
-  void HandleChange(ChangeHandler handler) {
+  void AddChangeHandler(ChangeHandler handler) {
     handlers_.push_back(std::move(handler));
   }
   void SetSnapshotFetcher(SnapshotFetcher fetch) { fetch_ = std::move(fetch); }
@@ -33,9 +33,9 @@
   void Start();
   void Stop();
 
-  // `attempt` counts from 0; a change whose review is stale goes round again.
+  // `attempt` counts from 0; a change whose review is stale is submitted again.
   void Submit(SettingsChange change, WriteCallback callback, int attempt);
-  void Recover(const std::string& by, bool accept_empty,
+  void Recover(const std::string& author, bool accept_empty,
                WriteCallback callback);
 
   std::shared_ptr<const SettingsTree> tree() const;
@@ -45,47 +45,48 @@
   std::optional<Json> Snapshot() const;
 
  private:
-  // A change to a version that is not folded here yet.
+  // A change that expects a version that is not applied here yet.
   struct Deferred {
     SettingsChange change;
     WriteCallback callback;
-    Time give_up;
+    // When the change is given up as a lost race.
+    Time deadline;
   };
-  // What callers see; changed on the strand only.
-  struct Visible {
+  // The state that callers see; changed on the strand only.
+  struct Published {
     std::shared_ptr<const SettingsTree> tree =
         std::make_shared<const SettingsTree>();
-    int64_t offset = 0;
+    int64_t next_offset = 0;
     bool ready = false;
   };
 
-  // From the follower.
+  // Called by the follower, with its locks held.
   void OnRecord(const LogRecord& record);
   void OnGap(int64_t from, int64_t first_kept);
 
-  // Needs mutex_.
+  // Requires that mutex_ is held.
   void RequestPublish();
-  // On the strand: makes what is folded visible, tells the handlers, then the
-  // writers.
+  // Runs on the strand: calls the handlers, makes the applied state visible to
+  // callers, and completes the writes that are decided.
   void Publish();
   void LogOutcomes(const std::vector<RecordOutcome>& outcomes) const;
 
-  // Runs on the strand, every options_.tick.
+  // Runs on the strand, every options_.tick_interval.
   void Tick();
   void ScheduleTick();
   void ResubmitDeferred(Time now);
-  void AskPeers(Time now);
+  void FetchPeerSnapshots(Time now);
   void OnPeerSnapshots(const std::vector<Json>& snapshots);
   void ReadFirstOffset(Time now);
   void AppendSnapshotWhenDue(Time now);
 
-  // On the verdict of an append.
-  void OnOutcome(AppendOutcome outcome, const ChangeResult& result,
-                 SettingsChange change, const WriteCallback& callback,
-                 int attempt);
-  // The reason why nothing can be written now, or "".
-  std::string Unwritable() const;
-  // Reasons of the reviews against `proposed`.
+  // Completes a write after its append, or submits the change again.
+  void HandleAppendOutcome(AppendOutcome outcome, const ChangeResult& result,
+                           SettingsChange change, const WriteCallback& callback,
+                           int attempt);
+  // Why nothing can be written now; "" if it can.
+  std::string ReasonNotWritable() const;
+  // The reasons of all reviews to refuse `proposed`.
   std::vector<std::string> Review(const SettingsTree& current,
                                   const SettingsTree& proposed) const;
   void Defer(SettingsChange change, WriteCallback callback);
@@ -98,35 +99,39 @@
   const std::shared_ptr<ChangeWriter> writer_;
   std::unique_ptr<StreamFollower> follower_;
 
-  // Set before Start, then only read.
+  // Set before Start and only read afterwards.
   std::vector<const SettingsReview*> reviews_;
   std::vector<ChangeHandler> handlers_;
   SnapshotFetcher fetch_;
   Time started_;
 
-  // Used on the strand only.
+  // The members up to next_snapshot_ are used on the strand only.
+  // Revision of the last call of the handlers; -1 before the first.
   int64_t announced_revision_ = -1;
-  Time next_ask_;
-  bool asking_ = false;
+  Time next_peer_fetch_;
+  // A call of fetch_ has not been answered yet.
+  bool is_fetching_ = false;
   Time next_first_offset_read_;
   Time next_snapshot_;
 
-  // Held through each Tick and Publish, so that Stop can wait for the one that
-  // is running; the strand keeps them apart from each other. Taken first.
+  // Held during each Tick and Publish, so that Stop can wait for a running one;
+  // the strand already keeps them from running at the same time. Locked before
+  // mutex_.
   std::mutex active_mutex_;
 
-  // Taken before ChangeWriter's mutex; no callback runs under it.
+  // Locked before ChangeWriter's mutex; no callback runs while it is held.
   mutable std::mutex mutex_;
   bool stopped_ = false;
   SettingsReplica replica_;
   SettingsSnapshotSchedule schedule_;
-  // Folded, not yet told of.
+  // Outcomes of applied records that are not published yet.
   std::vector<RecordOutcome> outcomes_;
   bool publish_requested_ = false;
-  // A peer's snapshot was taken over, which makes up for the log's end.
-  bool from_peer_ = false;
+  // The state is as new as that of a ready peer, so that the entry becomes
+  // ready without having read the log to its end.
+  bool synced_with_peer_ = false;
   std::vector<Deferred> deferred_;
-  Visible visible_;
+  Published published_;
 };
 
 }  // namespace thornplank
--- a/src/libs/settings/entry_settings.cc
+++ b/src/libs/settings/entry_settings.cc
@@ -1,5 +1,5 @@
-// The keys of the entry's settings file, with their ranges and the rules
-// between them.
+// Keys of the entry's settings file with their ranges, and the rules that
+// involve several keys.
 #include "settings/entry_settings.h"
 
 #include <algorithm>
@@ -21,9 +21,12 @@
                                           Milliseconds(86'400'000)};
 constexpr DurationRange kIntervalRange{Milliseconds(10), Milliseconds(60'000)};
 constexpr DurationRange kLeaseRange{Milliseconds(500), Milliseconds(600'000)};
-constexpr DurationRange kSilenceRange{Milliseconds(20), Milliseconds(600'000)};
+constexpr DurationRange kHeartbeatTimeoutRange{Milliseconds(20),
+                                               Milliseconds(600'000)};
 
-std::string Shown(Milliseconds value) { return std::to_string(value.count()); }
+std::string CountText(Milliseconds value) {
+  return std::to_string(value.count());
+}
 
 void ReadLog(SettingsReader& reader, EntryLogSettings* log) {
   reader.Choose<Severity>("level", Presence::kOptional,
@@ -47,15 +50,16 @@
   reader.Text("account", Presence::kOptional, NameText(), &token->account);
   const bool is_caller = token->role == TokenRole::kCaller;
   if (is_caller && token->account.empty()) {
-    reader.Fail("account", "no account", "a client account for role caller");
+    reader.AddProblem("account", "no account",
+                      "a client account for role caller");
   }
   if (!is_caller && !token->account.empty()) {
-    reader.Fail("account", '"' + token->account + '"',
-                "no account for this role");
+    reader.AddProblem("account", '"' + token->account + '"',
+                      "no account for this role");
   }
 }
 
-void CheckTokensDiffer(SettingsReader& reader,
+void CheckTokensUnique(SettingsReader& reader,
                        const std::vector<EntryTokenSettings>& tokens) {
   std::set<std::string> names;
   std::set<std::string> secrets;
@@ -63,12 +67,12 @@
     const std::string key = "tokens[" + std::to_string(i) + "].";
     const EntryTokenSettings& token = tokens[i];
     if (!token.name.empty() && !names.insert(token.name).second) {
-      reader.Fail(key + "name", '"' + token.name + "\" a second time",
-                  "each name once");
+      reader.AddProblem(key + "name", '"' + token.name + "\" a second time",
+                        "each name once");
     }
     if (!token.token.empty() && !secrets.insert(token.token).second) {
-      reader.Fail(key + "token", "the token of another item",
-                  "each token once");
+      reader.AddProblem(key + "token", "the token of another item",
+                        "each token once");
     }
   }
 }
@@ -87,7 +91,7 @@
   reader.Duration("idle_timeout_ms", Presence::kOptional, kTimeoutRange,
                   &limits->idle_timeout);
   if (limits->body_bytes > limits->buffered_bytes) {
-    reader.Fail(
+    reader.AddProblem(
         "buffered_bytes", std::to_string(limits->buffered_bytes),
         "at least body_bytes (" + std::to_string(limits->body_bytes) + ")");
   }
@@ -108,9 +112,9 @@
   reader.Duration("renewal_interval_ms", Presence::kOptional, kIntervalRange,
                   &jobs->renewal_interval);
   if (jobs->renewal_interval > jobs->lease_term / 2) {
-    reader.Fail(
-        "renewal_interval_ms", Shown(jobs->renewal_interval),
-        "at most half of lease_term_ms (" + Shown(jobs->lease_term / 2) + ")");
+    reader.AddProblem("renewal_interval_ms", CountText(jobs->renewal_interval),
+                      "at most half of lease_term_ms (" +
+                          CountText(jobs->lease_term / 2) + ")");
   }
 }
 
@@ -118,19 +122,19 @@
                     EntryMembershipSettings* membership) {
   reader.Duration("heartbeat_interval_ms", Presence::kOptional, kIntervalRange,
                   &membership->heartbeat_interval);
-  reader.Duration("suspect_after_ms", Presence::kOptional, kSilenceRange,
-                  &membership->suspect_after);
-  reader.Duration("dead_after_ms", Presence::kOptional, kSilenceRange,
+  reader.Duration("suspect_after_ms", Presence::kOptional,
+                  kHeartbeatTimeoutRange, &membership->suspect_after);
+  reader.Duration("dead_after_ms", Presence::kOptional, kHeartbeatTimeoutRange,
                   &membership->dead_after);
   if (membership->suspect_after <= membership->heartbeat_interval) {
-    reader.Fail("suspect_after_ms", Shown(membership->suspect_after),
-                "more than heartbeat_interval_ms (" +
-                    Shown(membership->heartbeat_interval) + ")");
+    reader.AddProblem("suspect_after_ms", CountText(membership->suspect_after),
+                      "more than heartbeat_interval_ms (" +
+                          CountText(membership->heartbeat_interval) + ")");
   }
   if (membership->dead_after <= membership->suspect_after) {
-    reader.Fail("dead_after_ms", Shown(membership->dead_after),
-                "more than suspect_after_ms (" +
-                    Shown(membership->suspect_after) + ")");
+    reader.AddProblem("dead_after_ms", CountText(membership->dead_after),
+                      "more than suspect_after_ms (" +
+                          CountText(membership->suspect_after) + ")");
   }
 }
 
@@ -151,8 +155,8 @@
       std::find(settings->peers.begin(), settings->peers.end(),
                 settings->listen_peers) != settings->peers.end();
   if (lists_itself) {
-    reader.Fail("peers", "its own listen_peers " + settings->listen_peers,
-                "addresses of other entries");
+    reader.AddProblem("peers", "its own listen_peers " + settings->listen_peers,
+                      "addresses of other entries");
   }
 }
 
@@ -174,7 +178,7 @@
                 ReadToken(item, &token);
                 settings->tokens.push_back(std::move(token));
               });
-  CheckTokensDiffer(reader, settings->tokens);
+  CheckTokensUnique(reader, settings->tokens);
   reader.Section("limits", Presence::kOptional,
                  [settings](SettingsReader& limits) {
                    ReadLimits(limits, &settings->limits);
--- a/src/libs/settings/entry_settings.h
+++ b/src/libs/settings/entry_settings.h
@@ -1,9 +1,9 @@
 // The settings file of the entry daemon (JSON with comments).
 //
-// Everything that a process must know before it can talk to anyone: its
-// addresses and failure domain, its peers, the platform's addresses, access
-// tokens and bounds. What operators change while it runs is in the settings
-// tree instead. A sample is docs/operators/entry.sample.json.
+// It holds what the process needs before it can reach any other instance: its
+// own addresses and failure domain, its peers, the platform's addresses, access
+// tokens and limits. Values that operators change at run time are in the
+// settings tree instead. A sample is docs/operators/entry.sample.json.
 #ifndef THORNPLANK_SETTINGS_ENTRY_SETTINGS_H_
 #define THORNPLANK_SETTINGS_ENTRY_SETTINGS_H_
 
@@ -32,11 +32,12 @@
   std::string account;
 };
 
-// Bounds on what callers may cost. Invariant: body_bytes <= buffered_bytes.
+// Limits on the resources that callers can use.
+// Invariant: body_bytes <= buffered_bytes.
 struct EntryLimitSettings {
   size_t body_bytes = 4 * 1024 * 1024;
   size_t connections = 4096;
-  // Request bodies held in memory over all connections.
+  // Total size of the request bodies held in memory, over all connections.
   size_t buffered_bytes = 48 * 1024 * 1024;
   Milliseconds header_timeout{10000};
   Milliseconds body_timeout{30000};
@@ -44,11 +45,11 @@
 };
 
 struct EntryRequestSettings {
-  // How long a key of a non-idempotent request is remembered.
+  // How long the idempotency key of a non-idempotent request is remembered.
   Milliseconds claim_window{600000};
-  // Between two exchanges of demand with the peers.
+  // Interval at which demand is exchanged with the peers.
   Milliseconds demand_interval{100};
-  // For requests that name no deadline, where the tree gives none.
+  // Deadline of requests that name none, where the settings tree sets none.
   Milliseconds default_deadline{10000};
 };
 
@@ -77,10 +78,11 @@
   std::string name;
   std::string region;
   std::string failure_domain;
-  // "ip:port", numeric; port 0 takes a free one.
+  // "ip:port", numeric; port 0 chooses a free port.
   std::string listen_http;
   std::string listen_peers;
-  // Inner addresses of other entries, own address left out; none twice.
+  // Peer addresses of the other entries, without this entry's own address; no
+  // duplicates.
   std::vector<std::string> peers;
   // Shared by all entries; at least 8 bytes, never logged.
   std::string peer_secret;
@@ -93,15 +95,15 @@
   EntryRequestSettings requests;
   EntryJobSettings jobs;
   EntryMembershipSettings membership;
-  // The longest that a planned stop waits for requests in flight.
+  // Longest time that a graceful shutdown waits for requests in flight.
   Milliseconds drain_timeout{30000};
 };
 
 // Declares every key of the file to `reader`.
 void ReadEntryKeys(SettingsReader& reader, EntrySettings* settings);
 
-// nullopt on the first mistake; SettingsErrorLine(*error) is then the line
-// "file: key: found X, allowed Y".
+// Returns nullopt if the file is invalid; SettingsErrorLine(*error) then names
+// the first problem as "file: key: found X, allowed Y".
 std::optional<EntrySettings> ReadEntrySettings(const std::string& path,
                                                Error* error);
 
--- a/src/libs/settings/hosted_settings.cc
+++ b/src/libs/settings/hosted_settings.cc
@@ -1,4 +1,5 @@
-// Keys and ranges of the hosted entry's settings.
+// Keys and ranges of the hosted entry's settings file, and the comparison of
+// two settings.
 #include "settings/hosted_settings.h"
 
 #include "settings/settings_reader.h"
--- a/src/libs/settings/hosted_settings.h
+++ b/src/libs/settings/hosted_settings.h
@@ -24,22 +24,25 @@
   std::string listen_readiness;
   // Empty: no metrics are served.
   std::string listen_metrics;
-  // Where other entries ask; empty: they are not told of this one.
+  // Where other entries reach this one; empty: they are not told of it.
   std::string listen_entries;
   std::string store_address;
-  // Of the service that approves workers; empty where no queue needs it.
+  // Address of the advice service, which approves workers; empty if no queue
+  // needs it.
   std::string advisor_address;
-  // Cores that this instance has; those with most lead first.
+  // CPU cores of this instance; instances with more cores are preferred as
+  // leader.
   double processor_share = 1;
   Severity log_level = Severity::kInfo;
-  // From taking a key away until no call with it may run, anywhere.
+  // Maximum time from the revocation of a key until no call with that key may
+  // run on any entry.
   Milliseconds revocation_bound{5000};
-  // How long the state of an ended job can be asked for.
+  // How long the state of an ended job can be queried.
   Milliseconds state_kept{120000};
-  // From SIGTERM until the process is killed.
+  // Time from SIGTERM until the platform kills the process.
   Milliseconds stop_grace{6000};
-  // What the platform promises of its workers, and asks of those that order
-  // them: WorkerBounds has the same.
+  // What the platform guarantees about its workers and requires of the entries
+  // that use them; the members of WorkerBounds say what each bound means.
   Milliseconds reclaim_bound{2900};
   Milliseconds cancel_bound{3000};
   Milliseconds stop_bound{400};
@@ -50,19 +53,21 @@
   double far_slowdown = 3;
 };
 
-// Keys by whether a new value is in force at once or from the next start on.
+// Keys whose values differ, by when the new value takes effect.
 struct HostedSettingsChange {
   std::vector<std::string> at_once;
+  // At the next start of the process.
   std::vector<std::string> at_restart;
 };
 
 HostedSettingsChange Compare(const HostedSettings& before,
                              const HostedSettings& after);
 
+// Declares every key of the file to `reader`.
 void ReadHostedKeys(SettingsReader& reader, HostedSettings* settings);
 
-// nullopt on the first mistake; SettingsErrorLine(*error) is then the line
-// "file: key: found X, allowed Y".
+// Returns nullopt if the file is invalid; SettingsErrorLine(*error) then names
+// the first problem as "file: key: found X, allowed Y".
 std::optional<HostedSettings> ReadHostedSettings(const std::string& path,
                                                  Error* error);
 
--- a/src/libs/settings/settings_change.cc
+++ b/src/libs/settings/settings_change.cc
@@ -66,7 +66,7 @@
   Json data = {{"type", ChangeKindName(change.kind)},
                {"path", change.path},
                {"expected_version", change.expected_version},
-               {"by", change.by},
+               {"by", change.author},
                {"time_ms", ToUnixMilliseconds(change.time)}};
   if (HasValue(change.kind)) data["value"] = change.value;
   if (change.reviewed_revision) {
@@ -79,16 +79,16 @@
   const std::optional<std::string> type = StringField(data, "type");
   const std::optional<std::string> path = StringField(data, "path");
   const std::optional<int64_t> expected = IntField(data, "expected_version");
-  const std::optional<std::string> by = StringField(data, "by");
+  const std::optional<std::string> author = StringField(data, "by");
   const std::optional<int64_t> time = IntField(data, "time_ms");
-  if (!type || !path || !expected || !by || !time) return std::nullopt;
+  if (!type || !path || !expected || !author || !time) return std::nullopt;
   const std::optional<ChangeKind> kind = ChangeKindFromName(*type);
   if (!kind) return std::nullopt;
   SettingsChange change;
   change.kind = *kind;
   change.path = *path;
   change.expected_version = *expected;
-  change.by = *by;
+  change.author = *author;
   change.time = FromUnixMilliseconds(*time);
   change.reviewed_revision = IntField(data, "reviewed_revision");
   if (!HasValue(*kind)) return change;
--- a/src/libs/settings/settings_change.h
+++ b/src/libs/settings/settings_change.h
@@ -1,4 +1,4 @@
-// One change to the settings, as it is proposed, appended and judged.
+// A change to the settings, its verdict, and its form in the settings stream.
 #ifndef THORNPLANK_SETTINGS_SETTINGS_CHANGE_H_
 #define THORNPLANK_SETTINGS_SETTINGS_CHANGE_H_
 
@@ -21,30 +21,31 @@
 
 struct SettingsChange {
   ChangeKind kind = ChangeKind::kPut;
-  // Of a node ("", "north", "north/claims") or a document ("events/harvest").
+  // Path of a node ("", "north", "north/claims") or of a document
+  // ("events/harvest").
   std::string path;
-  // The version that the path must have; 0 when it never existed. A removed
-  // path keeps the version of its removal.
+  // The version that the path must have; 0 if it never existed. A removed path
+  // keeps the version of its removal.
   int64_t expected_version = 0;
   // The node's own values, or the document. Unused by removals.
   Json value;
-  // Name of the token that asked for it.
-  std::string by;
+  // Name of the token that the change was requested with.
+  std::string author;
   WallTime time;
-  // Revision of the tree that was reviewed with this change. A change to
-  // guarantees loses when another one was applied after that revision.
+  // Revision of the tree on which the change was reviewed. A change to
+  // guarantees gets kStaleReview if another one was applied since.
   std::optional<int64_t> reviewed_revision;
 };
 
 enum class ChangeVerdict {
   kApplied,
-  // The path has another version than expected.
+  // The version of the path is not the expected one.
   kLostRace,
-  // The guarantees changed after the review; review again.
+  // Guarantees changed after the review, which has to be repeated.
   kStaleReview,
-  // Breaks a rule; the reasons say which.
+  // The change breaks a rule, which the reasons name.
   kInvalid,
-  // Withdrawn by its writer before it was folded.
+  // The writer withdrew the change before it was applied.
   kWithdrawn,
 };
 
@@ -54,7 +55,7 @@
 
 struct ChangeResult {
   ChangeVerdict verdict = ChangeVerdict::kInvalid;
-  // Version of the path after the verdict.
+  // Version of the path after the verdict, whether or not it changed.
   int64_t version = 0;
   // Set for kInvalid: one line for each broken rule.
   std::vector<std::string> reasons;
--- a/src/libs/settings/settings_documents.cc
+++ b/src/libs/settings/settings_documents.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr IntRange kSlotRange{1, 1'000'000};
-// Through the year 2255, which a WallTime can hold.
+// Up to the year 2255, which a WallTime can represent.
 constexpr IntRange kUnixTimeRange{0, 9'000'000'000'000};
 
 bool HasPrefix(const std::string& text, std::string_view prefix) {
@@ -33,8 +33,8 @@
   std::set<std::string> services;
   for (const EventSlots& slots : event->services) {
     if (services.insert(slots.service).second) continue;
-    reader.Fail("services", '"' + slots.service + "\" a second time",
-                "each service once");
+    reader.AddProblem("services", '"' + slots.service + "\" a second time",
+                      "each service once");
   }
 }
 
--- a/src/libs/settings/settings_documents.h
+++ b/src/libs/settings/settings_documents.h
@@ -1,7 +1,7 @@
-// Documents that stand beside the settings tree: events and drains.
+// Documents that are kept beside the settings tree: events and drains.
 //
-// They share the tree's compare-and-set, history and snapshots, but inherit
-// nothing. A document's path is "events/NAME" or "drains/INSTANCE".
+// They share the tree's compare-and-set, history and snapshots, but inherit no
+// values. The path of a document is "events/NAME" or "drains/INSTANCE".
 #ifndef THORNPLANK_SETTINGS_SETTINGS_DOCUMENTS_H_
 #define THORNPLANK_SETTINGS_SETTINGS_DOCUMENTS_H_
 
@@ -19,13 +19,13 @@
 inline constexpr std::string_view kEventPrefix = "events/";
 inline constexpr std::string_view kDrainPrefix = "drains/";
 
-// Slots that an event takes at one service.
+// Executor slots of a service that an event needs.
 struct EventSlots {
   std::string service;
   int slots = 0;
 };
 
-// A fixed start with the work that belongs to it.
+// An event: work that has to start at a fixed time.
 struct EventDocument {
   std::string name;
   std::string account;
@@ -39,12 +39,13 @@
 std::string EventPath(const std::string& name);
 std::string DrainPath(const std::string& instance);
 
-// nullopt with the problems in `*problems` (may be null).
+// Returns nullopt if `value` is invalid, with the problems in `*problems` (may
+// be null).
 std::optional<EventDocument> ParseEvent(const std::string& name,
                                         const Json& value,
                                         std::vector<SettingsProblem>* problems);
 
-// The problems of a document; `path` decides which kind it is.
+// The problems of a document; the prefix of `path` tells events from drains.
 std::vector<SettingsProblem> CheckDocument(const std::string& path,
                                            const Json& value);
 
--- a/src/libs/settings/settings_file_watcher.cc
+++ b/src/libs/settings/settings_file_watcher.cc
@@ -1,4 +1,4 @@
-// One stat() a look.
+// Each check makes one stat() call.
 #include "settings/settings_file_watcher.h"
 
 #include <sys/stat.h>
--- a/src/libs/settings/settings_file_watcher.h
+++ b/src/libs/settings/settings_file_watcher.h
@@ -1,4 +1,4 @@
-// Notices that a settings file has changed, also without a signal.
+// Detects changes of a settings file by polling its metadata.
 #ifndef THORNPLANK_SETTINGS_SETTINGS_FILE_WATCHER_H_
 #define THORNPLANK_SETTINGS_SETTINGS_FILE_WATCHER_H_
 
@@ -8,15 +8,15 @@
 
 class SettingsFileWatcher {
  public:
-  // The file as it is now counts as known.
+  // The present state of the file does not count as a change.
   explicit SettingsFileWatcher(std::string path);
 
-  // Whether the file differs from how the last call found it. Looks at its
-  // inode, size and time of change, and reads nothing; an absent file is one of
-  // its states.
+  // True if the file has changed since the last call. Compares inode, size and
+  // modification time and does not read the file; its removal is a change too.
   bool CheckForChange();
 
  private:
+  // The inode, size and modification time as text; "" if the file is absent.
   std::string Signature() const;
 
   const std::string path_;
--- a/src/libs/settings/settings_history.cc
+++ b/src/libs/settings/settings_history.cc
@@ -1,4 +1,4 @@
-// Bounded history by path and its JSON form.
+// Bounded history of each path and its JSON form.
 #include "settings/settings_history.h"
 
 #include <algorithm>
@@ -7,19 +7,19 @@
 namespace thornplank {
 namespace {
 
-// For each path.
+// Changes kept for each path.
 constexpr size_t kMaxEntries = 8;
 constexpr size_t kMaxPaths = 4000;
 
 std::optional<HistoryEntry> ParseEntry(const Json& json) {
   const std::optional<int64_t> version = IntField(json, "version");
   const std::optional<std::string> type = StringField(json, "type");
-  const std::optional<std::string> by = StringField(json, "by");
+  const std::optional<std::string> author = StringField(json, "by");
   const std::optional<int64_t> time = IntField(json, "time_ms");
-  if (!version || !type || !by || !time) return std::nullopt;
+  if (!version || !type || !author || !time) return std::nullopt;
   const std::optional<ChangeKind> kind = ChangeKindFromName(*type);
   if (!kind) return std::nullopt;
-  HistoryEntry entry{*version, *kind, nullptr, *by,
+  HistoryEntry entry{*version, *kind, nullptr, *author,
                      FromUnixMilliseconds(*time)};
   const auto value = json.find("value");
   if (value != json.end()) entry.value = *value;
@@ -32,19 +32,19 @@
   return {{"version", entry.version},
           {"type", ChangeKindName(entry.kind)},
           {"value", entry.value},
-          {"by", entry.by},
+          {"by", entry.author},
           {"time_ms", ToUnixMilliseconds(entry.time)}};
 }
 
 void SettingsHistory::Add(const SettingsChange& change, int64_t version) {
   std::deque<HistoryEntry>& entries = entries_[change.path];
   entries.push_back(
-      {version, change.kind, change.value, change.by, change.time});
+      {version, change.kind, change.value, change.author, change.time});
   if (entries.size() > kMaxEntries) entries.pop_front();
-  ForgetOldPaths();
+  EvictOldestPath();
 }
 
-void SettingsHistory::ForgetOldPaths() {
+void SettingsHistory::EvictOldestPath() {
   if (entries_.size() <= kMaxPaths) return;
   const auto oldest = std::min_element(
       entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
--- a/src/libs/settings/settings_history.h
+++ b/src/libs/settings/settings_history.h
@@ -1,4 +1,5 @@
-// The last changes of each path, with who made them and when.
+// The most recent changes of each path, with their author and time; bounded in
+// the number of changes of a path and of paths.
 #ifndef THORNPLANK_SETTINGS_SETTINGS_HISTORY_H_
 #define THORNPLANK_SETTINGS_SETTINGS_HISTORY_H_
 
@@ -21,7 +22,8 @@
   ChangeKind kind = ChangeKind::kPut;
   // Null for removals.
   Json value;
-  std::string by;
+  // Name of the token that the change was requested with.
+  std::string author;
   WallTime time;
 };
 
@@ -37,13 +39,15 @@
   static std::optional<SettingsHistory> FromJson(const Json& json);
 
  private:
-  void ForgetOldPaths();
+  // Evicts the path whose newest change is the oldest, when there are too many.
+  void EvictOldestPath();
 
-  // Oldest first. Invariant: none is empty, none exceeds kMaxEntries.
+  // Changes by path, oldest first. Invariant: no list is empty or longer than
+  // kMaxEntries.
   std::map<std::string, std::deque<HistoryEntry>> entries_;
 };
 
-// {"version","type","value","by","time_ms"}.
+// {"version","type","value","by","time_ms"}; "by" is the author.
 Json ToJson(const HistoryEntry& entry);
 
 }  // namespace thornplank
--- a/src/libs/settings/settings_path.cc
+++ b/src/libs/settings/settings_path.cc
@@ -1,4 +1,4 @@
-// Splitting and checking of paths.
+// Splitting and validation of paths.
 #include "settings/settings_path.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr size_t kMaxDepth = 8;
-// First segments under which documents are kept.
+// First segments of the paths of documents, which no node may use.
 constexpr const char* kReservedNames[] = {"events", "drains"};
 
 }  // namespace
@@ -29,7 +29,7 @@
   return slash == std::string::npos ? path : path.substr(slash + 1);
 }
 
-std::vector<std::string> PathFromRoot(const std::string& path) {
+std::vector<std::string> PathsFromRoot(const std::string& path) {
   std::vector<std::string> paths = {""};
   if (path.empty()) return paths;
   size_t slash = path.find('/');
@@ -48,7 +48,7 @@
            ", allowed at most " + std::to_string(kMaxDepth);
   }
   const TextRule rule = NameText();
-  for (const std::string& prefix : PathFromRoot(path)) {
+  for (const std::string& prefix : PathsFromRoot(path)) {
     if (prefix.empty()) continue;
     const std::string segment = LastSegment(prefix);
     if (rule.accepts(segment)) continue;
--- a/src/libs/settings/settings_path.h
+++ b/src/libs/settings/settings_path.h
@@ -9,12 +9,14 @@
 namespace thornplank {
 
 size_t PathDepth(const std::string& path);
-// Of a path that is not the root.
+// `path` must not be the root.
 std::string ParentPath(const std::string& path);
 std::string LastSegment(const std::string& path);
-// "north/claims" -> "", "north", "north/claims".
-std::vector<std::string> PathFromRoot(const std::string& path);
-// What is wrong with the path of a node, or "": "found X, allowed Y".
+// The path and its ancestors, root first: "north/claims" gives "", "north" and
+// "north/claims".
+std::vector<std::string> PathsFromRoot(const std::string& path);
+// The rule that the path of a node breaks, as "found X, allowed Y"; "" if it is
+// valid.
 std::string PathProblem(const std::string& path);
 
 }  // namespace thornplank
--- a/src/libs/settings/settings_program.h
+++ b/src/libs/settings/settings_program.h
@@ -1,4 +1,4 @@
-// What every program with a settings file does before it runs.
+// Start-up that all programs with a settings file share.
 #ifndef THORNPLANK_SETTINGS_SETTINGS_PROGRAM_H_
 #define THORNPLANK_SETTINGS_SETTINGS_PROGRAM_H_
 
@@ -15,8 +15,9 @@
 inline constexpr int kExitSettingsOk = 0;
 inline constexpr int kExitInvalidSettings = 2;
 
-// Reads the file `path` with `read` and hands it to `run`, or with `only_check`
-// says whether it is valid. Mistakes go to standard error, one line.
+// Reads the file at `path` with `read` and returns the exit code of `run`. With
+// `only_check` it prints that the file is valid and does not call `run`. The
+// first problem of an invalid file goes to standard error as one line.
 template <typename Settings>
 int RunWithSettings(
     const std::string& program, const std::string& path, bool only_check,
--- a/src/libs/settings/settings_reader.cc
+++ b/src/libs/settings/settings_reader.cc
@@ -1,4 +1,4 @@
-// Checks of declared keys and the wording of the problems.
+// Checks of the declared keys and the texts of the problems.
 #include "settings/settings_reader.h"
 
 #include <algorithm>
@@ -12,36 +12,36 @@
 namespace thornplank {
 namespace {
 
-constexpr size_t kMaxShownBytes = 60;
+constexpr size_t kMaxValueTextBytes = 60;
 constexpr size_t kMaxNameBytes = 64;
-constexpr int kShownDigits = 15;
+constexpr int kNumberDigits = 15;
 
-// The units that end a key, for the hint at a wrong one.
+// Suffixes that name a unit, by which a key with a wrong unit is recognised.
 constexpr std::string_view kUnits[] = {
     "ms",  "s",       "sec",   "secs", "seconds", "us", "ns",
     "min", "minutes", "bytes", "kb",   "mb",      "gb", "milliseconds",
     "h",   "hours"};
 
-std::string Shown(const Json& value) {
+std::string ValueText(const Json& value) {
   std::string text = value.dump(-1, ' ', false, Json::error_handler_t::replace);
-  if (text.size() > kMaxShownBytes) {
-    text = text.substr(0, kMaxShownBytes) + "...";
+  if (text.size() > kMaxValueTextBytes) {
+    text = text.substr(0, kMaxValueTextBytes) + "...";
   }
   return text;
 }
 
-std::string WithType(const Json& value) {
-  return std::string(value.type_name()) + " " + Shown(value);
+std::string TypedValueText(const Json& value) {
+  return std::string(value.type_name()) + " " + ValueText(value);
 }
 
-std::string ShownNumber(double value) {
+std::string NumberText(double value) {
   std::ostringstream text;
-  text.precision(kShownDigits);
+  text.precision(kNumberDigits);
   text << value;
   return text.str();
 }
 
-bool IsName(const std::string& text) {
+bool IsValidName(const std::string& text) {
   if (text.empty() || text.size() > kMaxNameBytes) return false;
   if (std::isalnum(static_cast<unsigned char>(text[0])) == 0) return false;
   return std::all_of(text.begin(), text.end(), [](char c) {
@@ -50,22 +50,22 @@
   });
 }
 
-// The key without a unit at its end; the unit goes to `*unit`, "" if none.
-std::string Stem(const std::string& key, std::string* unit) {
+// The key without its unit suffix, which goes to `*unit` ("" if there is none).
+std::string WithoutUnit(const std::string& key, std::string* unit) {
   unit->clear();
   const size_t underscore = key.rfind('_');
   if (underscore == std::string::npos) return key;
-  const std::string end = key.substr(underscore + 1);
+  const std::string suffix = key.substr(underscore + 1);
   for (const std::string_view known : kUnits) {
-    if (end != known) continue;
-    *unit = end;
+    if (suffix != known) continue;
+    *unit = suffix;
     return key.substr(0, underscore);
   }
   return key;
 }
 
-std::string Joined(const std::vector<std::string>& names,
-                   const std::string& separator) {
+std::string Join(const std::vector<std::string>& names,
+                 const std::string& separator) {
   std::string text;
   for (const std::string& name : names) {
     if (!text.empty()) text += separator;
@@ -88,7 +88,7 @@
 
 TextRule NameText() {
   return {"a name of letters, digits, '.', '_' and '-', at most 64 bytes",
-          IsName};
+          IsValidName};
 }
 
 TextRule AddressText() {
@@ -116,17 +116,17 @@
   return key.empty() ? path_ : path_ + "." + key;
 }
 
-void SettingsReader::Fail(const std::string& key, std::string found,
-                          std::string allowed) {
+void SettingsReader::AddProblem(const std::string& key, std::string found,
+                                std::string allowed) {
   problems_.push_back({PathOf(key), std::move(found), std::move(allowed)});
 }
 
 const Json* SettingsReader::Declare(const std::string& key, Presence presence) {
-  declared_.push_back(key);
+  declared_keys_.push_back(key);
   if (!value_.is_object()) return nullptr;
   const auto it = value_.find(key);
   if (it != value_.end()) return &*it;
-  if (presence == Presence::kRequired) missing_.push_back(key);
+  if (presence == Presence::kRequired) missing_keys_.push_back(key);
   return nullptr;
 }
 
@@ -134,7 +134,8 @@
                           bool* value) {
   const Json* json = Declare(key, presence);
   if (json == nullptr) return;
-  if (!json->is_boolean()) return Fail(key, WithType(*json), "true or false");
+  if (!json->is_boolean())
+    return AddProblem(key, TypedValueText(*json), "true or false");
   *value = json->get<bool>();
 }
 
@@ -143,14 +144,16 @@
   const Json* json = Declare(key, presence);
   if (json == nullptr) return;
   std::string allowed = range.above_min ? "a number above " : "a number from ";
-  allowed += ShownNumber(range.min);
+  allowed += NumberText(range.min);
   if (range.max < std::numeric_limits<double>::max()) {
-    allowed += " to " + ShownNumber(range.max);
+    allowed += " to " + NumberText(range.max);
   }
-  if (!json->is_number()) return Fail(key, WithType(*json), allowed);
+  if (!json->is_number())
+    return AddProblem(key, TypedValueText(*json), allowed);
   const double read = json->get<double>();
   const bool too_small = range.above_min ? read <= range.min : read < range.min;
-  if (too_small || read > range.max) return Fail(key, Shown(*json), allowed);
+  if (too_small || read > range.max)
+    return AddProblem(key, ValueText(*json), allowed);
   *value = read;
 }
 
@@ -164,7 +167,7 @@
     allowed += " to " + std::to_string(range.max);
   }
   if (!json->is_number_integer()) {
-    Fail(key, WithType(*json), allowed);
+    AddProblem(key, TypedValueText(*json), allowed);
     return std::nullopt;
   }
   const bool too_large_for_type =
@@ -173,7 +176,7 @@
           static_cast<uint64_t>(std::numeric_limits<int64_t>::max());
   const int64_t read = too_large_for_type ? 0 : json->get<int64_t>();
   if (too_large_for_type || read < range.min || read > range.max) {
-    Fail(key, Shown(*json), allowed);
+    AddProblem(key, ValueText(*json), allowed);
     return std::nullopt;
   }
   return read;
@@ -206,22 +209,26 @@
         std::find(names.begin(), names.end(), json->get<std::string>());
     if (it != names.end()) return it - names.begin();
   }
-  Fail(key, json->is_string() ? Shown(*json) : WithType(*json),
-       "one of " + Joined(names, ", "));
+  AddProblem(key, json->is_string() ? ValueText(*json) : TypedValueText(*json),
+             "one of " + Join(names, ", "));
   return std::nullopt;
 }
 
 bool SettingsReader::CheckText(const std::string& key, const Json& value,
                                const TextRule& rule) {
   if (!value.is_string()) {
-    Fail(key, rule.secret ? std::string(value.type_name()) : WithType(value),
-         rule.allowed);
+    AddProblem(
+        key,
+        rule.secret ? std::string(value.type_name()) : TypedValueText(value),
+        rule.allowed);
     return false;
   }
   const std::string text = value.get<std::string>();
   if (rule.accepts(text)) return true;
-  Fail(key, rule.secret ? std::to_string(text.size()) + " bytes" : Shown(value),
-       rule.allowed);
+  AddProblem(
+      key,
+      rule.secret ? std::to_string(text.size()) + " bytes" : ValueText(value),
+      rule.allowed);
   return false;
 }
 
@@ -237,7 +244,8 @@
                               std::vector<std::string>* value) {
   const Json* json = Declare(key, presence);
   if (json == nullptr) return;
-  if (!json->is_array()) return Fail(key, WithType(*json), "a list");
+  if (!json->is_array())
+    return AddProblem(key, TypedValueText(*json), "a list");
   std::vector<std::string> read;
   std::set<std::string> seen;
   for (size_t i = 0; i < json->size(); ++i) {
@@ -245,8 +253,8 @@
     if (!CheckText(item_key, (*json)[i], rule)) return;
     read.push_back((*json)[i].get<std::string>());
     if (seen.insert(read.back()).second) continue;
-    return Fail(item_key, Shown((*json)[i]) + " a second time",
-                "each value once");
+    return AddProblem(item_key, ValueText((*json)[i]) + " a second time",
+                      "each value once");
   }
   *value = std::move(read);
 }
@@ -269,10 +277,11 @@
   const Json* json = Declare(key, presence);
   if (present != nullptr) *present = json != nullptr;
   if (json == nullptr) return;
-  if (!json->is_array()) return Fail(key, WithType(*json), "a list");
+  if (!json->is_array())
+    return AddProblem(key, TypedValueText(*json), "a list");
   if (json->size() < min_items) {
-    return Fail(key, std::to_string(json->size()) + " items",
-                "at least " + std::to_string(min_items));
+    return AddProblem(key, std::to_string(json->size()) + " items",
+                      "at least " + std::to_string(min_items));
   }
   for (size_t i = 0; i < json->size(); ++i) {
     SettingsReader item((*json)[i],
@@ -284,13 +293,13 @@
   }
 }
 
-std::string SettingsReader::KeyOfOtherUnit(const std::string& key) const {
+std::string SettingsReader::KeyWithOtherUnit(const std::string& key) const {
   std::string unit;
-  const std::string stem = Stem(key, &unit);
-  for (const std::string& declared : declared_) {
+  const std::string base = WithoutUnit(key, &unit);
+  for (const std::string& declared : declared_keys_) {
     std::string declared_unit;
-    const bool same_stem = Stem(declared, &declared_unit) == stem;
-    if (same_stem && !declared_unit.empty()) return declared;
+    const bool same_base = WithoutUnit(declared, &declared_unit) == base;
+    if (same_base && !declared_unit.empty()) return declared;
   }
   return "";
 }
@@ -298,24 +307,26 @@
 std::vector<SettingsProblem> SettingsReader::Finish() {
   std::vector<SettingsProblem> all;
   if (!value_.is_object()) {
-    all.push_back({path_, WithType(value_), "an object"});
+    all.push_back({path_, TypedValueText(value_), "an object"});
     return all;
   }
-  std::set<std::string> explained;
+  std::set<std::string> explained_keys;
   for (const auto& [key, unused] : value_.items()) {
-    if (std::find(declared_.begin(), declared_.end(), key) != declared_.end()) {
+    if (std::find(declared_keys_.begin(), declared_keys_.end(), key) !=
+        declared_keys_.end()) {
       continue;
     }
-    const std::string other = KeyOfOtherUnit(key);
+    const std::string other = KeyWithOtherUnit(key);
     if (other.empty()) {
-      all.push_back({PathOf(key), "an unknown key", Joined(declared_, ", ")});
+      all.push_back(
+          {PathOf(key), "an unknown key", Join(declared_keys_, ", ")});
       continue;
     }
-    explained.insert(other);
+    explained_keys.insert(other);
     all.push_back({PathOf(key), "a key of another unit", other});
   }
-  for (const std::string& key : missing_) {
-    if (explained.count(key) > 0) continue;
+  for (const std::string& key : missing_keys_) {
+    if (explained_keys.count(key) > 0) continue;
     all.push_back({PathOf(key), "nothing", "a value: the key is required"});
   }
   all.insert(all.end(), problems_.begin(), problems_.end());
--- a/src/libs/settings/settings_reader.h
+++ b/src/libs/settings/settings_reader.h
@@ -1,5 +1,5 @@
-// A declarative checker of settings in JSON: each key is declared with its
-// type and its range and read into a plain struct.
+// Declarative reading of settings in JSON: each key is declared with its type
+// and range, checked, and read into a plain struct.
 //
 // Every key that is not declared, is missing, has another type or unit, or is
 // out of range becomes one SettingsProblem. Programs use it through
@@ -22,7 +22,7 @@
 
 namespace thornplank {
 
-// One mistake in the settings.
+// One error in the settings.
 struct SettingsProblem {
   // Path of the key: "log.level", "tokens[1].role".
   std::string key;
@@ -35,7 +35,7 @@
 
 enum class Presence { kRequired, kOptional };
 
-// Bounds, both included.
+// Inclusive bounds.
 struct IntRange {
   int64_t min = 0;
   int64_t max = std::numeric_limits<int64_t>::max();
@@ -43,7 +43,7 @@
 struct NumberRange {
   double min = 0;
   double max = std::numeric_limits<double>::max();
-  // Refuses `min` itself.
+  // Excludes `min` itself.
   bool above_min = false;
 };
 struct DurationRange {
@@ -51,12 +51,12 @@
   Milliseconds max{0};
 };
 
-// What a text must look like.
+// Which values a text key accepts.
 struct TextRule {
   // Shown to the operator after "allowed".
   std::string allowed;
   std::function<bool(const std::string&)> accepts;
-  // Never shown in a problem.
+  // The value is a secret, which no problem may show.
   bool secret = false;
 };
 
@@ -67,7 +67,7 @@
 TextRule NameText();
 // "ip:port" or "[ipv6]:port" with a numeric IP and a port of 1 to 65535.
 TextRule AddressText();
-// The same, port 0 included, which takes a free port.
+// The same, port 0 included, which chooses a free port.
 TextRule ListenAddressText();
 // At least `min_bytes` bytes; never shown.
 TextRule SecretText(size_t min_bytes);
@@ -78,8 +78,8 @@
   // for a whole file.
   explicit SettingsReader(const Json& value, std::string path = "");
 
-  // Each call declares one key. A key that is absent and optional, or that
-  // has a problem, leaves `*value` as it is.
+  // Each call declares one key. `*value` is left unchanged if the key is absent
+  // or has a problem.
   void Bool(const std::string& key, Presence presence, bool* value);
   void Number(const std::string& key, Presence presence, NumberRange range,
               double* value);
@@ -100,7 +100,7 @@
     const std::optional<int64_t> read = ReadInt(key, presence, range);
     if (read) *value = static_cast<Integer>(*read);
   }
-  // True when `*value` was read.
+  // Returns true if `*value` was read.
   template <typename Choice>
   bool Choose(const std::string& key, Presence presence,
               const std::vector<std::pair<std::string, Choice>>& choices,
@@ -114,22 +114,23 @@
     return true;
   }
 
-  // An object, read by `read` with a reader of its own.
+  // An object, whose keys `read` declares on a reader of its own.
   void Section(const std::string& key, Presence presence,
                const std::function<void(SettingsReader&)>& read);
-  // A list of objects, `read` runs once for each. `*present` (may be null)
-  // tells whether the key is there.
+  // A list of objects; `read` runs once for each, with a reader of its own.
+  // `*present` (may be null) tells whether the key exists.
   void List(const std::string& key, Presence presence, size_t min_items,
             const std::function<void(SettingsReader&)>& read,
             bool* present = nullptr);
 
-  // Adds a problem that concerns several keys; an empty `key` stands for the
-  // value that this reader reads.
-  void Fail(const std::string& key, std::string found, std::string allowed);
+  // Adds a problem that the declarations do not detect, such as one between
+  // several keys; an empty `key` stands for the whole value of this reader.
+  void AddProblem(const std::string& key, std::string found,
+                  std::string allowed);
 
-  // Adds the keys that were never declared; called after the last
-  // declaration. The problems in the order in which an operator mends them
-  // best: unknown keys before missing ones.
+  // Returns all problems, including keys that were not declared; to be called
+  // after the last declaration. They come in the order in which an operator
+  // fixes them best: unknown keys before missing ones.
   std::vector<SettingsProblem> Finish();
 
   const std::string& path() const { return path_; }
@@ -139,29 +140,32 @@
                                  IntRange range);
   std::optional<size_t> ReadChoice(const std::string& key, Presence presence,
                                    const std::vector<std::string>& names);
-  // Declares `key`; the value, or nullptr when absent.
+  // Declares `key`; returns its value, or nullptr if absent.
   const Json* Declare(const std::string& key, Presence presence);
-  // True when the text at `key` satisfies `rule`; else adds a problem.
+  // Returns whether the text at `key` satisfies `rule`; adds a problem if not.
   bool CheckText(const std::string& key, const Json& value,
                  const TextRule& rule);
   std::string PathOf(const std::string& key) const;
-  // A declared key with the same stem as `key` and another unit, or "".
-  std::string KeyOfOtherUnit(const std::string& key) const;
+  // The declared key that differs from `key` only in its unit, or "".
+  std::string KeyWithOtherUnit(const std::string& key) const;
 
   const Json& value_;
   const std::string path_;
-  std::vector<std::string> declared_;
-  std::vector<std::string> missing_;
+  std::vector<std::string> declared_keys_;
+  // Required keys that are absent.
+  std::vector<std::string> missing_keys_;
   std::vector<SettingsProblem> problems_;
 };
 
-// Reads the JSON file (comments allowed) at `path` and hands it to `read`.
-// On a mistake nullopt, and `*error` holds the first problem; `peer` is the
-// file. T is a struct with a default constructor.
+// Parses the JSON file at `path`, which may contain comments. Returns nullopt
+// with `*error` set on failure; Error::peer is then the path.
 std::optional<Json> LoadSettingsFile(const std::string& path, Error* error);
-// "file: key: found X, allowed Y" in one line.
+// "file: key: found X, allowed Y", for an error of ReadSettingsFile.
 std::string SettingsErrorLine(const Error& error);
 
+// Reads the JSON file at `path`, whose keys `read` declares. Returns nullopt if
+// the file is invalid; `*error` then holds the first problem, and Error::peer
+// is the path.
 template <typename Settings>
 std::optional<Settings> ReadSettingsFile(
     const std::string& path,
--- a/src/libs/settings/settings_replica.h
+++ b/src/libs/settings/settings_replica.h
@@ -1,10 +1,11 @@
-// The fold of the stream "settings": records in order of offset in, the tree
-// of settings out.
+// The settings as a replicated state machine: it applies the records of the
+// stream "settings" in order of offset and holds the resulting tree and
+// history.
 //
-// Decision code: no I/O. Its verdicts depend only on the records, so that
-// every entry comes to the same ones. Where the beginning of the stream is
-// lost to retention, the fold keeps what it has, takes no change, and waits
-// for a snapshot that closes the gap.
+// Decision code: no I/O. The verdicts depend only on the records, so that every
+// entry reaches the same ones. When retention has removed records that were not
+// applied yet (a gap), the replica keeps its state, applies nothing and waits
+// for a snapshot that covers the gap.
 #ifndef THORNPLANK_SETTINGS_SETTINGS_REPLICA_H_
 #define THORNPLANK_SETTINGS_SETTINGS_REPLICA_H_
 
@@ -22,106 +23,114 @@
 
 namespace thornplank {
 
-// One record as it was read.
+// A record as it was read from the stream.
 struct SettingsRecord {
   int64_t offset = 0;
   std::string id;
   Json data;
 };
 
-// What became of a change, a withdrawal or a record that makes no sense.
+// The outcome of applying a change, a withdrawal or a malformed record. There
+// is none for snapshots and for records with an id that was decided before.
 struct RecordOutcome {
   int64_t offset = 0;
   std::string id;
   SettingsChange change;
   ChangeResult result;
-  // The record could not be read as anything; `change` is empty.
+  // The record is neither a change nor a withdrawal; `change` is empty.
   bool malformed = false;
 };
 
 enum class SnapshotVerdict {
   kAdopted,
-  // Covers no more than what is folded; changes nothing.
+  // Covers no more than the records that are applied; nothing changes.
   kStale,
-  // Ends before the records that can still be read begin.
+  // Does not reach up to the first record that can still be read.
   kLeavesGap,
   kMalformed,
 };
 
 class SettingsReplica {
  public:
-  // Folds one record; offsets rise from call to call, and one that is already
-  // covered is ignored. While there is a gap, records are kept for later, and
-  // a usable snapshot returns the outcomes of all of them at once.
+  // Applies one record. Offsets must rise from call to call; a record that is
+  // already covered is ignored. While there is a gap, records are kept for
+  // later; the snapshot that closes the gap returns the outcomes of all of
+  // them.
   std::vector<RecordOutcome> Apply(SettingsRecord record);
 
-  // Records from `from` to before `first_kept` are lost to retention.
+  // Retention has removed the records from `from` to before `first_kept`.
   void HandleGap(int64_t from, int64_t first_kept);
 
-  // Takes over a snapshot, from the stream or a peer, when it covers more
-  // than what is folded and closes the gap.
-  SnapshotVerdict Adopt(const Json& snapshot,
-                        std::vector<RecordOutcome>* outcomes);
+  // Replaces the state by a snapshot, from the stream or a peer, if it covers
+  // more than the applied records and closes the gap. Its "covers" is the
+  // offset of the first record that it does not contain. Adds the outcomes of
+  // the records that were kept since the gap to `*outcomes`.
+  SnapshotVerdict AdoptSnapshot(const Json& snapshot,
+                                std::vector<RecordOutcome>* outcomes);
 
-  // What Adopt takes: the whole state, naming the offset that it covers.
-  // Requires complete().
+  // The whole state in the form that AdoptSnapshot reads; its "covers" is
+  // next_offset(). Requires complete().
   Json Snapshot() const;
 
-  // What an operator appends when the records of the gap are lost to
-  // everyone: the state of this entry, said to cover the gap. Requires
-  // !complete().
+  // The snapshot that an operator has appended when no entry can read the
+  // records of the gap any more: the state of this entry, declared to cover the
+  // gap. Requires !complete().
   Json RecoverySnapshot() const;
-  // Whether Adopt could read it.
-  static bool Readable(const Json& snapshot);
+  // Whether AdoptSnapshot could read the snapshot.
+  static bool IsReadable(const Json& snapshot);
 
   // False while there is a gap.
-  bool complete() const { return !resume_at_; }
-  // All records before it are folded; a snapshot of it "covers" this.
+  bool complete() const { return !gap_end_; }
+  // All records before this offset are applied.
   int64_t next_offset() const { return next_offset_; }
   const SettingsTree& tree() const { return tree_; }
   const SettingsHistory& history() const { return history_; }
-  // The verdict on the change of that record id, while it is remembered.
-  std::optional<ChangeResult> Decision(const std::string& id) const;
+  // The decision on the record with this id; nullopt if there is none or if it
+  // is no longer remembered.
+  std::optional<ChangeResult> FindDecision(const std::string& id) const;
 
  private:
-  struct Decided {
+  // The decision on a record, by which a repeated id is recognised.
+  struct Decision {
     std::string id;
     ChangeVerdict verdict;
     int64_t version;
   };
 
-  // What a snapshot holds.
+  // Contents of a snapshot.
   struct State {
+    // The state contains all records before this offset.
     int64_t covers = 0;
     SettingsTree tree;
     SettingsHistory history;
-    std::deque<Decided> decided;
+    std::deque<Decision> decisions;
   };
 
   static std::optional<State> ParseSnapshot(const Json& snapshot);
   Json SnapshotCovering(int64_t covers) const;
   void ApplyNext(const SettingsRecord& record,
                  std::vector<RecordOutcome>* outcomes);
-  void Remember(const std::string& id, const ChangeResult& result);
-  Json DecidedToJson() const;
-  static std::optional<std::deque<Decided>> ParseDecided(const Json& json);
+  void RememberDecision(const std::string& id, const ChangeResult& result);
+  Json DecisionsToJson() const;
+  static std::optional<std::deque<Decision>> ParseDecisions(const Json& json);
 
   SettingsTree tree_;
   SettingsHistory history_;
-  // The last decided ids, oldest first; the same on every entry, because a
-  // snapshot carries all of them.
-  std::deque<Decided> decided_;
+  // The latest decisions, oldest first; the same on every entry, because a
+  // snapshot contains all of them.
+  std::deque<Decision> decisions_;
   int64_t next_offset_ = 0;
-  // Set while there is a gap: the first record that can still be read.
-  // Invariant: *resume_at_ > next_offset_.
-  std::optional<int64_t> resume_at_;
-  // Records read since the gap. Empty unless resume_at_ is set.
-  std::vector<SettingsRecord> waiting_;
+  // Set while there is a gap: the offset of the first record that can still be
+  // read. Invariant: *gap_end_ > next_offset_.
+  std::optional<int64_t> gap_end_;
+  // Records read after the gap, not applied yet. Empty unless gap_end_ is set.
+  std::vector<SettingsRecord> records_after_gap_;
 };
 
-// Data of the record that withdraws the change appended under the same id.
-// Whichever of the two comes first decides: a repeated id is ignored.
-Json WithdrawalData(const std::string& by);
+// Data of the record that withdraws the change appended under the same id. The
+// first of the two in the stream takes effect, because a repeated id is
+// ignored.
+Json WithdrawalData(const std::string& author);
 
 }  // namespace thornplank
 
--- a/src/libs/settings/settings_review.h
+++ b/src/libs/settings/settings_review.h
@@ -1,4 +1,4 @@
-// The interface by which other parts add checks to a change of the settings.
+// Interface through which other parts check a change of the settings.
 #ifndef THORNPLANK_SETTINGS_SETTINGS_REVIEW_H_
 #define THORNPLANK_SETTINGS_SETTINGS_REVIEW_H_
 
@@ -9,16 +9,17 @@
 
 class SettingsTree;
 
-// Checks that need more than the tree itself, such as whether all guarantees
-// fit onto the workers together. Runs before a change is appended and never
-// in the fold, whose verdicts must be the same on every entry.
+// A check that needs more than the tree itself, such as whether the workers can
+// satisfy all guarantees together. It runs before a change is appended and
+// never while the records are applied, because every entry must reach the same
+// verdict on a record.
 class SettingsReview {
  public:
   virtual ~SettingsReview() = default;
 
-  // Readable reasons against `proposed`, the tree with the change applied to
-  // `current`; empty accepts it. Must not block; called without locks held,
-  // from any thread.
+  // Returns readable reasons to refuse `proposed`, which is `current` with the
+  // change applied; no reasons accept it. Must not block. Called from any
+  // thread, without locks held.
   virtual std::vector<std::string> Review(
       const SettingsTree& current, const SettingsTree& proposed) const = 0;
 };
--- a/src/libs/settings/settings_tree.cc
+++ b/src/libs/settings/settings_tree.cc
@@ -1,4 +1,4 @@
-// Inheritance, rules and compare-and-set of the settings tree.
+// Inheritance, validation and compare-and-set of the settings tree.
 #include "settings/settings_tree.h"
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 namespace thornplank {
 namespace {
 
-// Keys that a review looks at.
+// Keys that a review depends on.
 constexpr const char* kGuaranteeKeys[] = {"guaranteed_slots",
                                           "guaranteed_shapes"};
 
-std::string Named(const std::string& path) {
+std::string PathText(const std::string& path) {
   return path.empty() ? "(root)" : path;
 }
 
@@ -26,8 +26,8 @@
   return kind == ChangeKind::kRemove || kind == ChangeKind::kDocumentRemove;
 }
 
-// The own values of a node over those of its parent, in place.
-void Inherit(const Json& own, EffectiveSettings* settings) {
+// Overwrites the values inherited from the parent with a node's own ones.
+void ReadOwnValues(const Json& own, EffectiveSettings* settings) {
   SettingsReader reader(own);
   std::optional<NodeKind> kind;
   ReadNodeKeys(reader, settings, &kind);
@@ -50,14 +50,14 @@
   return table_.version(path);
 }
 
-const Json* SettingsTree::own(const std::string& path) const {
+const Json* SettingsTree::own_value(const std::string& path) const {
   static const Json kEmpty = Json::object();
   const Json* value = table_.value(path);
   return value == nullptr && path.empty() ? &kEmpty : value;
 }
 
 std::optional<NodeKind> SettingsTree::kind(const std::string& path) const {
-  const Json* value = own(path);
+  const Json* value = own_value(path);
   if (value == nullptr || IsDocumentPath(path)) return std::nullopt;
   if (path.empty()) return NodeKind::kGroup;
   const std::optional<NodeKind> kind =
@@ -105,9 +105,9 @@
 
 EffectiveSettings SettingsTree::Effective(const std::string& path) const {
   EffectiveSettings settings;
-  for (const std::string& ancestor : PathFromRoot(path)) {
-    const Json* value = own(ancestor);
-    if (value != nullptr) Inherit(*value, &settings);
+  for (const std::string& ancestor : PathsFromRoot(path)) {
+    const Json* value = own_value(ancestor);
+    if (value != nullptr) ReadOwnValues(*value, &settings);
   }
   return settings;
 }
@@ -119,8 +119,8 @@
   for (const auto& [key, value] : effective.items()) {
     explained[key] = {value, "", /*built_in=*/true};
   }
-  for (const std::string& ancestor : PathFromRoot(path)) {
-    const Json* value = own(ancestor);
+  for (const std::string& ancestor : PathsFromRoot(path)) {
+    const Json* value = own_value(ancestor);
     if (value == nullptr) continue;
     for (auto& [key, item] : explained) {
       if (!value->contains(key)) continue;
@@ -150,12 +150,13 @@
   if (IsDocumentKind(change.kind)) {
     return change.path.compare(0, kEventPrefix.size(), kEventPrefix) == 0;
   }
-  const Json* before = own(change.path);
-  // An account inherits guarantees that its ancestors declare.
-  const bool account_comes_or_goes =
+  const Json* before = own_value(change.path);
+  // An account inherits the guarantees of the root, so that adding or removing
+  // it changes their total.
+  const bool adds_or_removes_account =
       PathDepth(change.path) == 1 &&
       (before == nullptr || change.kind == ChangeKind::kRemove);
-  if (account_comes_or_goes) return true;
+  if (adds_or_removes_account) return true;
   const Json* after = change.kind == ChangeKind::kPut ? &change.value : nullptr;
   return std::any_of(std::begin(kGuaranteeKeys), std::end(kGuaranteeKeys),
                      [&](const char* key) {
@@ -177,11 +178,11 @@
       *change.reviewed_revision < guarantee_revision_) {
     return Refuse(change, ChangeVerdict::kStaleReview);
   }
-  VersionedTable::Slot slot;
-  slot.version = revision_ + 1;
-  if (!IsRemoval(change.kind)) slot.value = change.value;
-  std::optional<VersionedTable::Slot> before =
-      table_.Exchange(change.path, std::move(slot));
+  VersionedTable::VersionedValue versioned;
+  versioned.version = revision_ + 1;
+  if (!IsRemoval(change.kind)) versioned.value = change.value;
+  std::optional<VersionedTable::VersionedValue> before =
+      table_.Exchange(change.path, std::move(versioned));
   reasons = CheckAffected(change.path);
   if (!reasons.empty()) {
     table_.Exchange(change.path, std::move(before));
@@ -189,7 +190,7 @@
   }
   ++revision_;
   if (changes_guarantees) guarantee_revision_ = revision_;
-  if (IsRemoval(change.kind)) table_.ForgetOldRemovals();
+  if (IsRemoval(change.kind)) table_.PruneTombstones();
   return {ChangeVerdict::kApplied, revision_, {}};
 }
 
@@ -197,13 +198,13 @@
     const SettingsChange& change) const {
   const std::string& path = change.path;
   if (IsDocumentKind(change.kind) != IsDocumentPath(path)) {
-    return {Named(path) + ": found a path of another kind, allowed " +
+    return {PathText(path) + ": found a path of another kind, allowed " +
             (IsDocumentKind(change.kind) ? "events/NAME or drains/INSTANCE"
                                          : "a node of the tree")};
   }
   if (!IsDocumentPath(path)) {
     const std::string problem = PathProblem(path);
-    if (!problem.empty()) return {Named(path) + ": " + problem};
+    if (!problem.empty()) return {PathText(path) + ": " + problem};
   }
   return IsRemoval(change.kind) ? CheckRemoval(path)
                                 : std::vector<std::string>();
@@ -212,14 +213,14 @@
 std::vector<std::string> SettingsTree::CheckRemoval(
     const std::string& path) const {
   if (path.empty()) return {"(root): found a removal, allowed a change"};
-  if (own(path) == nullptr) return {path + ": found nothing to remove"};
+  if (own_value(path) == nullptr) return {path + ": found nothing to remove"};
   const std::vector<std::string> children = table_.paths(path + "/");
   if (!children.empty()) {
     return {path + ": found child nodes such as " + children.front() +
             ", allowed once they are removed"};
   }
   for (const std::string& document : documents(kEventPrefix)) {
-    if (StringField(*own(document), "account") != path) continue;
+    if (StringField(*own_value(document), "account") != path) continue;
     return {path + ": found " + document + " naming it, allowed once that " +
             "event is removed"};
   }
@@ -236,7 +237,7 @@
                        ", allowed account directly under the root, service "
                        "or group below an account");
   }
-  if (own(parent) == nullptr) {
+  if (own_value(parent) == nullptr) {
     reasons->push_back(path + ": found no node " + parent +
                        ", allowed beneath a node that exists");
     return;
@@ -257,23 +258,23 @@
 
 void SettingsTree::CheckNode(const std::string& path,
                              std::vector<std::string>* reasons) const {
-  const Json* value = own(path);
+  const Json* value = own_value(path);
   if (value == nullptr) return;
   SettingsReader reader(*value);
   EffectiveSettings ignored;
   std::optional<NodeKind> kind;
   ReadNodeKeys(reader, &ignored, &kind);
   if (path.empty() && kind && *kind != NodeKind::kGroup) {
-    reader.Fail("kind", NodeKindName(*kind), "group at the root");
+    reader.AddProblem("kind", NodeKindName(*kind), "group at the root");
   }
   for (const SettingsProblem& problem : reader.Finish()) {
-    reasons->push_back(Named(path) + ": " + problem.ToString());
+    reasons->push_back(PathText(path) + ": " + problem.ToString());
   }
   if (!reasons->empty()) return;
   if (!path.empty()) CheckKind(path, reasons);
   const EffectiveSettings effective = Effective(path);
   if (effective.default_deadline <= effective.max_deadline) return;
-  reasons->push_back(Named(path) + ": default_deadline_ms: found " +
+  reasons->push_back(PathText(path) + ": default_deadline_ms: found " +
                      std::to_string(effective.default_deadline.count()) +
                      ", allowed at most max_deadline_ms (" +
                      std::to_string(effective.max_deadline.count()) +
@@ -282,7 +283,7 @@
 
 void SettingsTree::CheckDocumentAt(const std::string& path,
                                    std::vector<std::string>* reasons) const {
-  const Json* value = own(path);
+  const Json* value = own_value(path);
   if (value == nullptr) return;
   for (const SettingsProblem& problem : CheckDocument(path, *value)) {
     reasons->push_back(path + ": " + problem.ToString());
@@ -296,7 +297,7 @@
     return;
   }
   const std::string account = StringField(*value, "account").value_or("");
-  if (own(account) != nullptr && PathDepth(account) == 1) return;
+  if (own_value(account) != nullptr && PathDepth(account) == 1) return;
   reasons->push_back(path + ": account: found \"" + account +
                      "\", allowed a client account of the tree");
 }
@@ -310,8 +311,8 @@
   }
   CheckNode(path, &reasons);
   if (!reasons.empty()) return reasons;
-  const std::string below = path.empty() ? "" : path + "/";
-  for (const std::string& node : table_.paths(below)) {
+  const std::string child_prefix = path.empty() ? "" : path + "/";
+  for (const std::string& node : table_.paths(child_prefix)) {
     if (node == path || IsDocumentPath(node)) continue;
     CheckNode(node, &reasons);
   }
@@ -326,7 +327,7 @@
       continue;
     }
     const std::string problem = PathProblem(path);
-    if (!problem.empty()) reasons.push_back(Named(path) + ": " + problem);
+    if (!problem.empty()) reasons.push_back(PathText(path) + ": " + problem);
   }
   return reasons;
 }
--- a/src/libs/settings/versioned_table.cc
+++ b/src/libs/settings/versioned_table.cc
@@ -8,32 +8,32 @@
 namespace thornplank {
 namespace {
 
-constexpr size_t kMaxRemovals = 2000;
+constexpr size_t kMaxTombstones = 2000;
 
 }  // namespace
 
 int64_t VersionedTable::version(const std::string& path) const {
-  const auto it = slots_.find(path);
-  return it == slots_.end() ? 0 : it->second.version;
+  const auto it = values_.find(path);
+  return it == values_.end() ? 0 : it->second.version;
 }
 
 const Json* VersionedTable::value(const std::string& path) const {
-  const auto it = slots_.find(path);
-  if (it == slots_.end() || !it->second.value) return nullptr;
+  const auto it = values_.find(path);
+  if (it == values_.end() || !it->second.value) return nullptr;
   return &*it->second.value;
 }
 
 int64_t VersionedTable::newest_version() const {
   int64_t newest = 0;
-  for (const auto& [path, slot] : slots_) {
-    newest = std::max(newest, slot.version);
+  for (const auto& [path, versioned] : values_) {
+    newest = std::max(newest, versioned.version);
   }
   return newest;
 }
 
 std::vector<std::string> VersionedTable::paths(std::string_view prefix) const {
   std::vector<std::string> found;
-  for (auto it = slots_.lower_bound(std::string(prefix)); it != slots_.end();
+  for (auto it = values_.lower_bound(std::string(prefix)); it != values_.end();
        ++it) {
     if (it->first.compare(0, prefix.size(), prefix) != 0) break;
     if (it->second.value) found.push_back(it->first);
@@ -41,37 +41,37 @@
   return found;
 }
 
-std::optional<VersionedTable::Slot> VersionedTable::Exchange(
-    const std::string& path, std::optional<Slot> slot) {
-  std::optional<Slot> before;
-  const auto it = slots_.find(path);
-  if (it != slots_.end()) {
+std::optional<VersionedTable::VersionedValue> VersionedTable::Exchange(
+    const std::string& path, std::optional<VersionedValue> versioned) {
+  std::optional<VersionedValue> before;
+  const auto it = values_.find(path);
+  if (it != values_.end()) {
     before = std::move(it->second);
-    slots_.erase(it);
+    values_.erase(it);
   }
-  if (slot) slots_.emplace(path, std::move(*slot));
+  if (versioned) values_.emplace(path, std::move(*versioned));
   return before;
 }
 
-void VersionedTable::ForgetOldRemovals() {
-  std::map<int64_t, std::string> removals;
-  for (const auto& [path, slot] : slots_) {
-    if (!slot.value) removals.emplace(slot.version, path);
+void VersionedTable::PruneTombstones() {
+  std::map<int64_t, std::string> tombstones;
+  for (const auto& [path, versioned] : values_) {
+    if (!versioned.value) tombstones.emplace(versioned.version, path);
   }
-  size_t kept = removals.size();
-  for (const auto& [version, path] : removals) {
-    if (kept <= kMaxRemovals) break;
-    slots_.erase(path);
+  size_t kept = tombstones.size();
+  for (const auto& [version, path] : tombstones) {
+    if (kept <= kMaxTombstones) break;
+    values_.erase(path);
     --kept;
   }
 }
 
 Json VersionedTable::ToJson() const {
   Json json = Json::object();
-  for (const auto& [path, slot] : slots_) {
-    Json& entry = json[path];
-    entry["version"] = slot.version;
-    if (slot.value) entry["value"] = *slot.value;
+  for (const auto& [path, versioned] : values_) {
+    Json& item = json[path];
+    item["version"] = versioned.version;
+    if (versioned.value) item["value"] = *versioned.value;
   }
   return json;
 }
@@ -80,15 +80,15 @@
   if (!json.is_object()) return std::nullopt;
   VersionedTable table;
   std::set<int64_t> versions;
-  for (const auto& [path, entry] : json.items()) {
-    const std::optional<int64_t> version = IntField(entry, "version");
+  for (const auto& [path, item] : json.items()) {
+    const std::optional<int64_t> version = IntField(item, "version");
     if (!version || *version <= 0) return std::nullopt;
     if (!versions.insert(*version).second) return std::nullopt;
-    Slot slot;
-    slot.version = *version;
-    const auto value = entry.find("value");
-    if (value != entry.end()) slot.value = *value;
-    table.slots_.emplace(path, std::move(slot));
+    VersionedValue versioned;
+    versioned.version = *version;
+    const auto value = item.find("value");
+    if (value != item.end()) versioned.value = *value;
+    table.values_.emplace(path, std::move(versioned));
   }
   return table;
 }
--- a/src/libs/settings/versioned_table.h
+++ b/src/libs/settings/versioned_table.h
@@ -1,7 +1,7 @@
-// Values by path, each with a version that never returns.
+// Values by path, each with a version that is never reused.
 //
-// A removed path keeps the version of its removal, so that a late create
-// which was meant for an earlier absence cannot bring the path back.
+// A removed path keeps a tombstone with the version of its removal, so that a
+// delayed create that expects an earlier version cannot bring the path back.
 #ifndef THORNPLANK_SETTINGS_VERSIONED_TABLE_H_
 #define THORNPLANK_SETTINGS_VERSIONED_TABLE_H_
 
@@ -18,36 +18,38 @@
 
 class VersionedTable {
  public:
-  struct Slot {
+  // A value, or the tombstone of a removed one.
+  struct VersionedValue {
     int64_t version = 0;
-    // Empty: the path was removed at `version`.
+    // Empty in a tombstone.
     std::optional<Json> value;
   };
 
-  // 0 when the path never existed.
+  // 0 if the path never existed or its tombstone was pruned.
   int64_t version(const std::string& path) const;
-  // nullptr when absent.
+  // nullptr if absent.
   const Json* value(const std::string& path) const;
-  // The highest version of all paths; 0 when empty.
+  // The highest version of all paths, tombstones included; 0 if there is none.
   int64_t newest_version() const;
   // Paths that hold a value and begin with `prefix`, sorted.
   std::vector<std::string> paths(std::string_view prefix) const;
 
-  // Returns what stood there before.
-  std::optional<Slot> Exchange(const std::string& path,
-                               std::optional<Slot> slot);
+  // Sets the value or tombstone of a path, or deletes the path if `versioned`
+  // is empty. Returns the previous one.
+  std::optional<VersionedValue> Exchange(
+      const std::string& path, std::optional<VersionedValue> versioned);
 
-  // Forgets the oldest removals beyond a fixed number. The same on every
-  // entry, since it depends on the table alone.
-  void ForgetOldRemovals();
+  // Deletes the oldest tombstones beyond a fixed number. This depends on the
+  // table alone, so that all entries delete the same ones.
+  void PruneTombstones();
 
   Json ToJson() const;
-  // nullopt when malformed.
+  // Returns nullopt if malformed.
   static std::optional<VersionedTable> FromJson(const Json& json);
 
  private:
-  // Invariant: all versions differ and are above 0.
-  std::map<std::string, Slot> slots_;
+  // By path. Invariant: all versions differ and are above 0.
+  std::map<std::string, VersionedValue> values_;
 };
 
 }  // namespace thornplank
--- a/tests/auto/admin/fake_log.cc
+++ b/tests/auto/admin/fake_log.cc
@@ -1,4 +1,4 @@
-// The log service's two calls, and the faults.
+// The two calls of the log service, and the simulated faults.
 #include "fake_log.h"
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 namespace thornplank {
 namespace {
 
-constexpr std::chrono::milliseconds kPoll(5);
+constexpr std::chrono::milliseconds kPollInterval(5);
 
-HttpResponse Answer(int status, const Json& body) {
+HttpResponse MakeJsonResponse(int status, const Json& body) {
   return JsonResponse(status, body.dump());
 }
 
@@ -42,13 +42,13 @@
 
 void FakeLog::HoldNextAppend() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  hold_next_ = true;
+  hold_next_append_ = true;
 }
 
 void FakeLog::ReleaseHeld() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  for (const Json& body : held_) ApplyLocked(body);
-  held_.clear();
+  for (const Json& body : held_appends_) AppendLocked(body);
+  held_appends_.clear();
 }
 
 void FakeLog::Truncate(int64_t first_offset) {
@@ -61,7 +61,7 @@
 
 void FakeLog::Append(const std::string& id, Json data) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  ApplyLocked({{"records", {{{"id", id}, {"data", std::move(data)}}}}});
+  AppendLocked({{"records", {{{"id", id}, {"data", std::move(data)}}}}});
 }
 
 int64_t FakeLog::next_offset() const {
@@ -76,7 +76,7 @@
   return data;
 }
 
-int64_t FakeLog::ApplyLocked(const Json& body) {
+int64_t FakeLog::AppendLocked(const Json& body) {
   const int64_t first = first_offset_ + static_cast<int64_t>(records_.size());
   for (const Json& record : body["records"]) {
     Json kept = record;
@@ -90,13 +90,14 @@
 void FakeLog::Handle(HttpRequest request, HttpServer::Responder respond) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (down_) return respond(ProblemResponse(503, "outage", "as told"));
+    if (down_) return respond(ProblemResponse(503, "outage", "simulated"));
   }
   if (request.method == "POST") return HandleAppend(request, respond);
   const int64_t from = std::stoll(request.query("from"));
   const int max_records = std::stoi(request.query("max"));
   const int wait_ms = std::stoi(request.query("wait_ms"));
-  AnswerRead(from, max_records, wait_ms / static_cast<int>(kPoll.count()),
+  HandleRead(from, max_records,
+             wait_ms / static_cast<int>(kPollInterval.count()),
              std::move(respond));
 }
 
@@ -104,36 +105,38 @@
                            const HttpServer::Responder& respond) {
   const Json body = ParseJson(request.body).value_or(Json());
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (std::exchange(hold_next_, false)) {
-    held_.push_back(body);
-    unanswered_.push_back(respond);
+  if (std::exchange(hold_next_append_, false)) {
+    held_appends_.push_back(body);
+    unanswered_responders_.push_back(respond);
     return;
   }
-  const int64_t first = ApplyLocked(body);
+  const int64_t first = AppendLocked(body);
   if (replies_to_lose_ > 0) {
     --replies_to_lose_;
-    unanswered_.push_back(respond);
+    unanswered_responders_.push_back(respond);
     return;
   }
   const int64_t next = first + static_cast<int64_t>(body["records"].size());
-  respond(Answer(200, {{"first_offset", first}, {"next_offset", next}}));
+  respond(
+      MakeJsonResponse(200, {{"first_offset", first}, {"next_offset", next}}));
 }
 
-void FakeLog::AnswerRead(int64_t from, int max_records, int polls_left,
+void FakeLog::HandleRead(int64_t from, int max_records, int polls_left,
                          HttpServer::Responder respond) {
   std::unique_lock<std::mutex> lock(mutex_);
   const int64_t next = first_offset_ + static_cast<int64_t>(records_.size());
   Json body = {{"first_offset", first_offset_}, {"next_offset", next}};
-  if (down_) return respond(ProblemResponse(503, "outage", "as told"));
-  if (from < first_offset_) return respond(Answer(410, body));
+  if (down_) return respond(ProblemResponse(503, "outage", "simulated"));
+  if (from < first_offset_) return respond(MakeJsonResponse(410, body));
   if (from >= next && polls_left > 0) {
     lock.unlock();
-    const auto timer = std::make_shared<boost::asio::steady_timer>(io_, kPoll);
+    const auto timer =
+        std::make_shared<boost::asio::steady_timer>(io_, kPollInterval);
     timer->async_wait(
         [this, from, max_records, polls_left, timer,
          respond = std::move(respond)](const boost::system::error_code& error) {
           if (error) return;
-          AnswerRead(from, max_records, polls_left - 1, respond);
+          HandleRead(from, max_records, polls_left - 1, respond);
         });
     return;
   }
@@ -142,7 +145,7 @@
   for (int64_t offset = from; offset < end; ++offset) {
     body["records"].push_back(records_[offset - first_offset_]);
   }
-  respond(Answer(200, body));
+  respond(MakeJsonResponse(200, body));
 }
 
 }  // namespace thornplank
--- a/tests/auto/admin/fake_log.h
+++ b/tests/auto/admin/fake_log.h
@@ -1,5 +1,5 @@
-// A log service in this process, over HTTP, with the faults that the tests of
-// the settings need. One stream only.
+// In-process HTTP log service with a single stream, which simulates the faults
+// that the tests of the settings need.
 #ifndef THORNPLANK_TESTS_AUTO_ADMIN_FAKE_LOG_H_
 #define THORNPLANK_TESTS_AUTO_ADMIN_FAKE_LOG_H_
 
@@ -26,26 +26,29 @@
   void SetDown(bool down);
   // The next `count` appends are applied and never answered.
   void LoseReplies(int count);
-  // The next append is neither applied nor answered before ReleaseHeld.
+  // The next append is never answered, and not applied until ReleaseHeld.
   void HoldNextAppend();
-  // Applies what is held, as if it had been under way all the time.
+  // Applies the held append, as if it had been delayed on its way.
   void ReleaseHeld();
-  // Forgets everything before `first_offset`.
+  // Removes all records before `first_offset`, as retention does.
   void Truncate(int64_t first_offset);
-  // Appends directly.
+  // Appends a record without a request, also during an outage.
   void Append(const std::string& id, Json data);
 
   int64_t next_offset() const;
-  // Data of the records that are kept, oldest first.
+  // Data of the records that are not removed, oldest first.
   std::vector<Json> records() const;
 
  private:
   void Handle(HttpRequest request, HttpServer::Responder respond);
   void HandleAppend(const HttpRequest& request,
                     const HttpServer::Responder& respond);
-  void AnswerRead(int64_t from, int max_records, int polls_left,
+  // Polls until records are there or no polls are left, then responds.
+  void HandleRead(int64_t from, int max_records, int polls_left,
                   HttpServer::Responder respond);
-  int64_t ApplyLocked(const Json& body);
+  // Appends the records of a request and returns the offset of the first.
+  // Requires that mutex_ is held.
+  int64_t AppendLocked(const Json& body);
 
   boost::asio::io_context& io_;
   mutable std::mutex mutex_;
@@ -53,11 +56,11 @@
   int64_t first_offset_ = 0;
   bool down_ = false;
   int replies_to_lose_ = 0;
-  bool hold_next_ = false;
-  std::vector<Json> held_;
-  // Kept, because a responder that goes away unused answers with an error.
-  std::vector<HttpServer::Responder> unanswered_;
-  // Last: its handler uses what stands above.
+  bool hold_next_append_ = false;
+  std::vector<Json> held_appends_;
+  // Kept, because a responder that is destroyed unused responds with an error.
+  std::vector<HttpServer::Responder> unanswered_responders_;
+  // Declared last, because its handler uses the members above.
   HttpServer server_;
 };
 
--- a/tests/auto/admin/settings_fixture.h
+++ b/tests/auto/admin/settings_fixture.h
@@ -1,4 +1,4 @@
-// Entries with a settings manager each, on one fake log.
+// Entries, each with a settings manager, that share one fake log.
 #ifndef THORNPLANK_TESTS_AUTO_ADMIN_SETTINGS_FIXTURE_H_
 #define THORNPLANK_TESTS_AUTO_ADMIN_SETTINGS_FIXTURE_H_
 
@@ -17,7 +17,7 @@
 
 namespace thornplank {
 
-// Short times, so that a fault is over within a fraction of a second.
+// Short timeouts, so that a fault is over within a fraction of a second.
 inline SettingsManagerOptions FastOptions(const std::string& instance) {
   SettingsManagerOptions options;
   options.instance = instance;
@@ -30,17 +30,18 @@
   options.writer.max_retry_delay = Milliseconds(20);
   options.writer.min_interval = Milliseconds(1);
   options.append_timeout = Milliseconds(500);
-  options.decide_timeout = Milliseconds(1000);
-  options.behind_timeout = Milliseconds(300);
-  options.log_silent_after = Milliseconds(400);
-  options.ask_peers_after = Milliseconds(200);
-  options.ask_peers_interval = Milliseconds(50);
+  options.verdict_timeout = Milliseconds(1000);
+  options.defer_timeout = Milliseconds(300);
+  options.log_unavailable_after = Milliseconds(400);
+  options.peer_fetch_delay = Milliseconds(200);
+  options.peer_fetch_interval = Milliseconds(50);
   options.first_offset_interval = Milliseconds(50);
-  options.tick = Milliseconds(10);
+  options.tick_interval = Milliseconds(10);
   return options;
 }
 
-// True once `condition` holds; false after a bound that only a failure meets.
+// Waits until `condition` holds. Returns false after a time that is exceeded
+// only on failure.
 inline bool WaitUntil(const std::function<bool()>& condition) {
   const Time bound = std::chrono::steady_clock::now() + std::chrono::seconds(8);
   while (std::chrono::steady_clock::now() < bound) {
@@ -50,7 +51,7 @@
   return condition();
 }
 
-// One entry: its manager and what its change handler has been told.
+// An entry: its settings manager, with a handler that counts its calls.
 class TestEntry {
  public:
   TestEntry(boost::asio::io_context& io, const std::string& log_address,
@@ -58,10 +59,11 @@
       : http_(io, HttpClientLimits()),
         log_(http_, log_address),
         manager_(io, log_, options) {
-    manager_.AddChangeHandler([told = told_](const SettingsTree& tree) {
-      ++told->count;
-      told->revision = tree.revision();
-    });
+    manager_.AddChangeHandler(
+        [calls = handler_calls_](const SettingsTree& tree) {
+          ++calls->count;
+          calls->revision = tree.revision();
+        });
   }
   ~TestEntry() {
     manager_.Stop();
@@ -69,8 +71,9 @@
   }
 
   SettingsManager& manager() { return manager_; }
-  int told() const { return told_->count; }
-  int64_t told_revision() const { return told_->revision; }
+  int handler_calls() const { return handler_calls_->count; }
+  // Revision of the last call of the handler; -1 before the first.
+  int64_t handled_revision() const { return handler_calls_->revision; }
 
   void StartAndWait() {
     manager_.Start();
@@ -90,7 +93,7 @@
     change.path = path;
     change.expected_version = expected;
     change.value = value;
-    change.by = "admin";
+    change.author = "admin";
     return Write(std::move(change));
   }
   double weight(const std::string& path) const {
@@ -99,12 +102,13 @@
 
  private:
   // Shared with the handler, which may outlive the entry for a moment.
-  struct Told {
+  struct HandlerCalls {
     std::atomic<int> count{0};
     std::atomic<int64_t> revision{-1};
   };
 
-  const std::shared_ptr<Told> told_ = std::make_shared<Told>();
+  const std::shared_ptr<HandlerCalls> handler_calls_ =
+      std::make_shared<HandlerCalls>();
   HttpClient http_;
   LogClient log_;
   SettingsManager manager_;
@@ -113,7 +117,7 @@
 class SettingsFixture {
  public:
   SettingsFixture() : pool_(2), log_(pool_.io()) { pool_.Start(); }
-  // Nothing may run on the pool any more when entries and the log go.
+  // Nothing may run on the pool any more when the members are destroyed.
   ~SettingsFixture() {
     log_.Close();
     pool_.Stop();
--- a/tests/auto/admin/tst_admin_api.cc
+++ b/tests/auto/admin/tst_admin_api.cc
@@ -1,4 +1,4 @@
-// Status, headers and bodies of the operators' routes, by role.
+// Status, headers and bodies of the operators' routes for each role.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -16,7 +16,7 @@
           {"admin", "operator-secret", Role::kOperator, ""}};
 }
 
-// An entry with its routes, called without a socket.
+// The operators' routes of an entry, called without a socket.
 class Api {
  public:
   explicit Api(TestEntry& entry) : admin_(entry.manager()), router_(Tokens()) {
@@ -51,8 +51,9 @@
   const char* body;
   const char* if_match;
   int status;
-  // Part of the body: merged over it, it must change nothing. "" checks none.
-  const char* answer;
+  // JSON that the body must contain: merging it into the body must change
+  // nothing. "" checks nothing.
+  const char* expected_body;
 };
 
 void Run(const Api& api, const std::vector<Step>& steps) {
@@ -64,10 +65,10 @@
                                            step.body, step.if_match);
     CAPTURE(response.body);
     CHECK(response.status == step.status);
-    if (*step.answer == '\0') continue;
+    if (*step.expected_body == '\0') continue;
     const Json body = ParseJson(response.body).value_or(Json());
     Json merged = body;
-    merged.merge_patch(Json::parse(step.answer));
+    merged.merge_patch(Json::parse(step.expected_body));
     CHECK(merged == body);
   }
 }
@@ -94,7 +95,7 @@
                "borrowing": {"built_in": true}}})"},
           {"viewer", "GET", "/v1/settings/north", "", "", 200,
            R"({"children": ["north/claims"]})"},
-          // The loser of a race gets what stands now.
+          // The loser of a race gets the present value.
           {"operator", "PUT", "/v1/settings/north", "{}", "\"1\"", 412,
            R"({"current": {"version": 2, "own": {"max_queued": 7}}})"},
           {"operator", "PUT", "/v1/settings/north", "{}", "\"x\"", 400, ""},
@@ -166,7 +167,7 @@
   CHECK_FALSE(own.contains("explain"));
 }
 
-TEST_CASE("An entry without settings answers 503 and when to come back") {
+TEST_CASE("An entry without settings answers 503 with Retry-After") {
   SettingsFixture fixture;
   fixture.log().SetDown(true);
   const auto entry = fixture.MakeEntry(FastOptions("one"));
--- a/tests/auto/admin/tst_settings_manager.cc
+++ b/tests/auto/admin/tst_settings_manager.cc
@@ -1,5 +1,5 @@
-// Writing through the log with its faults: races, lost and late appends,
-// retention, outages and snapshots. Nothing accepted ever reverts.
+// Writes through a log with faults: races, lost and late appends, retention,
+// outages and snapshots. An accepted change must never be reverted.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -12,15 +12,17 @@
 
 Json Weight(int weight) { return {{"weight", weight}}; }
 
-// Puts "north" to weights 1..count and leaves version `count`.
-void PutInTurn(TestEntry& entry, int count) {
+// Sets the weight of "north" to 1..count in turn, which leaves it at version
+// `count`.
+void PutWeightsInTurn(TestEntry& entry, int count) {
   for (int i = 0; i < count; ++i) {
     REQUIRE(entry.Put("north", i, Weight(i + 1)).get().outcome ==
             WriteOutcome::kApplied);
   }
 }
 
-TEST_CASE("A change answered with applied is in force here, then everywhere") {
+TEST_CASE(
+    "An applied change is in force on its entry, and soon on all others") {
   SettingsFixture fixture;
   const auto one = fixture.StartEntry("one");
   const auto two = fixture.StartEntry("two");
@@ -28,25 +30,26 @@
   CHECK(result.outcome == WriteOutcome::kApplied);
   CHECK(result.version == 1);
   CHECK(one->weight("north") == 4);
-  CHECK(one->told_revision() == 1);
-  CHECK(WaitUntil([&] { return two->told_revision() == 1; }));
+  CHECK(one->handled_revision() == 1);
+  CHECK(WaitUntil([&] { return two->handled_revision() == 1; }));
   CHECK(two->weight("north") == 4);
-  CHECK(two->manager().history("north").at(0).by == "admin");
+  CHECK(two->manager().history("north").at(0).author == "admin");
 }
 
-TEST_CASE("The answer to a change comes after every handler was told") {
+TEST_CASE("A write completes after every handler was called with it") {
   SettingsFixture fixture;
-  std::atomic<int64_t> told_last{0};
+  std::atomic<int64_t> last_handled_revision{0};
   const auto entry = fixture.MakeEntry(FastOptions("one"));
-  entry->manager().AddChangeHandler([&told_last](const SettingsTree& tree) {
-    std::this_thread::sleep_for(Milliseconds(20));
-    told_last = tree.revision();
-  });
+  entry->manager().AddChangeHandler(
+      [&last_handled_revision](const SettingsTree& tree) {
+        std::this_thread::sleep_for(Milliseconds(20));
+        last_handled_revision = tree.revision();
+      });
   entry->StartAndWait();
   for (int i = 0; i < 3; ++i) {
     const WriteResult result = entry->Put("north", i, Weight(i + 1)).get();
     CHECK(result.version == i + 1);
-    CHECK(told_last >= i + 1);
+    CHECK(last_handled_revision >= i + 1);
   }
 }
 
@@ -84,7 +87,7 @@
   }
 }
 
-TEST_CASE("An append with its reply lost takes effect exactly once") {
+TEST_CASE("A change whose append reply is lost takes effect exactly once") {
   SettingsFixture fixture;
   const auto entry = fixture.StartEntry("one");
   fixture.log().LoseReplies(2);
@@ -101,7 +104,7 @@
   CHECK(entry->manager().tree()->revision() == 2);
 }
 
-TEST_CASE("An append that the log sits on is withdrawn and stays so") {
+TEST_CASE("An append that the log delays is withdrawn and never takes effect") {
   SettingsFixture fixture;
   const auto entry = fixture.StartEntry("one");
   auto options = FastOptions("two");
@@ -120,17 +123,17 @@
     return slow->manager().next_offset() == fixture.log().next_offset() &&
            entry->manager().next_offset() == fixture.log().next_offset();
   }));
-  CHECK(slow->manager().tree()->own("north") == nullptr);
-  CHECK(entry->manager().tree()->own("north") == nullptr);
+  CHECK(slow->manager().tree()->own_value("north") == nullptr);
+  CHECK(entry->manager().tree()->own_value("north") == nullptr);
 }
 
-TEST_CASE("In an outage changes are refused and reads go on") {
+TEST_CASE("During an outage changes are refused and reads continue") {
   SettingsFixture fixture;
   const auto entry = fixture.StartEntry("one");
-  PutInTurn(*entry, 2);
+  PutWeightsInTurn(*entry, 2);
   fixture.log().SetDown(true);
   WriteResult result;
-  // The first changes may still meet the outage on their way.
+  // The first changes may already be on their way when the outage begins.
   REQUIRE(WaitUntil([&] {
     result = entry->Put("north", 2, Weight(9)).get();
     return result.outcome == WriteOutcome::kNotRun;
@@ -159,7 +162,7 @@
   entry->manager().Start();
   REQUIRE(WaitUntil([&] { return asked >= 2; }));
   CHECK_FALSE(entry->manager().ready());
-  CHECK(entry->told() == 0);
+  CHECK(entry->handler_calls() == 0);
   CHECK_FALSE(entry->manager().Snapshot());
   CHECK(entry->Put("north", 0, Weight(1)).get().outcome ==
         WriteOutcome::kNotRun);
@@ -167,10 +170,11 @@
   CHECK(WaitUntil([&] { return entry->manager().ready(); }));
 }
 
-TEST_CASE("In an outage a new entry takes the newest snapshot of its peers") {
+TEST_CASE(
+    "During an outage a new entry adopts the newest snapshot of its peers") {
   SettingsFixture fixture;
   const auto peer = fixture.StartEntry("peer");
-  PutInTurn(*peer, 1);
+  PutWeightsInTurn(*peer, 1);
   const Json old_snapshot = *peer->manager().Snapshot();
   REQUIRE(peer->Put("north", 1, Weight(8)).get().outcome ==
           WriteOutcome::kApplied);
@@ -195,7 +199,7 @@
   {
     const auto entry = fixture.MakeEntry(options);
     entry->StartAndWait();
-    PutInTurn(*entry, 4);
+    PutWeightsInTurn(*entry, 4);
     REQUIRE(WaitUntil([&] {
       last = fixture.log().records().back();
       return StringField(last, "type") == "snapshot";
@@ -204,7 +208,7 @@
             WriteOutcome::kApplied);
   }
   fixture.log().Truncate(*IntField(last, "covers"));
-  // All entries are gone; what is left is in the log.
+  // No entry is left; the state is only in the log.
   const auto entry = fixture.StartEntry("two");
   CHECK(entry->manager().ready());
   CHECK(entry->weight("north") == 5);
@@ -212,10 +216,11 @@
   CHECK(entry->manager().history("north").size() == 5);
 }
 
-TEST_CASE("A needed record lost to retention brings a snapshot at once") {
+TEST_CASE(
+    "A snapshot is appended at once when retention removes a needed record") {
   SettingsFixture fixture;
   const auto entry = fixture.StartEntry("one");
-  PutInTurn(*entry, 2);
+  PutWeightsInTurn(*entry, 2);
   CHECK(fixture.log().records().size() == 2);
   fixture.log().Truncate(2);
   CHECK(WaitUntil([&] { return fixture.log().next_offset() > 2; }));
@@ -224,22 +229,22 @@
   CHECK(late->weight("north") == 2);
 }
 
-TEST_CASE("A snapshot that nobody can read does not count as one") {
+TEST_CASE("An unreadable snapshot does not count as one") {
   SettingsFixture fixture;
   auto options = FastOptions("one");
-  options.snapshots.margin = 0;
+  options.snapshots.retention_margin = 0;
   const auto entry = fixture.MakeEntry(options);
   entry->StartAndWait();
-  PutInTurn(*entry, 2);
+  PutWeightsInTurn(*entry, 2);
   fixture.log().Append("bad", {{"type", "snapshot"}, {"covers", 2}});
   fixture.log().Truncate(1);
   CHECK(WaitUntil([&] { return fixture.log().next_offset() > 3; }));
 }
 
-TEST_CASE("A snapshot of a paused entry reverts nothing") {
+TEST_CASE("A stale snapshot of a paused entry reverts nothing") {
   SettingsFixture fixture;
   const auto entry = fixture.StartEntry("one");
-  PutInTurn(*entry, 1);
+  PutWeightsInTurn(*entry, 1);
   const Json stale = *entry->manager().Snapshot();
   REQUIRE(entry->Put("north", 1, Weight(2)).get().outcome ==
           WriteOutcome::kApplied);
@@ -251,10 +256,10 @@
   CHECK(late->weight("north") == 3);
 }
 
-TEST_CASE("Where records are lost, a peer with all of them closes the gap") {
+TEST_CASE("A peer that has all records closes a gap of removed ones") {
   SettingsFixture fixture;
   const auto holder = fixture.StartEntry("holder");
-  PutInTurn(*holder, 2);
+  PutWeightsInTurn(*holder, 2);
   const Json snapshot = *holder->manager().Snapshot();
   holder->manager().Stop();
   fixture.log().Truncate(1);
@@ -270,16 +275,16 @@
   entry->manager().Start();
   REQUIRE(WaitUntil([&] { return asked >= 2; }));
   CHECK_FALSE(entry->manager().ready());
-  CHECK(entry->told() == 0);
+  CHECK(entry->handler_calls() == 0);
   peers_answer = true;
   CHECK(WaitUntil([&] { return entry->manager().ready(); }));
   CHECK(entry->weight("north") == 2);
 }
 
-TEST_CASE("Records lost to everyone are declared void by an operator only") {
+TEST_CASE("Only an operator gives up records that no entry can read any more") {
   SettingsFixture fixture;
   const auto entry = fixture.StartEntry("one");
-  PutInTurn(*entry, 2);
+  PutWeightsInTurn(*entry, 2);
   fixture.log().SetDown(true);
   fixture.log().Append("lost", {{"type", "withdraw"}});
   fixture.log().Truncate(3);
@@ -287,7 +292,7 @@
   REQUIRE(WaitUntil([&] { return !entry->manager().ready(); }));
   CHECK(entry->Put("north", 2, Weight(9)).get().outcome ==
         WriteOutcome::kNotRun);
-  // One without state must not become the base by mistake.
+  // An entry without state must not become the base by mistake.
   const auto empty = fixture.MakeEntry(FastOptions("empty"));
   empty->manager().Start();
   const auto recover = [](TestEntry& at) {
@@ -297,7 +302,7 @@
     });
     return promise.get_future().get();
   };
-  // Once it has met the gap.
+  // Holds once the empty entry has reached the gap.
   REQUIRE(WaitUntil([&] {
     const WriteResult result = recover(*empty);
     return result.outcome == WriteOutcome::kInvalid &&
@@ -326,7 +331,7 @@
   }
 };
 
-TEST_CASE("Guarantees reviewed apart at two entries still fit together") {
+TEST_CASE("Guarantees reviewed at the same time on two entries fit together") {
   SettingsFixture fixture;
   const TenSlots review;
   const auto one = fixture.MakeEntry(FastOptions("one"));
@@ -349,7 +354,7 @@
         std::vector<std::string>{"found 12 slots, allowed 10"});
 }
 
-TEST_CASE("A change to a version that is not folded here yet waits for it") {
+TEST_CASE("A change that expects a version not applied here yet waits for it") {
   SettingsFixture fixture;
   const auto entry = fixture.StartEntry("one");
   auto early = entry->Put("north", 1, Weight(2));
--- a/tests/auto/settings/tst_entry_settings.cc
+++ b/tests/auto/settings/tst_entry_settings.cc
@@ -1,5 +1,5 @@
-// Each mistake in an entry's settings file gives one line with file, key,
-// what was found and what is allowed.
+// Each error in an entry's settings file gives one line with the file, the key,
+// the value found and what is allowed.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -19,7 +19,7 @@
   return path;
 }
 
-Json GoodFile() {
+Json ValidFile() {
   return Json::parse(R"({
     "name": "entry-1", "failure_domain": "augsburg",
     "listen_http": "127.0.0.1:0", "listen_peers": "127.0.0.1:8201",
@@ -34,13 +34,13 @@
 }
 
 struct Mistake {
-  // A merge patch on the good file; null removes a key.
+  // JSON merge patch for the valid file; null removes a key.
   const char* patch;
   const char* line;
 };
 
-TEST_CASE("A good file fills the struct and keeps the other defaults") {
-  const std::string path = WriteFile("// a comment\n" + GoodFile().dump());
+TEST_CASE("A valid file fills the struct and keeps the other defaults") {
+  const std::string path = WriteFile("// a comment\n" + ValidFile().dump());
   Error error;
   const std::optional<EntrySettings> settings = ReadEntrySettings(path, &error);
   REQUIRE_MESSAGE(settings, error.ToString());
@@ -119,7 +119,7 @@
   };
   for (const Mistake& mistake : mistakes) {
     CAPTURE(mistake.patch);
-    Json file = GoodFile();
+    Json file = ValidFile();
     file.merge_patch(Json::parse(mistake.patch));
     const std::string path = WriteFile(file.dump());
     Error error;
--- a/tests/auto/settings/tst_hosted_settings.cc
+++ b/tests/auto/settings/tst_hosted_settings.cc
@@ -1,4 +1,5 @@
-// The hosted entry's settings: mistakes, changes, and the watch on the file.
+// The hosted entry's settings file: invalid values, when a new value takes
+// effect, and the file watcher.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -19,7 +20,7 @@
   std::ofstream(path) << text;
 }
 
-Json GoodFile() {
+Json ValidFile() {
   return Json::parse(R"({
     "name": "entry-1", "failure_domain": "a",
     "listen_callers": "127.0.0.1:8001", "listen_readiness": "127.0.0.1:8002",
@@ -45,7 +46,7 @@
 
 TEST_CASE("seconds may have fractions") {
   const std::string path = "tst_hosted_settings_seconds.json";
-  Json file = GoodFile();
+  Json file = ValidFile();
   file["stop_grace_s"] = 2.5;
   WriteFile(path, file.dump());
   Error error;
@@ -76,7 +77,7 @@
   const std::string path = "tst_hosted_settings_mistakes.json";
   for (const Row& row : rows) {
     CAPTURE(std::string(row.patch));
-    Json file = GoodFile();
+    Json file = ValidFile();
     file.merge_patch(Json::parse(row.patch));
     WriteFile(path, file.dump());
     Error error;
@@ -87,7 +88,7 @@
   std::remove(path.c_str());
 }
 
-TEST_CASE("a change is in force at once or at the next start") {
+TEST_CASE("a change takes effect at once or at the next start") {
   struct Row {
     std::function<void(HostedSettings&)> change;
     std::string key;
@@ -124,22 +125,22 @@
   }
 }
 
-TEST_CASE("the watch tells each change of the file once") {
+TEST_CASE("the watcher reports each change of the file once") {
   const std::string path = "tst_hosted_settings_watch.json";
   const std::string other = path + ".new";
   WriteFile(path, "{}");
-  SettingsFileWatcher watch(path);
-  CHECK_FALSE(watch.CheckForChange());
+  SettingsFileWatcher watcher(path);
+  CHECK_FALSE(watcher.CheckForChange());
   WriteFile(path, "{ }");
-  CHECK(watch.CheckForChange());
-  CHECK_FALSE(watch.CheckForChange());
-  // As many tools write: another file takes its place, of the same size.
+  CHECK(watcher.CheckForChange());
+  CHECK_FALSE(watcher.CheckForChange());
+  // Many tools write by replacing the file, here by one of the same size.
   WriteFile(other, "{ }");
   std::filesystem::rename(other, path);
-  CHECK(watch.CheckForChange());
+  CHECK(watcher.CheckForChange());
   std::filesystem::remove(path);
-  CHECK(watch.CheckForChange());
-  CHECK_FALSE(watch.CheckForChange());
+  CHECK(watcher.CheckForChange());
+  CHECK_FALSE(watcher.CheckForChange());
 }
 
 }  // namespace
--- a/tests/auto/settings/tst_settings_replica.cc
+++ b/tests/auto/settings/tst_settings_replica.cc
@@ -1,4 +1,4 @@
-// Repeats, races, gaps and snapshots in the stream of settings, and when a
+// Repeated ids, races, gaps and snapshots in the settings stream, and when a
 // snapshot is due.
 #include <doctest/doctest.h>
 
@@ -13,17 +13,17 @@
 namespace {
 
 Json PutData(const std::string& path, int64_t expected, int weight,
-             const std::string& by = "admin") {
+             const std::string& author = "admin") {
   SettingsChange change;
   change.path = path;
   change.expected_version = expected;
   change.value = {{"weight", weight}};
-  change.by = by;
+  change.author = author;
   change.time = FromUnixMilliseconds(1000);
   return ToJson(change);
 }
 
-// Appends to a stream in memory.
+// A settings stream in memory.
 class Stream {
  public:
   int64_t Append(const std::string& id, Json data) {
@@ -63,8 +63,8 @@
   stream.Append("id-b", PutData("north", 3, 20));
   const SettingsReplica replica = stream.MakeReplica();
   CHECK(replica.tree().Effective("north").weight == 10);
-  CHECK(replica.Decision("id-a")->verdict == ChangeVerdict::kApplied);
-  CHECK(replica.Decision("id-b")->verdict == ChangeVerdict::kLostRace);
+  CHECK(replica.FindDecision("id-a")->verdict == ChangeVerdict::kApplied);
+  CHECK(replica.FindDecision("id-b")->verdict == ChangeVerdict::kLostRace);
 }
 
 TEST_CASE("A repeated id keeps its first verdict") {
@@ -75,21 +75,22 @@
   stream.Append("id-early", PutData("east/claims", 0, 4));
   stream.Append("id-0", PutData("north", 0, 1));
   const SettingsReplica replica = stream.MakeReplica();
-  CHECK(replica.tree().own("east/claims") == nullptr);
-  CHECK(replica.Decision("id-early")->verdict == ChangeVerdict::kInvalid);
-  CHECK(replica.Decision("id-0")->verdict == ChangeVerdict::kApplied);
+  CHECK(replica.tree().own_value("east/claims") == nullptr);
+  CHECK(replica.FindDecision("id-early")->verdict == ChangeVerdict::kInvalid);
+  CHECK(replica.FindDecision("id-0")->verdict == ChangeVerdict::kApplied);
   CHECK(replica.tree().Effective("north").weight == 3);
 }
 
-TEST_CASE("Of a change and its withdrawal the first in the stream decides") {
+TEST_CASE(
+    "The first of a change and its withdrawal in the stream takes effect") {
   Stream stream = SampleStream();
   stream.Append("id-w", WithdrawalData("admin"));
   stream.Append("id-w", PutData("north", 3, 10));
   stream.Append("id-v", PutData("north", 3, 20));
   stream.Append("id-v", WithdrawalData("admin"));
   const SettingsReplica replica = stream.MakeReplica();
-  CHECK(replica.Decision("id-w")->verdict == ChangeVerdict::kWithdrawn);
-  CHECK(replica.Decision("id-v")->verdict == ChangeVerdict::kApplied);
+  CHECK(replica.FindDecision("id-w")->verdict == ChangeVerdict::kWithdrawn);
+  CHECK(replica.FindDecision("id-v")->verdict == ChangeVerdict::kApplied);
   CHECK(replica.tree().Effective("north").weight == 20);
 }
 
@@ -103,7 +104,8 @@
   CHECK(replica.next_offset() == 4);
 }
 
-TEST_CASE("After retention a snapshot and the tail give the same state") {
+TEST_CASE(
+    "After retention a snapshot and the later records give the same state") {
   Stream stream = SampleStream();
   const Json snapshot = stream.MakeReplica().Snapshot();
   stream.Append("id-3", PutData("north", 3, 4));
@@ -117,10 +119,10 @@
   CHECK(replica.complete());
   CHECK(replica.Snapshot() == stream.MakeReplica().Snapshot());
   CHECK(replica.history().entries("north").size() == 5);
-  CHECK(replica.history().entries("north")[0].by == "admin");
+  CHECK(replica.history().entries("north")[0].author == "admin");
 }
 
-TEST_CASE("Without a snapshot that closes the gap nothing is taken") {
+TEST_CASE("Without a snapshot that closes the gap no record is applied") {
   Stream stream = SampleStream();
   SettingsReplica paused;
   stream.ApplyTo(&paused, 0, 1);
@@ -133,14 +135,15 @@
   CHECK_FALSE(replica.complete());
   CHECK(replica.tree().revision() == 0);
   std::vector<RecordOutcome> outcomes;
-  CHECK(replica.Adopt(too_old, &outcomes) == SnapshotVerdict::kLeavesGap);
-  // A peer that has seen everything closes it.
-  CHECK(replica.Adopt(stream.MakeReplica().Snapshot(), &outcomes) ==
+  CHECK(replica.AdoptSnapshot(too_old, &outcomes) ==
+        SnapshotVerdict::kLeavesGap);
+  // The snapshot of a peer that has applied all records closes the gap.
+  CHECK(replica.AdoptSnapshot(stream.MakeReplica().Snapshot(), &outcomes) ==
         SnapshotVerdict::kAdopted);
   CHECK(replica.tree().Effective("north").weight == 4);
 }
 
-TEST_CASE("A hole in the offsets counts as a gap") {
+TEST_CASE("Missing offsets count as a gap") {
   const Stream stream = SampleStream();
   SettingsReplica replica;
   stream.ApplyTo(&replica, 0, 1);
@@ -149,18 +152,20 @@
   CHECK(replica.tree().Effective("north").weight == 1);
 }
 
-TEST_CASE("A snapshot of a paused entry reverts nothing") {
+TEST_CASE("A stale snapshot of a paused entry reverts nothing") {
   Stream stream = SampleStream();
   SettingsReplica paused;
   stream.ApplyTo(&paused, 0, 2);
   SettingsReplica replica = stream.MakeReplica();
   const Json before = replica.tree().ToJson();
   std::vector<RecordOutcome> outcomes;
-  CHECK(replica.Adopt(paused.Snapshot(), &outcomes) == SnapshotVerdict::kStale);
+  CHECK(replica.AdoptSnapshot(paused.Snapshot(), &outcomes) ==
+        SnapshotVerdict::kStale);
   stream.Append("snap", paused.Snapshot());
   stream.ApplyTo(&replica, 3);
   CHECK(replica.tree().ToJson() == before);
-  // An entry that starts from it comes to the same tree by the tail.
+  // An entry that starts from the snapshot reaches the same tree by the later
+  // records.
   SettingsReplica late;
   late.HandleGap(0, 2);
   stream.ApplyTo(&late, 2);
@@ -178,22 +183,23 @@
     snapshot.merge_patch(Json::parse(patch));
     SettingsReplica replica;
     std::vector<RecordOutcome> outcomes;
-    CHECK(replica.Adopt(snapshot, &outcomes) == SnapshotVerdict::kMalformed);
+    CHECK(replica.AdoptSnapshot(snapshot, &outcomes) ==
+          SnapshotVerdict::kMalformed);
     CHECK(replica.next_offset() == 0);
   }
 }
 
 WallTime At(int seconds) { return FromUnixMilliseconds(1000 * seconds); }
 
-TEST_CASE("A snapshot is due before retention takes a needed record") {
-  SettingsSnapshotLimits settings;
-  settings.max_records = 10;
-  settings.max_age = Milliseconds(60000);
-  settings.margin = 5;
-  settings.min_interval = Milliseconds(5000);
+TEST_CASE("A snapshot is due before retention removes a needed record") {
+  SettingsSnapshotLimits limits;
+  limits.max_records = 10;
+  limits.max_age = Milliseconds(60000);
+  limits.retention_margin = 5;
+  limits.min_interval = Milliseconds(5000);
   struct Row {
     const char* name;
-    // Records at offsets 0.. with one second between them.
+    // Number of records, at offsets from 0 on with one second between them.
     int records;
     // Offset of a record that is a snapshot, and what it covers; -1 for none.
     int snapshot_at;
@@ -204,21 +210,21 @@
   };
   const std::vector<Row> rows = {
       {"nothing read", 0, -1, 0, 0, 100, false},
-      {"everything lost unread", 0, -1, 0, 3, 100, true},
-      {"few and young", 5, -1, 0, 0, 6, false},
+      {"all records lost before they were read", 0, -1, 0, 3, 100, true},
+      {"few and recent", 5, -1, 0, 0, 6, false},
       {"many", 11, -1, 0, 0, 11, true},
       {"old", 1, -1, 0, 0, 61, true},
       {"many, but covered", 20, 18, 18, 0, 30, false},
       {"covered long ago", 20, 18, 18, 0, 80, true},
-      {"near what is forgotten", 20, 18, 18, 14, 30, true},
-      {"near, but just appended", 20, 18, 18, 14, 20, false},
+      {"first needed record near the first kept one", 20, 18, 18, 14, 30, true},
+      {"the same, but snapshot just appended", 20, 18, 18, 14, 20, false},
       {"needed record lost", 20, 18, 18, 19, 20, true},
       {"snapshot kept, but not all after it", 20, 18, 10, 12, 20, true},
-      {"snapshot that claims the future", 20, 18, 19, 0, 30, true},
+      {"snapshot that claims to cover later records", 20, 18, 19, 0, 30, true},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    SettingsSnapshotSchedule schedule(settings);
+    SettingsSnapshotSchedule schedule(limits);
     for (int i = 0; i < row.records; ++i) {
       std::optional<int64_t> covers;
       if (i == row.snapshot_at) covers = row.covers;
@@ -229,12 +235,12 @@
   }
 }
 
-TEST_CASE("A snapshot of a paused entry does not move what is needed") {
+TEST_CASE("A stale snapshot of a paused entry changes no needed record") {
   SettingsSnapshotSchedule schedule(SettingsSnapshotLimits{});
   for (int i = 0; i < 20; ++i) schedule.OnRecord(i, At(i), std::nullopt);
   schedule.OnRecord(20, At(20), 20);
   schedule.OnRecord(21, At(21), 7);
-  CHECK(schedule.first_needed() == 20);
+  CHECK(schedule.first_needed_offset() == 20);
 }
 
 }  // namespace
--- a/tests/auto/settings/tst_settings_tree.cc
+++ b/tests/auto/settings/tst_settings_tree.cc
@@ -1,4 +1,4 @@
-// Inheritance, explain, rules and compare-and-set of the settings tree.
+// Inheritance, sources of values, rules and compare-and-set of the tree.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -17,7 +17,7 @@
       IsDocumentPath(path) ? ChangeKind::kDocumentPut : ChangeKind::kPut;
   change.expected_version = expected;
   change.value = Json::parse(value);
-  change.by = "admin";
+  change.author = "admin";
   return change;
 }
 
@@ -30,7 +30,7 @@
   return change;
 }
 
-// north with a group and a service, south with an event.
+// "north" has a group and a service, "south" an event.
 SettingsTree SampleTree() {
   SettingsTree tree;
   const std::vector<SettingsChange> changes = {
@@ -55,7 +55,7 @@
   return tree;
 }
 
-TEST_CASE("A value comes from the nearest node that gives it") {
+TEST_CASE("A value comes from the nearest node that sets it") {
   const SettingsTree tree = SampleTree();
   struct Row {
     const char* path;
@@ -72,7 +72,7 @@
       {"north/desk/claims", "borrowing", "false", "north/desk/claims"},
       {"south", "max_queued", "50", ""},
       {"south", "borrowing", "true", "-"},
-      // A service without a node has what its account has.
+      // A service without a node has the values of its account.
       {"north/tracing", "guaranteed_slots", "8", "north"},
   };
   for (const Row& row : rows) {
@@ -107,7 +107,7 @@
   CHECK(event->services.at(0).slots == 4);
 }
 
-TEST_CASE("A change that breaks a rule is refused whole, with the reason") {
+TEST_CASE("A change that breaks a rule is refused entirely, with the reason") {
   struct Row {
     SettingsChange change;
     const char* reason;
@@ -150,7 +150,7 @@
        "max_deadline_ms (10) in force here"},
       {Put("", 1, R"({"max_deadline_ms": 9000})"),
        "(root): default_deadline_ms: found 10000, allowed at most"},
-      // Breaks the rule at a child only, by inheritance.
+      // Breaks the rule only at a child that inherits the value.
       {Put("", 1, R"({"default_deadline_ms": 100, "max_deadline_ms": 7000})"),
        "north: default_deadline_ms: found 8000, allowed at most "
        "max_deadline_ms (7000) in force here"},
@@ -196,20 +196,21 @@
   CHECK(tree.ToJson() == after_first);
 }
 
-TEST_CASE("A late create does not bring back a removed node") {
+TEST_CASE("A delayed create does not bring back a removed node") {
   SettingsTree tree = SampleTree();
   const SettingsChange create = Put("east", 0, R"({"weight": 4})");
   REQUIRE(tree.Apply(create).verdict == ChangeVerdict::kApplied);
   REQUIRE(tree.Apply(Remove("east", tree.version("east"))).verdict ==
           ChangeVerdict::kApplied);
   CHECK(tree.Apply(create).verdict == ChangeVerdict::kLostRace);
-  CHECK(tree.own("east") == nullptr);
-  // One that has seen the removal may create it again.
+  CHECK(tree.own_value("east") == nullptr);
+  // A create that expects the version of the removal is applied.
   CHECK(tree.Apply(Put("east", tree.version("east"), "{}")).verdict ==
         ChangeVerdict::kApplied);
 }
 
-TEST_CASE("A change to guarantees loses when others changed after its review") {
+TEST_CASE(
+    "A change to guarantees is stale after another one since its review") {
   SettingsTree tree = SampleTree();
   const int64_t reviewed = tree.revision();
   SettingsChange first =
@@ -228,7 +229,7 @@
   CHECK(tree.Apply(second).verdict == ChangeVerdict::kApplied);
 }
 
-TEST_CASE("JSON gives the same tree back, and nothing that breaks a rule") {
+TEST_CASE("JSON gives the same tree back, and none if it breaks a rule") {
   const SettingsTree tree = SampleTree();
   const Json json = tree.ToJson();
   const std::optional<SettingsTree> read = SettingsTree::FromJson(json);
