--- a/src/libs/coordination/cluster_rounds.cc
+++ b/src/libs/coordination/cluster_rounds.cc
@@ -20,7 +20,7 @@
   run.worker = worker;
   run.crashed = end.end == RunEnd::kWorkerCrashed;
   run.began = end.began != Time{};
-  run.borne = end.borne;
+  run.survived = end.survived;
   return run;
 }
 
@@ -43,7 +43,7 @@
   // after its start was stored.
   if (!progress_writer_->idle()) return;
   const auto age = BootClock::now() - dependencies_.board_as_of();
-  const bool is_up_to_date = age <= settings_.bounds.board_age() &&
+  const bool is_up_to_date = age <= settings_.bounds.max_board_age() &&
                              !released_ && directory_->has_snapshot();
   if (is_up_to_date) {
     const Time now = Now();
@@ -86,7 +86,7 @@
 
 void ClusterCoordinator::ApplyStart(const StartDecision& decision, Time now) {
   RecordWaitMetrics(decision, now);
-  const int run = ledger_.Start(decision.step, decision.assignments);
+  const int run = ledger_.RecordStart(decision.step, decision.assignments);
   const Job* job = ledger_.Find(decision.step.job);
   const StepSpec* spec = ledger_.FindStepSpec(decision.step);
   Json workers = Json::array();
@@ -98,7 +98,7 @@
     pending_starts_.push_back(
         {assignment.worker, task, run, status->checkpoint,
          advice_->book()
-             .Ticket(decision.step, assignment.worker, now)
+             .FindTicket(decision.step, assignment.worker, now)
              .value_or("")});
     workers.push_back(Json::array({assignment.index, assignment.worker}));
     if (!fleet_->IsOnRack(assignment.worker, spec->data_rack)) ++away_from_data;
@@ -154,8 +154,8 @@
 
 void ClusterCoordinator::RecordWaitMetrics(const StartDecision& decision,
                                            Time now) {
-  if (decision.room_taken) {
-    metrics_.OnRoomReclaimed(now - *decision.room_taken);
+  if (decision.preempted_at) {
+    metrics_.OnRoomReclaimed(now - *decision.preempted_at);
   }
   const Job* job = ledger_.Find(decision.step.job);
   const int occurrence = decision.step.occurrence;
@@ -165,8 +165,9 @@
         return progress.done > 0 || progress.active() > 0;
       });
   if (!first) return;
-  metrics_.OnFirstTaskPlaced(job->spec, std::chrono::system_clock::now() -
-                                            job->spec.begin(occurrence));
+  metrics_.OnFirstTaskPlaced(
+      job->spec,
+      std::chrono::system_clock::now() - job->spec.earliest_start(occurrence));
 }
 
 RunProfile ClusterCoordinator::ProfileOf(const TaskRef& task) const {
@@ -175,13 +176,13 @@
   const StepSpec* spec = ledger_.FindStepSpec(task.step);
   if (job == nullptr || spec == nullptr) return profile;
   profile.need = spec->need;
-  if (spec->fills) profile.need.cpu_millis = 0;
+  if (spec->is_filler) profile.need.cpu_millis = 0;
   profile.priority = job->spec.policy.priority;
   profile.checkpointable = spec->checkpointable;
   profile.gang = spec->gang;
   profile.long_running = spec->long_running;
-  profile.fills = spec->fills;
-  profile.tail_target = spec->tail_target;
+  profile.is_filler = spec->is_filler;
+  profile.tail_latency_target = spec->tail_latency_target;
   profile.account = job->spec.account;
   profile.data_rack = spec->data_rack;
   profile.on_probation = WorkersLostRunning(task) > 0;
@@ -190,8 +191,8 @@
 
 void ClusterCoordinator::OnRunEnd(const std::string& worker,
                                   const RunEndReport& end) {
-  const bool in_force = ledger_.End(end.task, end.run, end.end, end.checkpoint,
-                                    ToLostRun(worker, end));
+  const bool in_force = ledger_.RecordRunEnd(
+      end.task, end.run, end.end, end.checkpoint, ToLostRun(worker, end));
   const StepSpec* spec = ledger_.FindStepSpec(end.task.step);
   std::optional<Duration> lasted;
   if (end.began != Time{}) lasted = Now() - end.began;
@@ -200,7 +201,7 @@
                              lasted.value_or(Duration::zero()))
                              .count();
   const auto kept_ms =
-      std::chrono::duration_cast<Milliseconds>(end.kept).count();
+      std::chrono::duration_cast<Milliseconds>(end.saved_work).count();
   LogEvent(events::kRunEnded, {{"task", end.task.ToString()},
                                {"run", end.run},
                                {"worker", worker},
@@ -213,7 +214,7 @@
   if (in_force) LogIfGivenUp(end.task);
   if (end.number > 0) {
     LatestEnd& latest = unrecorded_ends_[worker];
-    if (end.life != latest.incarnation) latest = {end.life, 0};
+    if (end.incarnation != latest.incarnation) latest = {end.incarnation, 0};
     latest.number = std::max(latest.number, end.number);
   }
   SchedulePlanning();
@@ -221,17 +222,17 @@
 
 void ClusterCoordinator::LogIfGivenUp(const TaskRef& task) {
   const TaskStatus* status = ledger_.FindTask(task);
-  if (status == nullptr || !status->crashes.IsToBlame()) return;
+  if (status == nullptr || !status->crashes.ShouldGiveUp()) return;
   LogEvent(events::kTaskGivenUp, {{"job", task.step.job},
                                   {"task", task.ToString()},
-                                  {"workers", status->crashes.workers},
-                                  {"at_start", status->crashes.at_start}});
+                                  {"workers", status->crashes.lost_workers},
+                                  {"at_start", status->crashes.start_crashes}});
   metrics_.OnTaskGivenUp();
 }
 
 size_t ClusterCoordinator::WorkersLostRunning(const TaskRef& task) const {
   const TaskStatus* status = ledger_.FindTask(task);
-  return status == nullptr ? 0 : status->crashes.workers.size();
+  return status == nullptr ? 0 : status->crashes.lost_workers.size();
 }
 
 // Stops the runs that are not current in the ledger: those of cancelled or
--- a/src/libs/coordination/fleet_orders.cc
+++ b/src/libs/coordination/fleet_orders.cc
@@ -33,7 +33,8 @@
   order.payload = fields.payload;
   order.checkpoint = fields.checkpoint;
   order.ticket = fields.ticket;
-  order.deadline = tracker->DeadlineIn(settings_.bounds.start_term(), now);
+  order.deadline =
+      tracker->IssueDeadline(settings_.bounds.start_order_term(), now);
   order.epoch = settings_.epoch;
   tracked->resumed = !fields.checkpoint.empty();
   tracker->OnStartSent(task, run, order.deadline, now);
@@ -85,8 +86,8 @@
     handlers_.on_ticket_refused(task.step, worker);
   }
   if (result.last_answer == StartOutcome::kFenced) handlers_.on_fenced();
-  if (result.outcome == StartOutcome::kOtherLife) {
-    return OnIncarnationOver(worker, LifeEnd::kCrashed);
+  if (result.outcome == StartOutcome::kOtherIncarnation) {
+    return OnIncarnationOver(worker, IncarnationEnd::kCrashed);
   }
   DeliverEnds(worker, tracker->OnStartAnswer(task, run, result.outcome, now));
   CallState& state = call_states_[worker];
@@ -124,7 +125,7 @@
     if (run.stage == RunStage::kRecording) continue;
     const bool stopping =
         run.stop_acknowledged &&
-        now - *run.stop_acknowledged < settings_.bounds.stop_patience();
+        now - *run.stop_acknowledged < settings_.bounds.stop_resend_delay();
     if (stopping) continue;
     run.stop_sending = true;
     const StopOrder order{task, run.run, settings_.epoch};
@@ -138,7 +139,7 @@
                     return handlers_.on_fenced();
                   }
                   if (outcome == CallOutcome::kOtherIncarnation) {
-                    return OnIncarnationOver(id, LifeEnd::kCrashed);
+                    return OnIncarnationOver(id, IncarnationEnd::kCrashed);
                   }
                   if (outcome != CallOutcome::kOk) {
                     call_states_[id].next_stop_time =
--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -15,7 +15,7 @@
 
 StartSenderSettings StartSenderSettingsFor(const WorkerBounds& bounds) {
   StartSenderSettings settings;
-  settings.resend_period = bounds.start_term() / 2;
+  settings.resend_period = bounds.start_order_term() / 2;
   return settings;
 }
 
@@ -27,13 +27,13 @@
 
 Time Now() { return std::chrono::steady_clock::now(); }
 
-const char* ToReason(LifeEnd end) {
+const char* ToReason(IncarnationEnd end) {
   switch (end) {
-    case LifeEnd::kLeft:
+    case IncarnationEnd::kLeft:
       return "it left as announced";
-    case LifeEnd::kCrashed:
+    case IncarnationEnd::kCrashed:
       return "another incarnation answers at its address";
-    case LifeEnd::kSilent:
+    case IncarnationEnd::kSilent:
       return "its leases have expired";
   }
   return "";
@@ -74,10 +74,10 @@
   const std::string id = registration->id;
   const auto ended = ended_incarnations_.find(id);
   if (ended != ended_incarnations_.end()) {
-    if (ended->second == registration->birth.born) return;
+    if (ended->second == registration->incarnation_start.time) return;
     ended_incarnations_.erase(ended);
   }
-  LogBirthFault(id, registration->birth);
+  LogBirthFault(id, registration->incarnation_start);
   WorkerTracker* tracker = Find(id);
   CallState& state = call_states_[id];
   state.missing_since.reset();
@@ -98,7 +98,7 @@
   if (starts_draining) {
     LogEvent(events::kWorkerLeaving,
              {{"worker", id},
-              {"left_ms", registration->drain_left.count()},
+              {"left_ms", registration->drain_remaining.count()},
               {"runs", tracker->runs().size()},
               {"offset", record.offset}});
   }
@@ -113,9 +113,10 @@
 
 // Logged once for each reason, not for each worker: the same fault usually
 // affects all workers.
-void WorkerFleet::LogBirthFault(const std::string& id, const BirthMark& birth) {
-  if (birth.fault.empty() || !logged_faults_.insert(birth.fault).second) return;
-  LogEvent(events::kBirthUnreadable, {{"worker", id}, {"reason", birth.fault}});
+void WorkerFleet::LogBirthFault(const std::string& id,
+                                const IncarnationStart& birth) {
+  if (birth.error.empty() || !logged_faults_.insert(birth.error).second) return;
+  LogEvent(events::kBirthUnreadable, {{"worker", id}, {"reason", birth.error}});
 }
 
 void WorkerFleet::LogCapacity(const WorkerTracker& worker,
@@ -137,7 +138,7 @@
   state.missing_since = now;
   const Milliseconds heartbeat = settings_.bounds.heartbeat;
   if (state.departure.IsDeparture(heartbeat, last_directory_read_, now)) {
-    OnIncarnationOver(id, LifeEnd::kLeft);
+    OnIncarnationOver(id, IncarnationEnd::kLeft);
   }
 }
 
@@ -211,7 +212,7 @@
   for (const auto& [id, tracker] : trackers_) {
     ids.push_back(id);
   }
-  run_review_.Forget(now);
+  run_review_.DropStale(now);
   ReviewGangs(now);
   for (const std::string& id : ids) {
     ReviewWorker(id, now);
@@ -293,7 +294,8 @@
   const bool renew = may_renew_ && tracker->synchronized() &&
                      tracker->reachable() && !tracker->runs().empty();
   if (renew) {
-    query.lease_until = tracker->DeadlineIn(settings_.bounds.lease_term(), now);
+    query.lease_until =
+        tracker->IssueDeadline(settings_.bounds.lease_term(), now);
   }
   state.recheck = false;
   (extra ? state.extra_report_pending : state.report_pending) = true;
@@ -321,9 +323,9 @@
     case CallOutcome::kFenced:
       return handlers_.on_fenced();
     case CallOutcome::kOtherIncarnation:
-      return OnIncarnationOver(id, LifeEnd::kCrashed);
+      return OnIncarnationOver(id, IncarnationEnd::kCrashed);
     case CallOutcome::kConnectionRefused:
-      state.departure.OnNobodyThere(now);
+      state.departure.OnConnectionRefused(now);
       [[fallthrough]];
     case CallOutcome::kRefused:
     case CallOutcome::kNoAnswer:
@@ -331,7 +333,7 @@
         LogEvent(events::kWorkerSilent, answer.error,
                  {{"worker", id}, {"runs", tracker->runs().size()}});
       }
-      tracker->OnNoReport(now);
+      tracker->OnReportFailed(now);
       state.next_report_time = now + settings_.report_retry_delay;
       return;
   }
@@ -343,19 +345,19 @@
               {"clock_before_ms", tracker->clock().count()},
               {"ends_before", tracker->processed_ends()}});
   }
-  LogBirthFault(id, answer.report.birth);
-  if (tracker->IsOfFormerLife(answer.report, sent)) {
+  LogBirthFault(id, answer.report.incarnation_start);
+  if (tracker->IsFromPastIncarnation(answer.report, sent)) {
     return RequestReportIfDue(id, now);
   }
   state.departure.OnAnswer();
   const bool first = !tracker->synchronized();
   state.acknowledged_ends = std::max(state.acknowledged_ends, recorded);
   if (renewed) state.leased_until = sent + settings_.bounds.lease_term();
-  const int life = tracker->life();
+  const int life = tracker->incarnation();
   std::vector<RunReport> unexpected;
   const std::vector<RunEndReport> ends =
       tracker->OnReport(answer.report, sent, now, &unexpected);
-  if (tracker->life() != life) OnRestart(id, ends, now);
+  if (tracker->incarnation() != life) OnRestart(id, ends, now);
   for (const RunReport& run : answer.report.running) {
     handlers_.on_progress(run);
   }
@@ -380,15 +382,15 @@
   CallState& state = call_states_[id];
   state.acknowledged_ends = 0;
   state.leased_until = Time{};
-  state.departure = DepartureWatch();
+  state.departure = DepartureDetector();
   LogEvent(events::kWorkerRestarted,
            {{"worker", id},
-            {"born_ms", ToUnixMilliseconds(*tracker->born())},
+            {"born_ms", ToUnixMilliseconds(*tracker->incarnation_start())},
             {"ended", ends.size()},
             {"runs", tracker->runs().size()}});
   // The clock of the worker has restarted: deadlines of the previous
   // incarnation lie far ahead on it.
-  tracker->AllowLease(settings_.bounds.longest_lease, now);
+  tracker->ExtendLeaseBound(settings_.bounds.longest_lease, now);
   std::vector<std::pair<TaskRef, int>> undecided;
   for (const auto& [task, run] : tracker->runs()) {
     const bool sent =
@@ -416,7 +418,7 @@
 
 void WorkerFleet::ReviewGangs(Time now) {
   for (const GangVerdict& verdict :
-       gang_review_.Judge(trackers_, run_review_.speeds(), now)) {
+       gang_review_.FindRunsToStop(trackers_, run_review_.speeds(), now)) {
     RequestStop(verdict.worker, verdict.task, verdict.run, verdict.reason);
     if (verdict.stalled) Find(verdict.worker)->trust().OnRunStalled(now);
   }
@@ -429,10 +431,10 @@
       !tracker->reachable() || tracker->registration().address.empty();
   if (unreachable && state.departure.HasLeft(settings_.bounds.heartbeat,
                                              last_directory_read_, now)) {
-    return OnIncarnationOver(id, LifeEnd::kLeft);
+    return OnIncarnationOver(id, IncarnationEnd::kLeft);
   }
-  if (unreachable && !tracker->runs().empty() && tracker->LeasesOver(now)) {
-    if (EndRunsOfLostWorker(id, LifeEnd::kSilent)) return;
+  if (unreachable && !tracker->runs().empty() && tracker->LeasesExpired(now)) {
+    if (EndRunsOfLostWorker(id, IncarnationEnd::kSilent)) return;
   }
   const bool long_unlisted = state.missing_since && now - *state.missing_since >
                                                         settings_.missing_grace;
@@ -447,7 +449,7 @@
       return;
     }
   }
-  for (const RunVerdict& verdict : run_review_.Judge(tracker, now)) {
+  for (const RunVerdict& verdict : run_review_.FindRunsToStop(tracker, now)) {
     RequestStop(id, verdict.task, verdict.run, verdict.reason);
   }
 }
@@ -459,17 +461,20 @@
   return it != trackers_.end() && it->second.registration().rack == rack;
 }
 
-void WorkerFleet::OnIncarnationOver(const std::string& id, LifeEnd end) {
-  const std::optional<WallTime>& born = Find(id)->registration().birth.born;
+void WorkerFleet::OnIncarnationOver(const std::string& id, IncarnationEnd end) {
+  const std::optional<WallTime>& born =
+      Find(id)->registration().incarnation_start.time;
   if (!ended_incarnations_.emplace(id, born).second) return;
   call_states_[id].missing_since = Now();
   EndRunsOfLostWorker(id, end);
 }
 
 // Returns whether the worker itself was removed.
-bool WorkerFleet::EndRunsOfLostWorker(const std::string& id, LifeEnd end) {
+bool WorkerFleet::EndRunsOfLostWorker(const std::string& id,
+                                      IncarnationEnd end) {
   WorkerTracker* tracker = Find(id);
-  const std::vector<RunEndReport> ends = tracker->OnGone(end, Now());
+  const std::vector<RunEndReport> ends =
+      tracker->OnIncarnationEnded(end, Now());
   LogEvent(events::kWorkerGone,
            {{"worker", id}, {"reason", ToReason(end)}, {"runs", ends.size()}});
   const bool forget = call_states_[id].missing_since.has_value();
--- a/src/libs/workload/job_definition.cc
+++ b/src/libs/workload/job_definition.cc
@@ -1,4 +1,4 @@
-// Checks on a job, and its stored form.
+// Validation of a job, and its stored form.
 #include "workload/job_definition.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 constexpr size_t kJobIdDigits = 16;
 constexpr int64_t kMaxResource = int64_t{1} << 40;
-// Resets on every incompatible change of the stored form.
+// Changes with every incompatible change of the stored form.
 constexpr int kFormat = 1;
 
 bool InRange(int64_t value) { return value >= 0 && value <= kMaxResource; }
@@ -28,8 +28,8 @@
     *reason = name + "a size is negative or too large";
     return false;
   }
-  if (step.max_per_worker < 0 || step.may_miss < 0 ||
-      step.tail_target.count() < 0) {
+  if (step.max_per_worker < 0 || step.max_unavailable < 0 ||
+      step.tail_latency_target.count() < 0) {
     *reason = name + "a bound is negative";
     return false;
   }
@@ -46,9 +46,9 @@
                       step.need.accelerators, step.estimate.count(),
                       step.depends_on, step.checkpointable, step.gang,
                       step.same_rack, step.speculative, step.long_running,
-                      step.fills, step.required_label, step.data_rack,
-                      step.image, step.max_per_worker, step.may_miss,
-                      step.tail_target.count()});
+                      step.is_filler, step.required_label, step.data_rack,
+                      step.image, step.max_per_worker, step.max_unavailable,
+                      step.tail_latency_target.count()});
 }
 
 StepSpec DecodeStep(const Json& row) {
@@ -65,30 +65,30 @@
   step.same_rack = row.at(at++).get<bool>();
   step.speculative = row.at(at++).get<bool>();
   step.long_running = row.at(at++).get<bool>();
-  step.fills = row.at(at++).get<bool>();
+  step.is_filler = row.at(at++).get<bool>();
   step.required_label = row.at(at++).get<std::string>();
   step.data_rack = row.at(at++).get<std::string>();
   step.image = row.at(at++).get<std::string>();
   step.max_per_worker = row.at(at++).get<int>();
-  step.may_miss = row.at(at++).get<int>();
-  // Records of before there were targets end here.
+  step.max_unavailable = row.at(at++).get<int>();
+  // Records without a latency target end here.
   if (row.size() > at) {
-    step.tail_target = Milliseconds(row.at(at).get<int64_t>());
+    step.tail_latency_target = Milliseconds(row.at(at).get<int64_t>());
   }
   return step;
 }
 
 Json EncodeAdvice(const std::optional<AdviceTerms>& terms) {
   if (!terms) return nullptr;
-  return Json::array(
-      {terms->decision.count(), terms->each.count(), terms->validity.count()});
+  return Json::array({terms->query_time.count(), terms->time_per_worker.count(),
+                      terms->validity.count()});
 }
 
 std::optional<AdviceTerms> DecodeAdvice(const Json& row) {
   if (row.is_null()) return std::nullopt;
   AdviceTerms terms;
-  terms.decision = Milliseconds(row.at(0).get<int64_t>());
-  terms.each = Milliseconds(row.at(1).get<int64_t>());
+  terms.query_time = Milliseconds(row.at(0).get<int64_t>());
+  terms.time_per_worker = Milliseconds(row.at(1).get<int64_t>());
   terms.validity = Milliseconds(row.at(2).get<int64_t>());
   return terms;
 }
@@ -112,12 +112,13 @@
   for (const Json& row : record.at(at++)) {
     job.steps.push_back(DecodeStep(row));
   }
-  // Records of before there was advice end here.
+  // Records without advice terms end here.
   if (record.size() > at) job.policy.advice = DecodeAdvice(record.at(at));
   return job;
 }
 
-// The shortest time in which the job can run, going by the caller's estimates.
+// The shortest time in which the job can run, according to the caller's
+// estimates.
 Milliseconds LongestChain(const JobDefinition& spec) {
   std::vector<Milliseconds> ends;
   Milliseconds longest{0};
@@ -200,7 +201,8 @@
 std::optional<JobDefinition> DecodeJob(std::string_view bytes, Error* error) {
   const Json record = ParseCbor(bytes).value_or(Json());
   if (record.is_array() && !record.empty() && record[0] == kFormat) {
-    // Wrong types throw inside the library; none leaves this function.
+    // The JSON library throws on wrong types; no exception leaves this
+    // function.
     try {
       JobDefinition job = DecodeFields(record);
       std::string reason;
--- a/tests/auto/state/tst_job_snapshot.cc
+++ b/tests/auto/state/tst_job_snapshot.cc
@@ -1,10 +1,10 @@
-// Tests of snapshots of the job stream: when they are used, and that a fold
-// from a snapshot equals the fold of the whole stream.
+// Tests of snapshots of the job stream: when they are used, and that a snapshot
+// and the records after it give the same state as the whole stream.
 #include <doctest/doctest.h>
 
 #include <rapidcheck.h>
 
-#include "fold_harness.h"
+#include "job_stream_fixtures.h"
 
 namespace thornplank {
 namespace {
@@ -25,15 +25,17 @@
 };
 
 TruncatedLog TruncateWithSnapshot(int64_t covers, int64_t first) {
-  const std::vector<LogRecord> whole = SampleLog();
-  const JobStreamFold until = FoldAll(
-      {whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(covers)});
+  const std::vector<LogRecord> full_log = SampleLog();
+  const JobStreamState until =
+      ApplyAll({full_log.begin(),
+                full_log.begin() + static_cast<std::ptrdiff_t>(covers)});
   std::vector<JobStreamRecord> parts;
   for (const auto& part : until.MakeSnapshot("snap", 1)) parts.push_back(part);
   TruncatedLog cut{
-      {whole.begin() + static_cast<std::ptrdiff_t>(first), whole.end()}, first};
+      {full_log.begin() + static_cast<std::ptrdiff_t>(first), full_log.end()},
+      first};
   for (const LogRecord& record :
-       ToLog(parts, static_cast<int64_t>(whole.size()))) {
+       ToLog(parts, static_cast<int64_t>(full_log.size()))) {
     cut.log.push_back(record);
   }
   return cut;
@@ -46,57 +48,58 @@
   bool complete;
 };
 
-TEST_CASE("a snapshot and the records after it equal the fold of all records") {
+TEST_CASE(
+    "a snapshot and the records after it equal the state of all records") {
   const std::vector<TruncationCase> cases = {
       {"everything is covered", 10, 10, true},
       {"records after the snapshot follow", 5, 5, true},
       {"the log contains records that the snapshot covers", 7, 3, true},
       {"records after the snapshot are missing", 3, 5, false},
   };
-  const Json whole = StateOf(FoldAll(SampleLog()));
+  const Json expected = ContentOf(ApplyAll(SampleLog()));
   for (const TruncationCase& one : cases) {
     CAPTURE(one.name);
     const TruncatedLog cut = TruncateWithSnapshot(one.covers, one.first);
-    JobStreamFold fold{JobRetention{}};
-    fold.SkipLostRecords(cut.first);
-    CHECK_FALSE(fold.complete());
-    for (const LogRecord& record : cut.log) fold.Fold(record);
-    CHECK(fold.complete() == one.complete);
-    if (one.complete) CHECK(StateOf(fold) == whole);
+    JobStreamState state{JobRetention{}};
+    state.SkipLostRecords(cut.first);
+    CHECK_FALSE(state.complete());
+    for (const LogRecord& record : cut.log) state.Apply(record);
+    CHECK(state.complete() == one.complete);
+    if (one.complete) CHECK(ContentOf(state) == expected);
   }
 }
 
-TEST_CASE("a snapshot that covers less than what is folded changes nothing") {
+TEST_CASE("a snapshot that covers less than what is applied changes nothing") {
   const std::vector<LogRecord> log = SampleLog();
-  const JobStreamFold early = FoldAll({log.begin(), log.begin() + 4});
-  const JobStreamFold late = FoldAll(log);
-  JobStreamFold fold = FoldAll({log.begin(), log.begin() + 6});
-  const Json before = StateOf(fold);
-  CHECK_FALSE(fold.Restore(early.MakeSnapshot("peer", 2)));
-  CHECK(StateOf(fold) == before);
-  CHECK(fold.Restore(late.MakeSnapshot("peer", 2)));
-  CHECK(StateOf(fold) == StateOf(late));
-  CHECK(fold.next_offset() == 10);
+  const JobStreamState early = ApplyAll({log.begin(), log.begin() + 4});
+  const JobStreamState late = ApplyAll(log);
+  JobStreamState state = ApplyAll({log.begin(), log.begin() + 6});
+  const Json before = ContentOf(state);
+  CHECK_FALSE(state.Restore(early.MakeSnapshot("peer", 2)));
+  CHECK(ContentOf(state) == before);
+  CHECK(state.Restore(late.MakeSnapshot("peer", 2)));
+  CHECK(ContentOf(state) == ContentOf(late));
+  CHECK(state.next_offset() == 10);
   // Records of the stream that the snapshot covers are ignored.
-  CHECK(fold.Fold(log[7]).kind == FoldChange::Kind::kNone);
+  CHECK(state.Apply(log[7]).kind == JobStreamChange::Kind::kNone);
 }
 
 TEST_CASE(
-    "a complete fold only records the offset of a snapshot in the stream") {
+    "a complete state only records the offset of a snapshot in the stream") {
   TruncatedLog cut = TruncateWithSnapshot(5, 0);
-  const JobStreamFold fold = FoldAll(cut.log);
-  CHECK(fold.newest_snapshot_end() == 5);
-  CHECK(StateOf(fold) == StateOf(FoldAll(SampleLog())));
+  const JobStreamState state = ApplyAll(cut.log);
+  CHECK(state.newest_snapshot_end() == 5);
+  CHECK(ContentOf(state) == ContentOf(ApplyAll(SampleLog())));
 }
 
 TEST_CASE("an incomplete snapshot is not used") {
   TruncatedLog cut = TruncateWithSnapshot(5, 5);
   cut.log.pop_back();
-  JobStreamFold fold{JobRetention{}};
-  fold.SkipLostRecords(cut.first);
-  for (const LogRecord& record : cut.log) fold.Fold(record);
-  CHECK_FALSE(fold.complete());
-  CHECK(fold.MakeSnapshot("x", 10).empty());
+  JobStreamState state{JobRetention{}};
+  state.SkipLostRecords(cut.first);
+  for (const LogRecord& record : cut.log) state.Apply(record);
+  CHECK_FALSE(state.complete());
+  CHECK(state.MakeSnapshot("x", 10).empty());
 }
 
 std::vector<JobStreamRecord> RandomRecords() {
@@ -150,29 +153,29 @@
   return repeated;
 }
 
-TEST_CASE("repeated records do not change the fold") {
+TEST_CASE("repeated records do not change the state") {
   CHECK(rc::check([] {
     const auto log = ToLog(RandomRecords());
     const bool same =
-        StateOf(FoldAll(WithRepeats(log))) == StateOf(FoldAll(log));
+        ContentOf(ApplyAll(WithRepeats(log))) == ContentOf(ApplyAll(log));
     RC_ASSERT(same);
   }));
 }
 
-TEST_CASE("any snapshot and the records after it give the same fold") {
+TEST_CASE("any snapshot and the records after it give the same state") {
   CHECK(rc::check([] {
     const auto log = ToLog(RandomRecords());
     const auto cut = static_cast<std::ptrdiff_t>(
         *rc::gen::inRange<size_t>(0, log.size() + 1));
-    JobStreamFold fold{JobRetention{}};
-    fold.SkipLostRecords(cut);
-    fold.Restore(
-        FoldAll({log.begin(), log.begin() + cut}).MakeSnapshot("s", 1));
+    JobStreamState state{JobRetention{}};
+    state.SkipLostRecords(cut);
+    state.Restore(
+        ApplyAll({log.begin(), log.begin() + cut}).MakeSnapshot("s", 1));
     for (auto record = log.begin() + cut; record != log.end(); ++record) {
-      fold.Fold(*record);
+      state.Apply(*record);
     }
-    RC_ASSERT(fold.complete());
-    const bool same = StateOf(fold) == StateOf(FoldAll(log));
+    RC_ASSERT(state.complete());
+    const bool same = ContentOf(state) == ContentOf(ApplyAll(log));
     RC_ASSERT(same);
   }));
 }
