--- a/src/libs/admin/change_writer.cc
+++ b/src/libs/admin/change_writer.cc
@@ -108,11 +108,11 @@
 }
 
 ChangeWriter::DueCallbacks ChangeWriter::TakeDecided(
-    const SettingsReplica& replica) {
+    const SettingsState& state) {
   DueCallbacks callbacks;
   const std::lock_guard<std::mutex> lock(mutex_);
   for (auto it = pending_.begin(); it != pending_.end();) {
-    const std::optional<ChangeResult> result = replica.FindDecision(it->first);
+    const std::optional<ChangeResult> result = state.FindDecision(it->first);
     if (!result) {
       ++it;
       continue;
--- a/src/libs/admin/change_writer.h
+++ b/src/libs/admin/change_writer.h
@@ -16,7 +16,7 @@
 
 #include "admin/settings_manager.h"
 #include "settings/settings_change.h"
-#include "settings/settings_replica.h"
+#include "settings/settings_state.h"
 
 namespace thornplank {
 
@@ -47,8 +47,8 @@
   // Stops appending. Changes that are still pending remain for TakeExpired.
   void Stop();
 
-  // Removes the pending changes on which `replica` has a decision.
-  DueCallbacks TakeDecided(const SettingsReplica& replica);
+  // Removes the pending changes on which `state` has a decision.
+  DueCallbacks TakeDecided(const SettingsState& state);
   // Removes the pending changes whose deadline has passed.
   DueCallbacks TakeExpired(Time now);
 
--- a/src/libs/admin/settings_manager.cc
+++ b/src/libs/admin/settings_manager.cc
@@ -170,12 +170,12 @@
   std::string refusal;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (replica_.complete()) {
+    if (state_.complete()) {
       refusal = "no records are missing on this entry";
-    } else if (replica_.tree().revision() == 0 && !accept_empty) {
+    } else if (state_.tree().revision() == 0 && !accept_empty) {
       refusal = "this entry holds no state; recover on one that does";
     } else {
-      snapshot = replica_.RecoverySnapshot();
+      snapshot = state_.RecoverySnapshot();
     }
   }
   if (!refusal.empty()) {
--- a/src/libs/admin/settings_manager_impl.cc
+++ b/src/libs/admin/settings_manager_impl.cc
@@ -87,7 +87,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const bool is_snapshot = IsSnapshot(record.data);
   std::optional<int64_t> covers;
-  if (is_snapshot && SettingsReplica::IsReadable(record.data)) {
+  if (is_snapshot && SettingsState::IsReadable(record.data)) {
     covers = IntField(record.data, "covers");
   }
   if (is_snapshot && !covers) {
@@ -95,12 +95,12 @@
              {{"offset", record.offset}, {"verdict", "malformed"}});
   }
   schedule_.OnRecord(record.offset, record.time, covers);
-  const bool was_complete = replica_.complete();
+  const bool was_complete = state_.complete();
   for (RecordOutcome& outcome :
-       replica_.Apply({record.offset, record.id, record.data})) {
+       state_.Apply({record.offset, record.id, record.data})) {
     outcomes_.push_back(std::move(outcome));
   }
-  if (!was_complete && replica_.complete()) {
+  if (!was_complete && state_.complete()) {
     LogEvent(events::kSettingsSnapshotAdopted,
              {{"covers", *covers}, {"source", "stream"}});
   }
@@ -110,10 +110,10 @@
 void SettingsManager::Impl::OnGap(int64_t from, int64_t first_kept) {
   const std::lock_guard<std::mutex> lock(mutex_);
   schedule_.OnFirstOffset(first_kept);
-  replica_.HandleGap(from, first_kept);
-  if (!replica_.complete()) {
+  state_.HandleGap(from, first_kept);
+  if (!state_.complete()) {
     LogEvent(events::kSettingsGap,
-             {{"from", replica_.next_offset()}, {"first_kept", first_kept}});
+             {{"from", state_.next_offset()}, {"first_kept", first_kept}});
   }
   RequestPublish();
 }
@@ -143,16 +143,16 @@
     outcomes.swap(outcomes_);
     was_ready = published_.ready;
     const bool reached_log_end =
-        caught_up && replica_.next_offset() >= follower_offset;
-    next.ready = replica_.complete() &&
+        caught_up && state_.next_offset() >= follower_offset;
+    next.ready = state_.complete() &&
                  (was_ready || synced_with_peer_ || reached_log_end);
-    next.next_offset = replica_.next_offset();
+    next.next_offset = state_.next_offset();
     next.tree = published_.tree;
-    if (next.tree->revision() != replica_.tree().revision()) {
-      next.tree = std::make_shared<const SettingsTree>(replica_.tree());
+    if (next.tree->revision() != state_.tree().revision()) {
+      next.tree = std::make_shared<const SettingsTree>(state_.tree());
     }
     if (!next.ready) published_.ready = false;
-    decided = writer_->TakeDecided(replica_);
+    decided = writer_->TakeDecided(state_);
   }
   LogOutcomes(outcomes);
   if (next.ready) {
@@ -245,8 +245,7 @@
       std::chrono::steady_clock::now() + options_.peer_fetch_interval;
   const std::lock_guard<std::mutex> lock(mutex_);
   for (const Json& snapshot : snapshots) {
-    const SnapshotVerdict verdict =
-        replica_.AdoptSnapshot(snapshot, &outcomes_);
+    const SnapshotVerdict verdict = state_.AdoptSnapshot(snapshot, &outcomes_);
     if (verdict == SnapshotVerdict::kAdopted) {
       synced_with_peer_ = true;
       LogEvent(events::kSettingsSnapshotAdopted,
@@ -256,8 +255,8 @@
     // A ready peer at the same offset shows that this entry has applied all
     // records that are known.
     const bool same_offset =
-        replica_.complete() &&
-        IntField(snapshot, "covers") == replica_.next_offset();
+        state_.complete() &&
+        IntField(snapshot, "covers") == state_.next_offset();
     if (same_offset) synced_with_peer_ = true;
     if (verdict == SnapshotVerdict::kStale) continue;
     LogEvent(events::kSettingsSnapshotUnusable,
@@ -286,9 +285,9 @@
   Json snapshot;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!published_.ready || !replica_.complete()) return;
+    if (!published_.ready || !state_.complete()) return;
     if (!schedule_.IsDue(std::chrono::system_clock::now())) return;
-    snapshot = replica_.Snapshot();
+    snapshot = state_.Snapshot();
   }
   // Waits with the next snapshot until this one is appended and read back, or
   // has failed.
@@ -308,7 +307,7 @@
 std::vector<HistoryEntry> SettingsManager::Impl::history(
     const std::string& path) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return replica_.history().entries(path);
+  return state_.history().entries(path);
 }
 
 int64_t SettingsManager::Impl::next_offset() const {
@@ -323,8 +322,8 @@
 
 std::optional<Json> SettingsManager::Impl::Snapshot() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (!published_.ready || !replica_.complete()) return std::nullopt;
-  return replica_.Snapshot();
+  if (!published_.ready || !state_.complete()) return std::nullopt;
+  return state_.Snapshot();
 }
 
 }  // namespace thornplank
--- a/src/libs/admin/settings_manager_impl.h
+++ b/src/libs/admin/settings_manager_impl.h
@@ -1,4 +1,4 @@
-// Implementation of SettingsManager: a replica of the settings, guarded by a
+// Implementation of SettingsManager: the state of the settings, guarded by a
 // mutex, and a strand on which its changes are published in order.
 #ifndef THORNPLANK_ADMIN_SETTINGS_MANAGER_IMPL_H_
 #define THORNPLANK_ADMIN_SETTINGS_MANAGER_IMPL_H_
@@ -14,7 +14,7 @@
 
 #include "admin/change_writer.h"
 #include "admin/settings_manager.h"
-#include "settings/settings_replica.h"
+#include "settings/settings_state.h"
 
 namespace thornplank {
 
@@ -122,7 +122,7 @@
   // Locked before ChangeWriter's mutex; no callback runs while it is held.
   mutable std::mutex mutex_;
   bool stopped_ = false;
-  SettingsReplica replica_;
+  SettingsState state_;
   SettingsSnapshotSchedule schedule_;
   // Outcomes of applied records that are not published yet.
   std::vector<RecordOutcome> outcomes_;
--- a/src/libs/settings/settings_replica.cc
+++ b/src/libs/settings/settings_state.cc
@@ -1,5 +1,5 @@
 // Handling of repeated ids, gaps and snapshots in the settings stream.
-#include "settings/settings_replica.h"
+#include "settings/settings_state.h"
 
 #include <algorithm>
 #include <utility>
@@ -23,7 +23,7 @@
   return {{"type", kWithdrawType}, {"by", author}};
 }
 
-std::vector<RecordOutcome> SettingsReplica::Apply(SettingsRecord record) {
+std::vector<RecordOutcome> SettingsState::Apply(SettingsRecord record) {
   std::vector<RecordOutcome> outcomes;
   if (record.offset < next_offset_) return outcomes;
   HandleGap(next_offset_, gap_end_.value_or(record.offset));
@@ -44,8 +44,8 @@
   return outcomes;
 }
 
-void SettingsReplica::ApplyNext(const SettingsRecord& record,
-                                std::vector<RecordOutcome>* outcomes) {
+void SettingsState::ApplyNext(const SettingsRecord& record,
+                              std::vector<RecordOutcome>* outcomes) {
   next_offset_ = record.offset + 1;
   // Without a gap, all records that the snapshot covers are already applied.
   if (IsType(record.data, kSnapshotType)) return;
@@ -67,24 +67,24 @@
   outcomes->push_back(std::move(outcome));
 }
 
-void SettingsReplica::HandleGap(int64_t from, int64_t first_kept) {
+void SettingsState::HandleGap(int64_t from, int64_t first_kept) {
   if (from >= first_kept || first_kept <= next_offset_) return;
   if (gap_end_ == first_kept) return;
   records_after_gap_.clear();
   gap_end_ = first_kept;
 }
 
-SnapshotVerdict SettingsReplica::AdoptSnapshot(
+SnapshotVerdict SettingsState::AdoptSnapshot(
     const Json& snapshot, std::vector<RecordOutcome>* outcomes) {
   const std::optional<int64_t> covers = IntField(snapshot, "covers");
   if (!covers) return SnapshotVerdict::kMalformed;
   if (*covers <= next_offset_) return SnapshotVerdict::kStale;
   if (gap_end_ && *covers < *gap_end_) return SnapshotVerdict::kLeavesGap;
-  std::optional<State> state = ParseSnapshot(snapshot);
-  if (!state) return SnapshotVerdict::kMalformed;
-  tree_ = std::move(state->tree);
-  history_ = std::move(state->history);
-  decisions_ = std::move(state->decisions);
+  std::optional<SnapshotContents> contents = ParseSnapshot(snapshot);
+  if (!contents) return SnapshotVerdict::kMalformed;
+  tree_ = std::move(contents->tree);
+  history_ = std::move(contents->history);
+  decisions_ = std::move(contents->decisions);
   next_offset_ = *covers;
   gap_end_.reset();
   const std::vector<SettingsRecord> records =
@@ -96,7 +96,7 @@
   return SnapshotVerdict::kAdopted;
 }
 
-std::optional<SettingsReplica::State> SettingsReplica::ParseSnapshot(
+std::optional<SettingsState::SnapshotContents> SettingsState::ParseSnapshot(
     const Json& snapshot) {
   const std::optional<int64_t> covers = IntField(snapshot, "covers");
   const Json* tree_json = ObjectField(snapshot, "tree");
@@ -112,15 +112,15 @@
   std::optional<std::deque<Decision>> decisions =
       ParseDecisions(*decisions_json);
   if (!tree || !history || !decisions) return std::nullopt;
-  return State{*covers, std::move(*tree), std::move(*history),
-               std::move(*decisions)};
+  return SnapshotContents{*covers, std::move(*tree), std::move(*history),
+                          std::move(*decisions)};
 }
 
-bool SettingsReplica::IsReadable(const Json& snapshot) {
+bool SettingsState::IsReadable(const Json& snapshot) {
   return ParseSnapshot(snapshot).has_value();
 }
 
-Json SettingsReplica::SnapshotCovering(int64_t covers) const {
+Json SettingsState::SnapshotCovering(int64_t covers) const {
   return {{"type", kSnapshotType},
           {"covers", covers},
           {"tree", tree_.ToJson()},
@@ -128,15 +128,13 @@
           {"decided", DecisionsToJson()}};
 }
 
-Json SettingsReplica::Snapshot() const {
-  return SnapshotCovering(next_offset_);
-}
+Json SettingsState::Snapshot() const { return SnapshotCovering(next_offset_); }
 
-Json SettingsReplica::RecoverySnapshot() const {
+Json SettingsState::RecoverySnapshot() const {
   return SnapshotCovering(gap_end_.value_or(next_offset_));
 }
 
-std::optional<ChangeResult> SettingsReplica::FindDecision(
+std::optional<ChangeResult> SettingsState::FindDecision(
     const std::string& id) const {
   for (const Decision& decision : decisions_) {
     if (decision.id != id) continue;
@@ -148,13 +146,13 @@
   return std::nullopt;
 }
 
-void SettingsReplica::RememberDecision(const std::string& id,
-                                       const ChangeResult& result) {
+void SettingsState::RememberDecision(const std::string& id,
+                                     const ChangeResult& result) {
   decisions_.push_back({id, result.verdict, result.version});
   if (decisions_.size() > kMaxDecisions) decisions_.pop_front();
 }
 
-Json SettingsReplica::DecisionsToJson() const {
+Json SettingsState::DecisionsToJson() const {
   Json list = Json::array();
   for (const Decision& decision : decisions_) {
     list.push_back({{"id", decision.id},
@@ -164,8 +162,8 @@
   return list;
 }
 
-std::optional<std::deque<SettingsReplica::Decision>>
-SettingsReplica::ParseDecisions(const Json& json) {
+std::optional<std::deque<SettingsState::Decision>>
+SettingsState::ParseDecisions(const Json& json) {
   std::deque<Decision> parsed;
   for (const Json& item : json) {
     const std::optional<std::string> id = StringField(item, "id");
--- a/src/libs/settings/settings_replica.h
+++ b/src/libs/settings/settings_state.h
@@ -1,13 +1,13 @@
-// The settings as a replicated state machine: it applies the records of the
-// stream "settings" in order of offset and holds the resulting tree and
+// The state of the settings, replicated on every entry: applies the records of
+// the stream "settings" in order of offset and holds the resulting tree and
 // history.
 //
 // Decision code: no I/O. The verdicts depend only on the records, so that every
 // entry reaches the same ones. When retention has removed records that were not
-// applied yet (a gap), the replica keeps its state, applies nothing and waits
-// for a snapshot that covers the gap.
-#ifndef THORNPLANK_SETTINGS_SETTINGS_REPLICA_H_
-#define THORNPLANK_SETTINGS_SETTINGS_REPLICA_H_
+// applied yet (a gap), it stays as it is, applies nothing and waits for a
+// snapshot that covers the gap.
+#ifndef THORNPLANK_SETTINGS_SETTINGS_STATE_H_
+#define THORNPLANK_SETTINGS_SETTINGS_STATE_H_
 
 #include <cstdint>
 #include <deque>
@@ -50,7 +50,7 @@
   kMalformed,
 };
 
-class SettingsReplica {
+class SettingsState {
  public:
   // Applies one record. Offsets must rise from call to call; a record that is
   // already covered is ignored. While there is a gap, records are kept for
@@ -97,16 +97,15 @@
     int64_t version;
   };
 
-  // Contents of a snapshot.
-  struct State {
-    // The state contains all records before this offset.
+  struct SnapshotContents {
+    // The snapshot covers all records before this offset.
     int64_t covers = 0;
     SettingsTree tree;
     SettingsHistory history;
     std::deque<Decision> decisions;
   };
 
-  static std::optional<State> ParseSnapshot(const Json& snapshot);
+  static std::optional<SnapshotContents> ParseSnapshot(const Json& snapshot);
   Json SnapshotCovering(int64_t covers) const;
   void ApplyNext(const SettingsRecord& record,
                  std::vector<RecordOutcome>* outcomes);
@@ -134,4 +133,4 @@
 
 }  // namespace thornplank
 
-#endif  // THORNPLANK_SETTINGS_SETTINGS_REPLICA_H_
+#endif  // THORNPLANK_SETTINGS_SETTINGS_STATE_H_
--- a/tests/auto/settings/tst_settings_replica.cc
+++ b/tests/auto/settings/tst_settings_state.cc
@@ -6,8 +6,8 @@
 #include <utility>
 #include <vector>
 
-#include "settings/settings_replica.h"
 #include "settings/settings_snapshot_schedule.h"
+#include "settings/settings_state.h"
 
 namespace thornplank {
 namespace {
@@ -31,16 +31,16 @@
         {static_cast<int64_t>(records_.size()), id, std::move(data)});
     return records_.back().offset;
   }
-  void ApplyTo(SettingsReplica* replica, int64_t from, int64_t to = -1) const {
+  void ApplyTo(SettingsState* state, int64_t from, int64_t to = -1) const {
     for (const SettingsRecord& record : records_) {
       if (record.offset < from || (to >= 0 && record.offset >= to)) continue;
-      replica->Apply(record);
+      state->Apply(record);
     }
   }
-  SettingsReplica MakeReplica() const {
-    SettingsReplica replica;
-    ApplyTo(&replica, 0);
-    return replica;
+  SettingsState MakeState() const {
+    SettingsState state;
+    ApplyTo(&state, 0);
+    return state;
   }
   int64_t end() const { return static_cast<int64_t>(records_.size()); }
 
@@ -61,10 +61,10 @@
   Stream stream = SampleStream();
   stream.Append("id-a", PutData("north", 3, 10));
   stream.Append("id-b", PutData("north", 3, 20));
-  const SettingsReplica replica = stream.MakeReplica();
-  CHECK(replica.tree().Effective("north").weight == 10);
-  CHECK(replica.FindDecision("id-a")->verdict == ChangeVerdict::kApplied);
-  CHECK(replica.FindDecision("id-b")->verdict == ChangeVerdict::kLostRace);
+  const SettingsState state = stream.MakeState();
+  CHECK(state.tree().Effective("north").weight == 10);
+  CHECK(state.FindDecision("id-a")->verdict == ChangeVerdict::kApplied);
+  CHECK(state.FindDecision("id-b")->verdict == ChangeVerdict::kLostRace);
 }
 
 TEST_CASE("A repeated id keeps its first verdict") {
@@ -74,11 +74,11 @@
   stream.Append("id-east", PutData("east", 0, 4));
   stream.Append("id-early", PutData("east/claims", 0, 4));
   stream.Append("id-0", PutData("north", 0, 1));
-  const SettingsReplica replica = stream.MakeReplica();
-  CHECK(replica.tree().own_value("east/claims") == nullptr);
-  CHECK(replica.FindDecision("id-early")->verdict == ChangeVerdict::kInvalid);
-  CHECK(replica.FindDecision("id-0")->verdict == ChangeVerdict::kApplied);
-  CHECK(replica.tree().Effective("north").weight == 3);
+  const SettingsState state = stream.MakeState();
+  CHECK(state.tree().own_value("east/claims") == nullptr);
+  CHECK(state.FindDecision("id-early")->verdict == ChangeVerdict::kInvalid);
+  CHECK(state.FindDecision("id-0")->verdict == ChangeVerdict::kApplied);
+  CHECK(state.tree().Effective("north").weight == 3);
 }
 
 TEST_CASE(
@@ -88,92 +88,91 @@
   stream.Append("id-w", PutData("north", 3, 10));
   stream.Append("id-v", PutData("north", 3, 20));
   stream.Append("id-v", WithdrawalData("admin"));
-  const SettingsReplica replica = stream.MakeReplica();
-  CHECK(replica.FindDecision("id-w")->verdict == ChangeVerdict::kWithdrawn);
-  CHECK(replica.FindDecision("id-v")->verdict == ChangeVerdict::kApplied);
-  CHECK(replica.tree().Effective("north").weight == 20);
+  const SettingsState state = stream.MakeState();
+  CHECK(state.FindDecision("id-w")->verdict == ChangeVerdict::kWithdrawn);
+  CHECK(state.FindDecision("id-v")->verdict == ChangeVerdict::kApplied);
+  CHECK(state.tree().Effective("north").weight == 20);
 }
 
 TEST_CASE("A malformed record changes nothing and is reported") {
-  SettingsReplica replica = SampleStream().MakeReplica();
-  const Json before = replica.tree().ToJson();
-  const auto outcomes = replica.Apply({3, "id-x", {{"type", "put"}}});
+  SettingsState state = SampleStream().MakeState();
+  const Json before = state.tree().ToJson();
+  const auto outcomes = state.Apply({3, "id-x", {{"type", "put"}}});
   REQUIRE(outcomes.size() == 1);
   CHECK(outcomes[0].malformed);
-  CHECK(replica.tree().ToJson() == before);
-  CHECK(replica.next_offset() == 4);
+  CHECK(state.tree().ToJson() == before);
+  CHECK(state.next_offset() == 4);
 }
 
 TEST_CASE(
     "After retention a snapshot and the later records give the same state") {
   Stream stream = SampleStream();
-  const Json snapshot = stream.MakeReplica().Snapshot();
+  const Json snapshot = stream.MakeState().Snapshot();
   stream.Append("id-3", PutData("north", 3, 4));
   stream.Append("snap", snapshot);
   stream.Append("id-4", PutData("north", 4, 5));
   stream.Append("id-3", PutData("north", 3, 4));
-  SettingsReplica replica;
-  replica.HandleGap(0, 3);
-  CHECK_FALSE(replica.complete());
-  stream.ApplyTo(&replica, 3);
-  CHECK(replica.complete());
-  CHECK(replica.Snapshot() == stream.MakeReplica().Snapshot());
-  CHECK(replica.history().entries("north").size() == 5);
-  CHECK(replica.history().entries("north")[0].author == "admin");
+  SettingsState state;
+  state.HandleGap(0, 3);
+  CHECK_FALSE(state.complete());
+  stream.ApplyTo(&state, 3);
+  CHECK(state.complete());
+  CHECK(state.Snapshot() == stream.MakeState().Snapshot());
+  CHECK(state.history().entries("north").size() == 5);
+  CHECK(state.history().entries("north")[0].author == "admin");
 }
 
 TEST_CASE("Without a snapshot that closes the gap no record is applied") {
   Stream stream = SampleStream();
-  SettingsReplica paused;
+  SettingsState paused;
   stream.ApplyTo(&paused, 0, 1);
   const Json too_old = paused.Snapshot();
   stream.Append("snap", too_old);
   stream.Append("id-4", PutData("north", 3, 4));
-  SettingsReplica replica;
-  replica.HandleGap(0, 2);
-  stream.ApplyTo(&replica, 2);
-  CHECK_FALSE(replica.complete());
-  CHECK(replica.tree().revision() == 0);
+  SettingsState state;
+  state.HandleGap(0, 2);
+  stream.ApplyTo(&state, 2);
+  CHECK_FALSE(state.complete());
+  CHECK(state.tree().revision() == 0);
   std::vector<RecordOutcome> outcomes;
-  CHECK(replica.AdoptSnapshot(too_old, &outcomes) ==
-        SnapshotVerdict::kLeavesGap);
+  CHECK(state.AdoptSnapshot(too_old, &outcomes) == SnapshotVerdict::kLeavesGap);
   // The snapshot of a peer that has applied all records closes the gap.
-  CHECK(replica.AdoptSnapshot(stream.MakeReplica().Snapshot(), &outcomes) ==
+  CHECK(state.AdoptSnapshot(stream.MakeState().Snapshot(), &outcomes) ==
         SnapshotVerdict::kAdopted);
-  CHECK(replica.tree().Effective("north").weight == 4);
+  CHECK(state.tree().Effective("north").weight == 4);
 }
 
 TEST_CASE("Missing offsets count as a gap") {
   const Stream stream = SampleStream();
-  SettingsReplica replica;
-  stream.ApplyTo(&replica, 0, 1);
-  stream.ApplyTo(&replica, 2);
-  CHECK_FALSE(replica.complete());
-  CHECK(replica.tree().Effective("north").weight == 1);
+  SettingsState state;
+  stream.ApplyTo(&state, 0, 1);
+  stream.ApplyTo(&state, 2);
+  CHECK_FALSE(state.complete());
+  CHECK(state.tree().Effective("north").weight == 1);
 }
 
 TEST_CASE("A stale snapshot of a paused entry reverts nothing") {
   Stream stream = SampleStream();
-  SettingsReplica paused;
+  SettingsState paused;
   stream.ApplyTo(&paused, 0, 2);
-  SettingsReplica replica = stream.MakeReplica();
-  const Json before = replica.tree().ToJson();
+  SettingsState state = stream.MakeState();
+  const Json before = state.tree().ToJson();
   std::vector<RecordOutcome> outcomes;
-  CHECK(replica.AdoptSnapshot(paused.Snapshot(), &outcomes) ==
+  CHECK(state.AdoptSnapshot(paused.Snapshot(), &outcomes) ==
         SnapshotVerdict::kStale);
   stream.Append("snap", paused.Snapshot());
-  stream.ApplyTo(&replica, 3);
-  CHECK(replica.tree().ToJson() == before);
+  stream.ApplyTo(&state, 3);
+  CHECK(state.tree().ToJson() == before);
   // An entry that starts from the snapshot reaches the same tree by the later
   // records.
-  SettingsReplica late;
+  SettingsState late;
   late.HandleGap(0, 2);
   stream.ApplyTo(&late, 2);
   CHECK(late.tree().ToJson() == before);
 }
 
 TEST_CASE("A malformed snapshot is not adopted") {
-  const Json good = SampleStream().MakeReplica().Snapshot();
+  const Json good = SampleStream().MakeState().Snapshot();
   const std::vector<const char*> patches = {
       R"({"covers": null})", R"({"tree": null})", R"({"history": 3})",
       R"({"decided": [1]})", R"({"tree": {"revision": 1}})"};
@@ -181,11 +180,11 @@
     CAPTURE(patch);
     Json snapshot = good;
     snapshot.merge_patch(Json::parse(patch));
-    SettingsReplica replica;
+    SettingsState state;
     std::vector<RecordOutcome> outcomes;
-    CHECK(replica.AdoptSnapshot(snapshot, &outcomes) ==
+    CHECK(state.AdoptSnapshot(snapshot, &outcomes) ==
           SnapshotVerdict::kMalformed);
-    CHECK(replica.next_offset() == 0);
+    CHECK(state.next_offset() == 0);
   }
 }
 
