--- a/src/libs/settings/hosted_settings.h
+++ b/src/libs/settings/hosted_settings.h
@@ -34,8 +34,8 @@
   // leader.
   double processor_share = 1;
   Severity log_level = Severity::kInfo;
-  // Maximum time from the revocation of a key until no call with that key may
-  // run on any entry.
+  // Maximum time from the revocation of a caller's key until no call with that
+  // key may run on any entry.
   Milliseconds revocation_bound{5000};
   // How long the state of an ended job can be queried.
   Milliseconds state_kept{120000};
--- a/src/libs/settings/settings_tree.h
+++ b/src/libs/settings/settings_tree.h
@@ -53,7 +53,7 @@
   // Paths of the events or drains (kEventPrefix, kDrainPrefix).
   std::vector<std::string> documents(std::string_view prefix) const;
   std::optional<EventDocument> event(const std::string& name) const;
-  // Names of the instances with a drain.
+  // Names of the instances that have a drain document.
   std::vector<std::string> drained_instances() const;
 
   // The values in force at `path`; for a path that does not exist, those of its
