--- a/src/libs/coordination/cluster_coordinator.cc
+++ b/src/libs/coordination/cluster_coordinator.cc
@@ -173,7 +173,7 @@
   request.records = {JobBoard::Leader({settings_.holder, epoch, false})};
   request.expected_end = dependencies_.board_next_offset();
   request.producer = ProducerPosition{kProducer, epoch, first_sequence_};
-  LogEvent(events::kLeadClaimed,
+  LogEvent(events::kLeadershipClaimed,
            {{"epoch", epoch}, {"expected_end", *request.expected_end}});
   store_.Append(request, settings_.store_timeout,
                 [this, epoch, generation = generation_,
@@ -186,7 +186,7 @@
                                        const AppendResult& result) {
   if (phase_ != Phase::kClaiming) return;
   if (result.outcome == StoreOutcome::kStored) return BeginLeadership(epoch);
-  LogEvent(events::kLeadRefused, result.error, {{"epoch", epoch}});
+  LogEvent(events::kLeadershipClaimRejected, result.error, {{"epoch", epoch}});
   // Another record was appended meanwhile; the next read may show a leader.
   if (result.outcome == StoreOutcome::kConflict) return BeginClaim();
   phase_ = Phase::kFollowing;
@@ -343,7 +343,7 @@
     if (IsTerminal(job->published_state)) published_ended_jobs_.insert(ref.job);
   }
   loaded_progress_.clear();
-  LogEvent(events::kLeadTaken,
+  LogEvent(events::kLeadershipAcquired,
            {{"epoch", epoch_},
             {"board_next", dependencies_.board_next_offset()},
             {"jobs", ledger_.jobs().size()},
@@ -410,7 +410,7 @@
 
 void ClusterCoordinator::StepDown(const std::string& reason) {
   if (phase_ == Phase::kFollowing) return;
-  LogEvent(events::kLeadLost, {{"epoch", epoch_}, {"reason", reason}});
+  LogEvent(events::kLeadershipLost, {{"epoch", epoch_}, {"reason", reason}});
   ++*generation_;
   phase_ = Phase::kFollowing;
   planning_timer_.cancel();
@@ -437,7 +437,7 @@
     if (!*once) return;
     release_timer_.cancel();
     const auto callback = std::exchange(*once, nullptr);
-    LogEvent(events::kLeadReleased, {{"epoch", epoch_}});
+    LogEvent(events::kLeadershipReleased, {{"epoch", epoch_}});
     callback();
   };
   release_timer_.expires_after(timeout);
--- a/src/libs/logging/events/coordination_events.h
+++ b/src/libs/logging/events/coordination_events.h
@@ -6,11 +6,13 @@
 
 namespace thornplank::events {
 
-inline constexpr Event kLeadClaimed{900, "lead-claimed", Severity::kInfo};
-inline constexpr Event kLeadTaken{901, "lead-taken", Severity::kInfo};
-inline constexpr Event kLeadLost{902, "lead-lost", Severity::kWarning};
-inline constexpr Event kLeadReleased{903, "lead-released", Severity::kInfo};
-inline constexpr Event kLeadRefused{904, "lead-refused", Severity::kInfo};
+inline constexpr Event kLeadershipClaimed{900, "lead-claimed", Severity::kInfo};
+inline constexpr Event kLeadershipAcquired{901, "lead-taken", Severity::kInfo};
+inline constexpr Event kLeadershipLost{902, "lead-lost", Severity::kWarning};
+inline constexpr Event kLeadershipReleased{903, "lead-released",
+                                           Severity::kInfo};
+inline constexpr Event kLeadershipClaimRejected{904, "lead-refused",
+                                                Severity::kInfo};
 inline constexpr Event kStoreLost{905, "store-lost", Severity::kWarning};
 inline constexpr Event kStoreBack{906, "store-back", Severity::kInfo};
 inline constexpr Event kConfigurationInForce{907, "configuration-in-force",
--- a/src/libs/logging/log_story.cc
+++ b/src/libs/logging/log_story.cc
@@ -13,8 +13,8 @@
 
 // What may hold up any job, whichever entry it happens at.
 constexpr std::array<const Event*, 4> kOfEveryone = {
-    &events::kLeadTaken, &events::kLeadLost, &events::kLeadReleased,
-    &events::kStoreLost};
+    &events::kLeadershipAcquired, &events::kLeadershipLost,
+    &events::kLeadershipReleased, &events::kStoreLost};
 
 // What matters at the entries that had to do with the id.
 constexpr std::array<const Event*, 5> kOfInvolved = {
--- a/src/libs/logging/log_summary.cc
+++ b/src/libs/logging/log_summary.cc
@@ -11,10 +11,12 @@
 namespace {
 
 constexpr std::array<const Event*, 12> kWanted = {
-    &events::kLeadTaken,   &events::kLeadLost,     &events::kLeadReleased,
-    &events::kJobAccepted, &events::kJobCancelled, &events::kJobState,
-    &events::kTasksPlaced, &events::kStopOrdered,  &events::kRunEnded,
-    &events::kStepWaits,   &events::kJobRefused,   &events::kJobUndecided};
+    &events::kLeadershipAcquired, &events::kLeadershipLost,
+    &events::kLeadershipReleased, &events::kJobAccepted,
+    &events::kJobCancelled,       &events::kJobState,
+    &events::kTasksPlaced,        &events::kStopOrdered,
+    &events::kRunEnded,           &events::kStepWaits,
+    &events::kJobRefused,         &events::kJobUndecided};
 
 // Causes that no line names.
 constexpr char kNotDecided[] = "not yet decided";
@@ -42,9 +44,10 @@
  public:
   void Apply(const LogLine& line) {
     const int event = line.event;
-    if (event == events::kLeadTaken.number) return OnLead(line.time, true);
-    if (event == events::kLeadLost.number ||
-        event == events::kLeadReleased.number) {
+    if (event == events::kLeadershipAcquired.number)
+      return OnLead(line.time, true);
+    if (event == events::kLeadershipLost.number ||
+        event == events::kLeadershipReleased.number) {
       return OnLead(line.time, false);
     }
     if (event == events::kStepWaits.number) return OnStepWaits(line);
--- a/tests/integration/support/hosted_cluster.cc
+++ b/tests/integration/support/hosted_cluster.cc
@@ -285,7 +285,7 @@
   for (int i = 0; i < settings_.entries; ++i) {
     auto& process = entries_[static_cast<size_t>(i)];
     if (process == nullptr || !process->running()) continue;
-    for (const Json& event : Events(i, events::kLeadTaken.number)) {
+    for (const Json& event : Events(i, events::kLeadershipAcquired.number)) {
       const int64_t taken = IntField(event, "epoch").value_or(0);
       if (taken <= epoch) continue;
       epoch = taken;
