--- a/src/libs/logging/events/routing_events.h
+++ b/src/libs/logging/events/routing_events.h
@@ -11,10 +11,11 @@
 inline constexpr Event kRequestRetried{302, "request-retried", Severity::kInfo};
 inline constexpr Event kRequestUnknown{303, "request-unknown",
                                        Severity::kWarning};
-inline constexpr Event kExecutorTakenOut{304, "executor-taken-out",
-                                         Severity::kWarning};
+inline constexpr Event kExecutorEjected{304, "executor-taken-out",
+                                        Severity::kWarning};
 inline constexpr Event kExecutorProbed{305, "executor-probed", Severity::kInfo};
-inline constexpr Event kExecutorBack{306, "executor-back", Severity::kInfo};
+inline constexpr Event kExecutorReinstated{306, "executor-back",
+                                           Severity::kInfo};
 inline constexpr Event kExecutorLeaving{307, "executor-leaving",
                                         Severity::kInfo};
 inline constexpr Event kAnswerDropped{308, "answer-dropped",
--- a/src/libs/requests/routing_log.cc
+++ b/src/libs/requests/routing_log.cc
@@ -42,7 +42,7 @@
               {"reason", "its request already has an outcome"}});
   }
   void operator()(const ExecutorEjected& action) const {
-    LogEvent(events::kExecutorTakenOut,
+    LogEvent(events::kExecutorEjected,
              {{"executor", action.executor}, {"reason", action.reason}});
   }
   void operator()(const ProbeExecutor& action) const {
@@ -50,7 +50,7 @@
              {{"executor", action.executor}, {"reason", "due for a probe"}});
   }
   void operator()(const ExecutorReinstated& action) const {
-    LogEvent(events::kExecutorBack,
+    LogEvent(events::kExecutorReinstated,
              {{"executor", action.executor}, {"reason", action.reason}});
   }
   void operator()(const ExecutorLeaving& action) const {
