--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -115,7 +115,8 @@
 // affects all workers.
 void WorkerFleet::LogBirthFault(const std::string& id, const BirthMark& birth) {
   if (birth.fault.empty() || !logged_faults_.insert(birth.fault).second) return;
-  LogEvent(events::kBirthUnreadable, {{"worker", id}, {"reason", birth.fault}});
+  LogEvent(events::kIncarnationStartUnreadable,
+           {{"worker", id}, {"reason", birth.fault}});
 }
 
 void WorkerFleet::LogCapacity(const WorkerTracker& worker,
--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -387,7 +387,7 @@
 }
 
 void Coordinator::CarryOne(const LiftThrottle& action, Time) {
-  LogEvent(events::kGangLifted,
+  LogEvent(events::kGangThrottleLifted,
            {{"job", action.job}, {"gang", action.gang_id}});
   executor_.Lift(action.gang_id);
 }
@@ -440,7 +440,7 @@
 void Coordinator::CarryOne(const WorkerQuarantineChanged& action, Time) {
   static constexpr const char* kVerdicts[] = {"quarantined", "probed",
                                               "released"};
-  LogEvent(events::kWorkerJudged,
+  LogEvent(events::kWorkerQuarantineChanged,
            {{"worker", action.worker},
             {"verdict", kVerdicts[static_cast<int>(action.verdict)]},
             {"reason", action.reason}});
--- a/src/libs/jobs/urgent_jobs.cc
+++ b/src/libs/jobs/urgent_jobs.cc
@@ -41,7 +41,7 @@
 }
 
 void LogHeld(const JobRequest& job, const std::string& from) {
-  LogEvent(events::kUrgentHeld,
+  LogEvent(events::kUrgentJobHeld,
            {{"job", job.spec.id},
             {"from", from},
             {"reason",
--- a/src/libs/logging/events/coordination_events.h
+++ b/src/libs/logging/events/coordination_events.h
@@ -51,7 +51,8 @@
 inline constexpr Event kAdviceMissing{930, "advice-missing",
                                       Severity::kWarning};
 inline constexpr Event kStartRepeated{935, "start-repeated", Severity::kInfo};
-inline constexpr Event kStoreOutlook{936, "store-outlook", Severity::kInfo};
+inline constexpr Event kStoreStatusChanged{936, "store-outlook",
+                                           Severity::kInfo};
 inline constexpr Event kDomainClosed{937, "domain-closed", Severity::kWarning};
 inline constexpr Event kDomainOpened{938, "domain-opened", Severity::kInfo};
 inline constexpr Event kTaskGivenUp{939, "task-given-up", Severity::kWarning};
@@ -60,8 +61,8 @@
 
 inline constexpr Event kWorkerRestarted{942, "worker-restarted",
                                         Severity::kWarning};
-inline constexpr Event kBirthUnreadable{943, "birth-unreadable",
-                                        Severity::kWarning};
+inline constexpr Event kIncarnationStartUnreadable{943, "birth-unreadable",
+                                                   Severity::kWarning};
 
 }  // namespace thornplank::events
 
--- a/src/libs/logging/events/jobs_events.h
+++ b/src/libs/logging/events/jobs_events.h
@@ -10,7 +10,7 @@
 inline constexpr Event kTakeoverDone{501, "takeover-done", Severity::kInfo};
 inline constexpr Event kSteppedDown{502, "stepped-down", Severity::kWarning};
 inline constexpr Event kGangPlaced{503, "gang-placed", Severity::kInfo};
-inline constexpr Event kGangLifted{504, "gang-lifted", Severity::kInfo};
+inline constexpr Event kGangThrottleLifted{504, "gang-lifted", Severity::kInfo};
 inline constexpr Event kGangCheckpointed{505, "gang-checkpointed",
                                          Severity::kInfo};
 inline constexpr Event kGangStopped{506, "gang-stopped", Severity::kInfo};
@@ -18,7 +18,8 @@
 inline constexpr Event kJobPhaseChanged{508, "job-phase-changed",
                                         Severity::kInfo};
 inline constexpr Event kShortfall{509, "shortfall", Severity::kWarning};
-inline constexpr Event kWorkerJudged{510, "worker-judged", Severity::kWarning};
+inline constexpr Event kWorkerQuarantineChanged{510, "worker-judged",
+                                                Severity::kWarning};
 inline constexpr Event kWorkerLost{511, "worker-lost", Severity::kWarning};
 inline constexpr Event kWorkerBack{512, "worker-back", Severity::kInfo};
 inline constexpr Event kTokenRefused{513, "token-refused", Severity::kWarning};
@@ -27,7 +28,7 @@
                                             Severity::kInfo};
 inline constexpr Event kJobStreamGap{516, "job-stream-gap", Severity::kError};
 inline constexpr Event kPauseNoticed{517, "pause-noticed", Severity::kWarning};
-inline constexpr Event kUrgentHeld{518, "urgent-held", Severity::kWarning};
+inline constexpr Event kUrgentJobHeld{518, "urgent-held", Severity::kWarning};
 inline constexpr Event kJobRefused{519, "job-refused", Severity::kInfo};
 inline constexpr Event kJobRecordLost{520, "job-record-lost", Severity::kError};
 
--- a/src/libs/logging/events/network_events.h
+++ b/src/libs/logging/events/network_events.h
@@ -12,8 +12,8 @@
 inline constexpr Event kBufferLimitReached{802, "buffer-limit-reached",
                                            Severity::kWarning};
 inline constexpr Event kHttpDrained{803, "http-drained", Severity::kInfo};
-inline constexpr Event kAnswerCrossed{804, "answer-crossed",
-                                      Severity::kWarning};
+inline constexpr Event kAnswerMismatched{804, "answer-crossed",
+                                         Severity::kWarning};
 inline constexpr Event kStrayBytes{805, "stray-bytes", Severity::kWarning};
 inline constexpr Event kPeerSilent{806, "peer-silent", Severity::kWarning};
 inline constexpr Event kPeerAnswering{807, "peer-answering", Severity::kInfo};
--- a/src/libs/net/client_connection.cc
+++ b/src/libs/net/client_connection.cc
@@ -184,7 +184,7 @@
   HttpResponse response = parser_->Take();
   if (!match_header_.empty() &&
       response.headers.Value(match_header_) != match_value_) {
-    LogEvent(events::kAnswerCrossed,
+    LogEvent(events::kAnswerMismatched,
              {{"peer", peer_}, {"header", match_header_}});
     return Fail(SendProgress::kUnknown, "read answer", "crossed answer");
   }
--- a/src/libs/reachability/reachability_poller.cc
+++ b/src/libs/reachability/reachability_poller.cc
@@ -77,7 +77,8 @@
   const StoreStatus status = reachability_.status(Now());
   if (status == logged_status_) return;
   logged_status_ = status;
-  LogEvent(events::kStoreOutlook, {{"belief", std::string(ToText(status))}});
+  LogEvent(events::kStoreStatusChanged,
+           {{"belief", std::string(ToText(status))}});
 }
 
 }  // namespace thornplank
