--- a/src/app/thornplankctl/log_commands.cc
+++ b/src/app/thornplankctl/log_commands.cc
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "command.h"
-#include "logging/log_story.h"
 #include "logging/log_summary.h"
+#include "logging/log_timeline.h"
 
 namespace thornplank {
 namespace {
@@ -16,9 +16,9 @@
   return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
-void PrintLine(const StoryLine& line, WallTime begin) {
+void PrintLine(const TimelineEvent& line, WallTime begin) {
   constexpr int kTimeWidth = 8;
-  std::cout << (line.own ? "  " : "~ ") << std::setw(kTimeWidth)
+  std::cout << (line.names_id ? "  " : "~ ") << std::setw(kTimeWidth)
             << ToMilliseconds(line.time - begin) << " ms  " << line.instance
             << "  " << line.event << " " << line.name;
   for (const auto& [field, value] : line.fields.items()) {
@@ -27,7 +27,7 @@
   std::cout << "\n";
 }
 
-void PrintGap(const std::vector<StoryLine>& lines, const StoryGap& gap) {
+void PrintGap(const std::vector<TimelineEvent>& lines, const TimelineGap& gap) {
   std::cout << "\nlongest wait: " << ToMilliseconds(gap.length) << " ms, from "
             << lines[gap.from].name << " to " << lines[gap.to].name << "\n";
   for (size_t i = gap.from + 1; i < gap.to; ++i) {
@@ -61,18 +61,18 @@
 
 int Explain(const CommandContext& context) {
   const std::vector<std::string>& arguments = context.arguments;
-  LogStory story(arguments[0]);
-  if (!ReadFiles(arguments, 1, &story)) return kExitUsage;
-  const std::vector<StoryLine> lines = story.Lines();
+  LogTimeline timeline(arguments[0]);
+  if (!ReadFiles(arguments, 1, &timeline)) return kExitUsage;
+  const std::vector<TimelineEvent> lines = timeline.Events();
   if (lines.empty()) {
     std::cerr << "thornplankctl: no line names " << arguments[0]
               << ": no entry whose log is here took or refused it\n";
     return kExitRefused;
   }
-  for (const StoryLine& line : lines) {
+  for (const TimelineEvent& line : lines) {
     PrintLine(line, lines.front().time);
   }
-  const std::optional<StoryGap> gap = LogStory::LongestGap(lines);
+  const std::optional<TimelineGap> gap = LogTimeline::LongestGap(lines);
   if (gap) PrintGap(lines, *gap);
   return kExitOk;
 }
--- a/src/libs/logging/log_story.cc
+++ b/src/libs/logging/log_timeline.cc
@@ -1,5 +1,5 @@
 // Selection and order of lines.
-#include "logging/log_story.h"
+#include "logging/log_timeline.h"
 
 #include <algorithm>
 #include <array>
@@ -32,17 +32,17 @@
                      [number](const Event* e) { return e->number == number; });
 }
 
-bool IsBefore(const StoryLine& a, const StoryLine& b) {
+bool IsBefore(const TimelineEvent& a, const TimelineEvent& b) {
   return a.time < b.time;
 }
 
 }  // namespace
 
-bool LogStory::Add(std::string_view text) {
+bool LogTimeline::Add(std::string_view text) {
   std::optional<LogLine> read = ReadLogLine(text);
   if (!read) return false;
   const bool own = text.find(id_) != std::string_view::npos;
-  StoryLine line{std::move(*read), own};
+  TimelineEvent line{std::move(*read), own};
   if (own) {
     NoteWorkers(line.fields);
     instances_.insert(line.instance);
@@ -56,7 +56,7 @@
   return true;
 }
 
-void LogStory::NoteWorkers(const Json& fields) {
+void LogTimeline::NoteWorkers(const Json& fields) {
   if (const auto worker = StringField(fields, "worker")) {
     workers_.insert(*worker);
   }
@@ -69,7 +69,7 @@
   }
 }
 
-bool LogStory::Surrounds(const StoryLine& line) const {
+bool LogTimeline::Surrounds(const TimelineEvent& line) const {
   if (IsOneOf(line.event, kOfEveryone)) return true;
   if (IsOneOf(line.event, kOfInvolved)) {
     return instances_.count(line.instance) > 0;
@@ -78,13 +78,13 @@
   return worker && workers_.count(*worker) > 0;
 }
 
-std::vector<StoryLine> LogStory::Lines() const {
-  std::vector<StoryLine> lines = own_;
+std::vector<TimelineEvent> LogTimeline::Events() const {
+  std::vector<TimelineEvent> lines = own_;
   if (lines.empty()) return lines;
   std::stable_sort(lines.begin(), lines.end(), IsBefore);
   const WallTime first = lines.front().time;
   const WallTime last = lines.back().time;
-  for (const StoryLine& line : others_) {
+  for (const TimelineEvent& line : others_) {
     if (line.time < first || line.time > last || !Surrounds(line)) continue;
     lines.push_back(line);
   }
@@ -92,17 +92,17 @@
   return lines;
 }
 
-std::optional<StoryGap> LogStory::LongestGap(
-    const std::vector<StoryLine>& lines) {
-  std::optional<StoryGap> longest;
+std::optional<TimelineGap> LogTimeline::LongestGap(
+    const std::vector<TimelineEvent>& lines) {
+  std::optional<TimelineGap> longest;
   std::optional<size_t> last;
   for (size_t i = 0; i < lines.size(); ++i) {
-    if (!lines[i].own) continue;
+    if (!lines[i].names_id) continue;
     const std::optional<size_t> before = std::exchange(last, i);
     if (!before) continue;
     const Duration length = lines[i].time - lines[*before].time;
     if (longest && length <= longest->length) continue;
-    longest = StoryGap{length, *before, i};
+    longest = TimelineGap{length, *before, i};
   }
   return longest;
 }
--- a/tests/auto/logging/tst_log_story.cc
+++ b/tests/auto/logging/tst_log_timeline.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "logging/log_story.h"
+#include "logging/log_timeline.h"
 
 namespace thornplank {
 namespace {
@@ -21,9 +21,9 @@
 
 std::string Job() { return std::string(R"("job":")") + kId + "\""; }
 
-std::vector<int> Events(const LogStory& story) {
+std::vector<int> Events(const LogTimeline& timeline) {
   std::vector<int> events;
-  for (const StoryLine& line : story.Lines()) {
+  for (const TimelineEvent& line : timeline.Events()) {
     events.push_back(line.event);
   }
   return events;
@@ -54,11 +54,11 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    LogStory story(kId);
-    CHECK(story.Add(row.line));
-    CHECK(story.Add(Line(300, 914, Job())));
-    CHECK(story.Add(Line(100, 910, Job())));
-    CHECK(story.Add(Line(200, 915, Job() + R"(,"tasks":[[0,"w1"]])")));
+    LogTimeline timeline(kId);
+    CHECK(timeline.Add(row.line));
+    CHECK(timeline.Add(Line(300, 914, Job())));
+    CHECK(timeline.Add(Line(100, 910, Job())));
+    CHECK(timeline.Add(Line(200, 915, Job() + R"(,"tasks":[[0,"w1"]])")));
     const std::vector<int> events = Events(story);
     CHECK(events.size() == (row.told ? 4 : 3));
     CHECK(events.front() == 910);
@@ -67,27 +67,27 @@
 }
 
 TEST_CASE("words before the line are skipped, other text is not a line") {
-  LogStory story(kId);
-  CHECK(story.Add("  0.93 edge-1 " + Line(100, 910, Job())));
-  CHECK_FALSE(story.Add("no line at all"));
-  CHECK_FALSE(story.Add("{\"time_ms\":1"));
-  CHECK_FALSE(story.Add("{\"event\":910}"));
-  CHECK(story.Lines().size() == 1);
+  LogTimeline timeline(kId);
+  CHECK(timeline.Add("  0.93 edge-1 " + Line(100, 910, Job())));
+  CHECK_FALSE(timeline.Add("no line at all"));
+  CHECK_FALSE(timeline.Add("{\"time_ms\":1"));
+  CHECK_FALSE(timeline.Add("{\"event\":910}"));
+  CHECK(timeline.Events().size() == 1);
 }
 
 TEST_CASE("the longest wait lies between two lines of the id itself") {
-  LogStory story(kId);
-  story.Add(Line(100, 910, Job()));
-  story.Add(Line(150, 915, Job()));
-  story.Add(Line(900, 901, ""));
-  story.Add(Line(1200, 917, Job()));
-  const std::vector<StoryLine> lines = story.Lines();
-  const std::optional<StoryGap> gap = LogStory::LongestGap(lines);
+  LogTimeline timeline(kId);
+  timeline.Add(Line(100, 910, Job()));
+  timeline.Add(Line(150, 915, Job()));
+  timeline.Add(Line(900, 901, ""));
+  timeline.Add(Line(1200, 917, Job()));
+  const std::vector<TimelineEvent> lines = timeline.Events();
+  const std::optional<TimelineGap> gap = LogTimeline::LongestGap(lines);
   REQUIRE(gap.has_value());
   CHECK(gap->length == std::chrono::milliseconds(1050));
   CHECK(lines[gap->from].event == 915);
   CHECK(lines[gap->to].event == 917);
-  CHECK_FALSE(LogStory::LongestGap({lines.front()}).has_value());
+  CHECK_FALSE(LogTimeline::LongestGap({lines.front()}).has_value());
 }
 
 }  // namespace
