--- a/src/libs/coordination/cluster_gauges.cc
+++ b/src/libs/coordination/cluster_gauges.cc
@@ -62,9 +62,9 @@
   return static_cast<double>(held);
 }
 
-std::vector<MetricsRegistry::GaugeRow> ToRows(
+std::vector<MetricsRegistry::GaugeSample> ToRows(
     const std::map<MetricLabels, double>& counts) {
-  std::vector<MetricsRegistry::GaugeRow> rows;
+  std::vector<MetricsRegistry::GaugeSample> rows;
   rows.reserve(counts.size());
   for (const auto& [labels, count] : counts) {
     rows.push_back({labels, count});
@@ -72,7 +72,7 @@
   return rows;
 }
 
-std::vector<MetricsRegistry::GaugeRow> WorkersByBelief(
+std::vector<MetricsRegistry::GaugeSample> WorkersByBelief(
     const ClusterCoordinator& coordinator) {
   if (coordinator.fleet() == nullptr) return {};
   const Time now = std::chrono::steady_clock::now();
@@ -86,7 +86,7 @@
   return ToRows(counts);
 }
 
-std::vector<MetricsRegistry::GaugeRow> HeldByStage(
+std::vector<MetricsRegistry::GaugeSample> HeldByStage(
     const ClusterCoordinator& coordinator) {
   if (coordinator.fleet() == nullptr) return {};
   std::map<MetricLabels, double> counts;
@@ -102,7 +102,7 @@
   return ToRows(counts);
 }
 
-std::vector<MetricsRegistry::GaugeRow> RunsByDomain(
+std::vector<MetricsRegistry::GaugeSample> RunsByDomain(
     const ClusterCoordinator& coordinator) {
   if (coordinator.fleet() == nullptr) return {};
   std::map<MetricLabels, double> counts;
--- a/src/libs/metrics/metrics_registry.cc
+++ b/src/libs/metrics/metrics_registry.cc
@@ -241,7 +241,7 @@
     std::map<MetricLabels, std::unique_ptr<Summary>> summaries;
     std::map<MetricLabels, std::unique_ptr<Histogram>> histograms;
     std::map<MetricLabels, std::function<double()>> gauges;
-    std::function<std::vector<GaugeRow>()> gauge_rows;
+    std::function<std::vector<GaugeSample>()> gauge_rows;
   };
 
   Family& family(const std::string& name, const std::string& help,
@@ -287,9 +287,9 @@
   impl_->family(name, help, "gauge").gauges[labels] = std::move(read);
 }
 
-void MetricsRegistry::AddGauges(const std::string& name,
-                                const std::string& help,
-                                std::function<std::vector<GaugeRow>()> read) {
+void MetricsRegistry::AddGauges(
+    const std::string& name, const std::string& help,
+    std::function<std::vector<GaugeSample>()> read) {
   const std::lock_guard<std::mutex> lock(impl_->mutex);
   impl_->family(name, help, "gauge").gauge_rows = std::move(read);
 }
@@ -324,7 +324,7 @@
       text << name << LabelText(labels) << ' ' << NumberText(read()) << '\n';
     }
     if (family.gauge_rows) {
-      for (const GaugeRow& row : family.gauge_rows()) {
+      for (const GaugeSample& row : family.gauge_rows()) {
         text << name << LabelText(row.labels) << ' ' << NumberText(row.value)
              << '\n';
       }
--- a/src/libs/metrics/metrics_registry.h
+++ b/src/libs/metrics/metrics_registry.h
@@ -89,12 +89,12 @@
                 const MetricLabels& labels, std::function<double()> read);
 
   // Gauges whose labels are known only when the text is made.
-  struct GaugeRow {
+  struct GaugeSample {
     MetricLabels labels;
     double value = 0;
   };
   void AddGauges(const std::string& name, const std::string& help,
-                 std::function<std::vector<GaugeRow>()> read);
+                 std::function<std::vector<GaugeSample>()> read);
 
   // A counter that is kept elsewhere, read when the text is made.
   void AddCounter(const std::string& name, const std::string& help,
--- a/tests/auto/metrics/tst_metrics_registry.cc
+++ b/tests/auto/metrics/tst_metrics_registry.cc
@@ -35,7 +35,7 @@
 
 TEST_CASE("gauges whose labels change are made anew for each text") {
   MetricsRegistry registry;
-  std::vector<MetricsRegistry::GaugeRow> rows;
+  std::vector<MetricsRegistry::GaugeSample> rows;
   registry.AddGauges("workers", "Workers.", [&rows] { return rows; });
   CHECK(registry.ToText() == "# HELP workers Workers.\n# TYPE workers gauge\n");
   rows = {{{{"belief", "silent"}}, 2}, {{{"belief", "usable"}}, 7}};
