--- a/src/libs/coordination/metered_record_store.cc
+++ b/src/libs/coordination/metered_record_store.cc
@@ -52,7 +52,7 @@
   store_.Append(request, timeout,
                 [this, start_time = Now(),
                  done = std::move(done)](const AppendResult& result) {
-                  meter_.Note("append", ToLabel(result.outcome), start_time);
+                  meter_.Record("append", ToLabel(result.outcome), start_time);
                   done(result);
                 });
 }
@@ -66,7 +66,7 @@
   store_.Read(partition, from, wait, timeout,
               [this, call, start_time = Now(),
                done = std::move(done)](const ReadResult& result) {
-                meter_.Note(call, ToLabel(result.outcome), start_time);
+                meter_.Record(call, ToLabel(result.outcome), start_time);
                 done(result);
               });
 }
@@ -77,8 +77,8 @@
   store_.ReadNewest(partition, after_key, timeout,
                     [this, start_time = Now(),
                      done = std::move(done)](const NewestPage& page) {
-                      meter_.Note("newest", page.ok ? "read" : "failed",
-                                  start_time);
+                      meter_.Record("newest", page.ok ? "read" : "failed",
+                                    start_time);
                       done(page);
                     });
 }
--- a/src/libs/coordination/metered_worker_calls.cc
+++ b/src/libs/coordination/metered_worker_calls.cc
@@ -57,7 +57,7 @@
   calls_.Start(worker, order, timeout,
                [this, start_time = Now(),
                 done = std::move(done)](const StartAnswer& answer) {
-                 meter_.Note("start", ToLabel(answer.outcome), start_time);
+                 meter_.Record("start", ToLabel(answer.outcome), start_time);
                  done(answer);
                });
 }
@@ -68,7 +68,7 @@
   calls_.Stop(worker, order, timeout,
               [this, start_time = Now(), done = std::move(done)](
                   CallOutcome outcome, const Error& error) {
-                meter_.Note("stop", ToLabel(outcome), start_time);
+                meter_.Record("stop", ToLabel(outcome), start_time);
                 done(outcome, error);
               });
 }
@@ -79,7 +79,7 @@
   calls_.SetPace(worker, order, timeout,
                  [this, start_time = Now(), done = std::move(done)](
                      CallOutcome outcome, const Error& error) {
-                   meter_.Note("pace", ToLabel(outcome), start_time);
+                   meter_.Record("pace", ToLabel(outcome), start_time);
                    done(outcome, error);
                  });
 }
@@ -93,7 +93,7 @@
   calls_.Status(worker, query, timeout,
                 [this, call, start_time = Now(),
                  done = std::move(done)](const StatusAnswer& answer) {
-                  meter_.Note(call, ToLabel(answer.outcome), start_time);
+                  meter_.Record(call, ToLabel(answer.outcome), start_time);
                   done(answer);
                 });
 }
--- a/src/libs/metrics/call_meter.cc
+++ b/src/libs/metrics/call_meter.cc
@@ -7,7 +7,7 @@
                      MetricsRegistry& metrics)
     : name_(std::move(name)), help_(std::move(help)), metrics_(metrics) {}
 
-void CallMeter::Note(const char* call, const char* outcome, Time begun) {
+void CallMeter::Record(const char* call, const char* outcome, Time begun) {
   Counter*& counter = counters_[{call, outcome}];
   if (counter == nullptr) {
     counter = &metrics_.counter(name_ + "_calls_total", help_,
--- a/src/libs/metrics/call_meter.h
+++ b/src/libs/metrics/call_meter.h
@@ -19,7 +19,7 @@
   CallMeter(std::string name, std::string help, MetricsRegistry& metrics);
 
   // A call that was begun at `begun` has its answer. Both texts are literals.
-  void Note(const char* call, const char* outcome, Time begun);
+  void Record(const char* call, const char* outcome, Time begun);
 
  private:
   const std::string name_;
