--- a/src/app/thornplank_entry/main.cc
+++ b/src/app/thornplank_entry/main.cc
@@ -54,8 +54,8 @@
 
 int RunLogged(const EntrySettings& settings) {
   Error error;
-  if (!OpenEventLog(settings.name, settings.log.level, LogWriter::kOwnThread,
-                    settings.log.file, &error)) {
+  if (!OpenEventLog(settings.name, settings.log.level,
+                    LogWriter::kBackgroundThread, settings.log.file, &error)) {
     std::cerr << FLAGS_settings << ": " << error.ToString() << "\n";
     return kExitUsage;
   }
--- a/src/app/thornplank_hosted/main.cc
+++ b/src/app/thornplank_hosted/main.cc
@@ -75,7 +75,7 @@
 
 int RunLogged(const HostedSettings& settings) {
   // Standard output is always there.
-  OpenEventLog(settings.name, settings.log_level, LogWriter::kCaller, "",
+  OpenEventLog(settings.name, settings.log_level, LogWriter::kCallingThread, "",
                nullptr);
   const int code = RunEntry(settings);
   CloseEventLog();
--- a/src/libs/logging/event_log.cc
+++ b/src/libs/logging/event_log.cc
@@ -95,11 +95,11 @@
   OpenLog(std::string_view instance, Severity minimum, LogWriter writer,
           int descriptor)
       : instance_(instance),
-        output_(descriptor, writer == LogWriter::kOwnThread
+        output_(descriptor, writer == LogWriter::kBackgroundThread
                                 ? kReaderPatience
                                 : Milliseconds::zero()) {
     const auto sink = std::make_shared<OutputSink>(output_);
-    if (writer == LogWriter::kOwnThread) {
+    if (writer == LogWriter::kBackgroundThread) {
       spdlog::init_thread_pool(kQueuedLines, 1);
       logger_ = std::make_shared<spdlog::async_logger>(
           kLoggerName, sink, spdlog::thread_pool(),
--- a/src/libs/logging/event_log.h
+++ b/src/libs/logging/event_log.h
@@ -36,10 +36,10 @@
 enum class LogWriter {
   // One of its own, behind a bounded queue that drops the oldest line rather
   // than block a caller: for processes with a pool of workers.
-  kOwnThread,
+  kBackgroundThread,
   // The one that logs, as far as there is room without waiting: saves a
   // process with one thread the hand-over, 6 % of a busy leader's time.
-  kCaller,
+  kCallingThread,
 };
 
 // Opens the log on standard output (or on the file `path`), dropping events
--- a/tests/auto/coordination/tst_stream_reachability.cc
+++ b/tests/auto/coordination/tst_stream_reachability.cc
@@ -17,8 +17,8 @@
   constexpr char kPath[] = "tst_stream_reachability.log";
   std::remove(kPath);
   Error error;
-  REQUIRE(
-      OpenEventLog("e1", Severity::kInfo, LogWriter::kCaller, kPath, &error));
+  REQUIRE(OpenEventLog("e1", Severity::kInfo, LogWriter::kCallingThread, kPath,
+                       &error));
   StreamReachability contact("directory");
   contact.OnReadSucceeded(1);
   for (int i = 0; i < 3; ++i) {
--- a/tests/auto/logging/tst_event_log.cc
+++ b/tests/auto/logging/tst_event_log.cc
@@ -27,7 +27,8 @@
 }
 
 TEST_CASE("each line is one object, whoever writes it and whatever it holds") {
-  for (const LogWriter writer : {LogWriter::kOwnThread, LogWriter::kCaller}) {
+  for (const LogWriter writer :
+       {LogWriter::kBackgroundThread, LogWriter::kCallingThread}) {
     std::remove(kPath);
     Error error;
     REQUIRE(OpenEventLog("e\"1", Severity::kInfo, writer, kPath, &error));
@@ -56,8 +57,8 @@
   constexpr int kLines = 5000;
   std::remove(kPath);
   Error error;
-  REQUIRE(
-      OpenEventLog("e1", Severity::kInfo, LogWriter::kCaller, kPath, &error));
+  REQUIRE(OpenEventLog("e1", Severity::kInfo, LogWriter::kCallingThread, kPath,
+                       &error));
   for (int i = 0; i < kLines; ++i) {
     LogEvent(events::kProcessReady, {});
   }
@@ -78,7 +79,7 @@
 
 TEST_CASE("a file that cannot be opened is told, and logging does nothing") {
   Error error;
-  CHECK_FALSE(OpenEventLog("e1", Severity::kInfo, LogWriter::kCaller,
+  CHECK_FALSE(OpenEventLog("e1", Severity::kInfo, LogWriter::kCallingThread,
                            "no/such/folder/log", &error));
   CHECK(error.peer == "no/such/folder/log");
   CHECK_FALSE(error.reason.empty());
