--- a/src/app/thornplankctl/log_commands.cc
+++ b/src/app/thornplankctl/log_commands.cc
@@ -98,24 +98,24 @@
     jobs.push_back({{"job", job.job},
                     {"priority", job.priority ? Json(*job.priority) : Json()},
                     {"state", job.state},
-                    {"lasted_ms", ToMilliseconds(job.lasted)},
+                    {"lasted_ms", ToMilliseconds(job.duration)},
                     {"waits_ms", ToJson(job.waits)}});
   }
   Json discarded = Json::array();
-  for (const DiscardedRuns& runs : report.discarded) {
+  for (const DiscardedRuns& runs : report.discarded_runs) {
     discarded.push_back(
         {{"cause", runs.cause},
          {"priority", runs.priority},
          {"runs", runs.runs},
-         {"accelerator_ms", ToMilliseconds(runs.accelerator_time)},
-         {"kept_accelerator_ms", ToMilliseconds(runs.kept)}});
+         {"accelerator_ms", ToMilliseconds(runs.lost_accelerator_time)},
+         {"kept_accelerator_ms", ToMilliseconds(runs.kept_accelerator_time)}});
   }
   Json late = Json::array();
-  for (const LateByCause& jobs_late : report.late) {
+  for (const LateJobsByCause& jobs_late : report.late_jobs) {
     late.push_back({{"cause", jobs_late.cause},
                     {"priority", jobs_late.priority},
                     {"jobs", jobs_late.jobs},
-                    {"late_ms", ToMilliseconds(jobs_late.late)},
+                    {"late_ms", ToMilliseconds(jobs_late.total_lateness)},
                     {"accounts", jobs_late.accounts},
                     {"entries", jobs_late.entries}});
   }
@@ -153,21 +153,21 @@
 
 void PrintLate(const LogSummaryReport& report) {
   std::cout << "\nlate jobs  by s, together  priority  first cause\n";
-  for (const LateByCause& jobs : report.late) {
+  for (const LateJobsByCause& jobs : report.late_jobs) {
     std::cout << std::setw(9) << jobs.jobs << std::setw(16)
-              << ToSeconds(jobs.late) << std::setw(10) << jobs.priority << "  "
-              << jobs.cause << "\n";
+              << ToSeconds(jobs.total_lateness) << std::setw(10)
+              << jobs.priority << "  " << jobs.cause << "\n";
   }
 }
 
 void PrintDiscarded(const LogSummaryReport& report) {
   std::cout
       << "\nthrown away, accelerator s       kept   runs  priority  cause\n";
-  for (const DiscardedRuns& runs : report.discarded) {
-    std::cout << std::setw(26) << ToSeconds(runs.accelerator_time)
-              << std::setw(11) << ToSeconds(runs.kept) << std::setw(7)
-              << runs.runs << std::setw(10) << runs.priority << "  "
-              << runs.cause << "\n";
+  for (const DiscardedRuns& runs : report.discarded_runs) {
+    std::cout << std::setw(26) << ToSeconds(runs.lost_accelerator_time)
+              << std::setw(11) << ToSeconds(runs.kept_accelerator_time)
+              << std::setw(7) << runs.runs << std::setw(10) << runs.priority
+              << "  " << runs.cause << "\n";
   }
 }
 
@@ -178,7 +178,7 @@
     if (job.completed() && ++completed > kSlowestTold) break;
     std::cout << job.job << "  "
               << (job.state.empty() ? "state not known" : job.state)
-              << "  lasted " << ToSeconds(job.lasted) << " s";
+              << "  lasted " << ToSeconds(job.duration) << " s";
     for (const auto& [cause, length] : job.waits) {
       std::cout << "; " << ToSeconds(length) << " s " << cause;
     }
--- a/src/libs/logging/late_jobs.cc
+++ b/src/libs/logging/late_jobs.cc
@@ -67,11 +67,11 @@
   const Duration late = time - *story.first_try - story.objective;
   if (late <= Duration::zero()) return;
   const std::string cause = FirstCause(story);
-  LateByCause& sum = causes_[{priority, cause}];
+  LateJobsByCause& sum = causes_[{priority, cause}];
   sum.cause = cause;
   sum.priority = priority;
   ++sum.jobs;
-  sum.late += late;
+  sum.total_lateness += late;
   ++sum.accounts[story.account];
   ++sum.entries[story.entry];
 }
@@ -84,13 +84,13 @@
   return kRanLong;
 }
 
-std::vector<LateByCause> LateJobs::Report() const {
-  std::vector<LateByCause> report;
+std::vector<LateJobsByCause> LateJobs::Report() const {
+  std::vector<LateJobsByCause> report;
   for (const auto& [key, sum] : causes_) {
     report.push_back(sum);
   }
   std::stable_sort(report.begin(), report.end(),
-                   [](const LateByCause& a, const LateByCause& b) {
+                   [](const LateJobsByCause& a, const LateJobsByCause& b) {
                      return a.jobs > b.jobs;
                    });
   return report;
--- a/src/libs/logging/late_jobs.h
+++ b/src/libs/logging/late_jobs.h
@@ -14,12 +14,12 @@
 namespace thornplank {
 
 // Jobs that were late for one cause.
-struct LateByCause {
+struct LateJobsByCause {
   std::string cause;
   int64_t priority = 0;
   int64_t jobs = 0;
   // By how much, together.
-  Duration late{};
+  Duration total_lateness{};
   // By client account and by the entry that took the job.
   std::map<std::string, int64_t> accounts;
   std::map<std::string, int64_t> entries;
@@ -44,7 +44,7 @@
   void OnCompleted(const std::string& job, int64_t priority, WallTime time);
 
   // The most jobs first.
-  std::vector<LateByCause> Report() const;
+  std::vector<LateJobsByCause> Report() const;
 
  private:
   struct Delay {
@@ -67,7 +67,7 @@
   static std::string FirstCause(const Story& story);
 
   std::map<std::string, Story> stories_;
-  std::map<std::pair<int64_t, std::string>, LateByCause> causes_;
+  std::map<std::pair<int64_t, std::string>, LateJobsByCause> causes_;
 };
 
 }  // namespace thornplank
--- a/src/libs/logging/log_summary.cc
+++ b/src/libs/logging/log_summary.cc
@@ -69,7 +69,7 @@
   LogSummaryReport Report() {
     LogSummaryReport report;
     for (auto& [id, job] : jobs_) {
-      job.summary.lasted = job.last - job.accepted;
+      job.summary.duration = job.last - job.accepted;
       for (const auto& [step, wait] : job.waits) {
         Count(&job, wait, job.last);
       }
@@ -81,13 +81,13 @@
                        return a.waited() > b.waited();
                      });
     for (auto& [key, runs] : discarded_) {
-      report.discarded.push_back(std::move(runs));
+      report.discarded_runs.push_back(std::move(runs));
     }
-    std::stable_sort(report.discarded.begin(), report.discarded.end(),
+    std::stable_sort(report.discarded_runs.begin(), report.discarded_runs.end(),
                      [](const DiscardedRuns& a, const DiscardedRuns& b) {
-                       return a.accelerator_time > b.accelerator_time;
+                       return a.lost_accelerator_time > b.lost_accelerator_time;
                      });
-    report.late = late_.Report();
+    report.late_jobs = late_.Report();
     return report;
   }
 
@@ -226,8 +226,9 @@
     ++runs.runs;
     const int64_t lasted = IntField(line.fields, "lasted_ms").value_or(0);
     const int64_t kept = IntField(line.fields, "kept_ms").value_or(0);
-    runs.accelerator_time += Milliseconds(lasted - kept) * need.accelerators;
-    runs.kept += Milliseconds(kept) * need.accelerators;
+    runs.lost_accelerator_time +=
+        Milliseconds(lasted - kept) * need.accelerators;
+    runs.kept_accelerator_time += Milliseconds(kept) * need.accelerators;
     JobStory* job = Open(JobOf(task), line.time);
     if (job == nullptr) return;
     late_.OnRunLost(JobOf(task), step, IntField(line.fields, "run").value_or(0),
--- a/src/libs/logging/log_summary.h
+++ b/src/libs/logging/log_summary.h
@@ -28,7 +28,7 @@
   // As last published; empty if that is not in the logs.
   std::string state;
   // From its acceptance until its end, or until the last line that names it.
-  Duration lasted{};
+  Duration duration{};
   WaitsByCause waits;
 
   bool completed() const { return state == "completed"; }
@@ -41,18 +41,18 @@
   int64_t priority = 0;
   int64_t runs = 0;
   // Times the accelerators that they held, without what checkpoints kept.
-  Duration accelerator_time{};
+  Duration lost_accelerator_time{};
   // What checkpoints kept of their time, times the accelerators.
-  Duration kept{};
+  Duration kept_accelerator_time{};
 };
 
 struct LogSummaryReport {
   // Those that are not completed first, then by the time that they waited.
   std::vector<JobSummary> jobs;
   // The most accelerator time first.
-  std::vector<DiscardedRuns> discarded;
+  std::vector<DiscardedRuns> discarded_runs;
   // The most jobs first.
-  std::vector<LateByCause> late;
+  std::vector<LateJobsByCause> late_jobs;
 };
 
 class LogSummary {
--- a/tests/auto/logging/tst_late_jobs.cc
+++ b/tests/auto/logging/tst_late_jobs.cc
@@ -97,13 +97,13 @@
     for (const std::string& line : row.lines) {
       CHECK(summary.Add(line));
     }
-    const std::vector<LateByCause> late = summary.Report().late;
+    const std::vector<LateJobsByCause> late = summary.Report().late_jobs;
     REQUIRE(late.size() == (row.cause.empty() ? 0 : 1));
     if (late.empty()) continue;
     CHECK(late[0].cause == row.cause);
     CHECK(late[0].priority == 1);
     CHECK(late[0].jobs == 1);
-    CHECK(late[0].late == Milliseconds(row.late_ms));
+    CHECK(late[0].total_lateness == Milliseconds(row.late_ms));
     CHECK(late[0].accounts.at("north") == 1);
     CHECK(late[0].entries.at("e1") == 1);
   }
@@ -115,7 +115,7 @@
   CHECK(summary.Add(Line(0, 910, R"("job":"a","account":"north")")));
   CHECK(summary.Add(Placed(10)));
   CHECK(summary.Add(State(90000, "completed")));
-  CHECK(summary.Report().late.empty());
+  CHECK(summary.Report().late_jobs.empty());
 }
 
 }  // namespace
--- a/tests/auto/logging/tst_log_summary.cc
+++ b/tests/auto/logging/tst_log_summary.cc
@@ -119,7 +119,7 @@
     const LogSummaryReport report = ReportOf(row.lines);
     REQUIRE(report.jobs.size() == 1);
     CHECK(ToCounts(report.jobs[0].waits) == row.waits);
-    CHECK(report.jobs[0].lasted == Milliseconds(row.lasted_ms));
+    CHECK(report.jobs[0].duration == Milliseconds(row.lasted_ms));
   }
 }
 
@@ -149,11 +149,11 @@
     lines.insert(lines.end(), row.lines.begin(), row.lines.end());
     const LogSummaryReport report = ReportOf(lines);
     std::vector<std::string> causes;
-    for (const DiscardedRuns& runs : report.discarded) {
+    for (const DiscardedRuns& runs : report.discarded_runs) {
       causes.push_back(runs.cause);
       CHECK(runs.priority == 1);
       CHECK(runs.runs == 1);
-      CHECK(runs.accelerator_time == Milliseconds(800));
+      CHECK(runs.lost_accelerator_time == Milliseconds(800));
     }
     CHECK(causes == row.causes);
   }
@@ -165,9 +165,9 @@
       R"("task":"a.0.0.3","run":1,"lasted_ms":400,"kept_ms":300,"end":"lost",)"
       R"("in_force":true)");
   const LogSummaryReport report = ReportOf({Placed(100), ended});
-  REQUIRE(report.discarded.size() == 1);
-  CHECK(report.discarded[0].accelerator_time == Milliseconds(200));
-  CHECK(report.discarded[0].kept == Milliseconds(600));
+  REQUIRE(report.discarded_runs.size() == 1);
+  CHECK(report.discarded_runs[0].lost_accelerator_time == Milliseconds(200));
+  CHECK(report.discarded_runs[0].kept_accelerator_time == Milliseconds(600));
 }
 
 TEST_CASE("jobs that are not completed come first, then the longest waits") {
