--- a/src/libs/coordination/worker_fleet.cc
+++ b/src/libs/coordination/worker_fleet.cc
@@ -116,7 +116,8 @@
 void WorkerFleet::LogBirthFault(const std::string& id,
                                 const IncarnationStart& birth) {
   if (birth.error.empty() || !logged_faults_.insert(birth.error).second) return;
-  LogEvent(events::kBirthUnreadable, {{"worker", id}, {"reason", birth.error}});
+  LogEvent(events::kIncarnationStartUnreadable,
+           {{"worker", id}, {"reason", birth.error}});
 }
 
 void WorkerFleet::LogCapacity(const WorkerTracker& worker,
