--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -48,7 +48,7 @@
   void SetPace(const WorkerAddress& worker, const PaceOrder& order,
                Milliseconds,
                std::function<void(CallOutcome, const Error&)> done) override {
-    const CallOutcome outcome = models.at(worker.id).Pace(order, ClockMs());
+    const CallOutcome outcome = models.at(worker.id).SetPace(order, ClockMs());
     boost::asio::post(
         io_, [done = std::move(done), outcome] { done(outcome, Error()); });
   }
--- a/tests/standins/users_executor_model.cc
+++ b/tests/standins/users_executor_model.cc
@@ -162,7 +162,7 @@
   return CallOutcome::kOk;
 }
 
-CallOutcome UsersExecutorModel::Pace(const PaceOrder& order, int64_t now) {
+CallOutcome UsersExecutorModel::SetPace(const PaceOrder& order, int64_t now) {
   Advance(now);
   if (order.epoch < fence_) return CallOutcome::kFenced;
   fence_ = order.epoch;
--- a/tests/standins/users_executor_model.h
+++ b/tests/standins/users_executor_model.h
@@ -57,7 +57,7 @@
   // Every call takes the present in milliseconds, which is the worker's clock.
   StartOutcome Start(const StartOrder& order, int64_t now);
   CallOutcome Stop(const StopOrder& order, int64_t now);
-  CallOutcome Pace(const PaceOrder& order, int64_t now);
+  CallOutcome SetPace(const PaceOrder& order, int64_t now);
   CallOutcome Hold(const StatusQuery& query, int64_t now,
                    WorkerStatusReport* report);
   // Whether a report would list an end behind `recorded`.
--- a/tests/standins/users_executor_role.cc
+++ b/tests/standins/users_executor_role.cc
@@ -158,7 +158,7 @@
     const int percent =
         static_cast<int>(IntField(body, "percent").value_or(kFullPace));
     const CallOutcome outcome =
-        model_.Pace({*task, run, percent, epoch}, Clock());
+        model_.SetPace({*task, run, percent, epoch}, Clock());
     if (outcome == CallOutcome::kOk) return JsonReply(clock);
     const char* reason = outcome == CallOutcome::kFenced ? "fence" : "old";
     return JsonReply({{"clock_ms", OwnClock()}, {"reason", reason}}, 409);
