--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -57,7 +57,7 @@
               std::function<void(const StatusAnswer&)> done) override {
     auto answer = std::make_shared<StatusAnswer>();
     answer->outcome =
-        models.at(worker.id).Hold(query, ClockMs(), &answer->report);
+        models.at(worker.id).Status(query, ClockMs(), &answer->report);
     auto timer = std::make_shared<boost::asio::steady_timer>(
         io_, std::min(query.wait, Milliseconds(20)));
     timer->async_wait([timer, answer, done = std::move(done)](
--- a/tests/standins/tst_users_executor_model.cc
+++ b/tests/standins/tst_users_executor_model.cc
@@ -38,12 +38,12 @@
     query.epoch = 1;
     query.lease_until = Milliseconds(row.renews_until);
     WorkerStatusReport report;
-    REQUIRE(model.Hold(query, row.asks, &report) == CallOutcome::kOk);
+    REQUIRE(model.Status(query, row.asks, &report) == CallOutcome::kOk);
     REQUIRE(report.ended.size() == 1);
     CHECK(report.ended[0].end == RunEnd::kDone);
     query.recorded_ends = 1;
     query.lease_until.reset();
-    REQUIRE(model.Hold(query, row.records, &report) == CallOutcome::kOk);
+    REQUIRE(model.Status(query, row.records, &report) == CallOutcome::kOk);
     REQUIRE(model.history().size() == 1);
     CHECK(model.history()[0].recorded == row.counts);
   }
--- a/tests/standins/users_executor_model.cc
+++ b/tests/standins/users_executor_model.cc
@@ -184,8 +184,8 @@
   return tail;
 }
 
-CallOutcome UsersExecutorModel::Hold(const StatusQuery& query, int64_t now,
-                                     WorkerStatusReport* report) {
+CallOutcome UsersExecutorModel::Status(const StatusQuery& query, int64_t now,
+                                       WorkerStatusReport* report) {
   Advance(now);
   if (query.epoch < fence_) return CallOutcome::kFenced;
   fence_ = query.epoch;
--- a/tests/standins/users_executor_model.h
+++ b/tests/standins/users_executor_model.h
@@ -58,8 +58,8 @@
   StartOutcome Start(const StartOrder& order, int64_t now);
   CallOutcome Stop(const StopOrder& order, int64_t now);
   CallOutcome SetPace(const PaceOrder& order, int64_t now);
-  CallOutcome Hold(const StatusQuery& query, int64_t now,
-                   WorkerStatusReport* report);
+  CallOutcome Status(const StatusQuery& query, int64_t now,
+                     WorkerStatusReport* report);
   // Whether a report would list an end behind `recorded`.
   bool HasEndBehind(int64_t recorded, int64_t now);
 
--- a/tests/standins/users_executor_role.cc
+++ b/tests/standins/users_executor_role.cc
@@ -215,7 +215,7 @@
 void UsersExecutorRole::Hold(const ExchangePtr& exchange,
                              const StatusQuery& query, Time until) {
   WorkerStatusReport report;
-  const CallOutcome outcome = model_.Hold(query, Clock(), &report);
+  const CallOutcome outcome = model_.Status(query, Clock(), &report);
   if (outcome != CallOutcome::kOk) {
     return exchange->Answer(
         JsonReply({{"clock_ms", OwnClock()}, {"reason", "fence"}}, 409));
