--- a/tests/auto/coordination/store_fixture.h
+++ b/tests/auto/coordination/store_fixture.h
@@ -74,9 +74,10 @@
   void ReadNewest(const Partition& partition, const std::string& after_key,
                   Milliseconds,
                   std::function<void(const NewestPage&)> done) override {
-    const NewestPage page = reachable && !IsUnavailable(partition)
-                                ? model.Newest(partition, after_key, page_size)
-                                : NewestPage();
+    const NewestPage page =
+        reachable && !IsUnavailable(partition)
+            ? model.ReadNewest(partition, after_key, page_size)
+            : NewestPage();
     boost::asio::post(io_, [done = std::move(done), page] { done(page); });
   }
 
--- a/tests/standins/users_store_model.cc
+++ b/tests/standins/users_store_model.cc
@@ -86,9 +86,9 @@
   return result;
 }
 
-NewestPage UsersStoreModel::Newest(const Partition& partition,
-                                   const std::string& after_key,
-                                   size_t limit) const {
+NewestPage UsersStoreModel::ReadNewest(const Partition& partition,
+                                       const std::string& after_key,
+                                       size_t limit) const {
   NewestPage page;
   page.ok = true;
   const auto it = logs_.find({partition.stream, partition.number});
--- a/tests/standins/users_store_model.h
+++ b/tests/standins/users_store_model.h
@@ -19,8 +19,8 @@
   AppendResult Append(const AppendRequest& request);
   ReadResult Read(const Partition& partition, int64_t from) const;
   // At most `limit` records behind `after_key`.
-  NewestPage Newest(const Partition& partition, const std::string& after_key,
-                    size_t limit = 500) const;
+  NewestPage ReadNewest(const Partition& partition,
+                        const std::string& after_key, size_t limit = 500) const;
   int64_t end(const Partition& partition) const;
   // Drops the history of every partition; the newest of each key stays.
   void DropHistory();
--- a/tests/standins/users_store_role.cc
+++ b/tests/standins/users_store_role.cc
@@ -181,7 +181,7 @@
 }
 
 void UsersStoreRole::Newest(const ExchangePtr& exchange) {
-  const NewestPage page = model_.Newest(
+  const NewestPage page = model_.ReadNewest(
       PartitionOf(*exchange), QueryText(exchange->request(), "depends_on"));
   Json items = Json::array();
   for (const KeyedRecord& record : page.records) {
