--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -201,7 +201,7 @@
     std::map<std::string, int> done;
     for (const auto& [id, model] : calls.models) {
       for (const auto& run : model.history()) {
-        done[run.task] += run.how == "done" ? 1 : 0;
+        done[run.task] += run.end_reason == "done" ? 1 : 0;
       }
     }
     return done;
--- a/tests/standins/users_executor_model.cc
+++ b/tests/standins/users_executor_model.cc
@@ -82,7 +82,7 @@
                              RunEnd end, int64_t now) {
   RunHistory& history = history_[run->second.history];
   history.ended_ms = now;
-  history.how = std::string(ToText(end));
+  history.end_reason = std::string(ToText(end));
   closed_runs_[run->first] =
       std::max(closed_runs_[run->first], run->second.run);
   Ended ended;
@@ -258,7 +258,7 @@
   Advance(now);
   for (const auto& [name, run] : runs_) {
     history_[run.history].ended_ms = now;
-    history_[run.history].how = "crashed";
+    history_[run.history].end_reason = "crashed";
   }
   runs_.clear();
   ended_.clear();
--- a/tests/standins/users_executor_model.h
+++ b/tests/standins/users_executor_model.h
@@ -34,7 +34,7 @@
   int64_t began_ms = 0;
   // -1 while it runs.
   int64_t ended_ms = -1;
-  std::string how;
+  std::string end_reason;
   // Its end was recorded by the scheduler, under a lease that had not lapsed
   // since. After a lapse the scheduler may have begun the task again, so that
   // the end counts for nothing, for good (the users' rule).
--- a/tests/standins/users_executor_role.cc
+++ b/tests/standins/users_executor_role.cc
@@ -239,7 +239,7 @@
                     {"run", run.run},
                     {"began_ms", run.began_ms},
                     {"ended_ms", run.ended_ms},
-                    {"how", run.how},
+                    {"how", run.end_reason},
                     {"load", run.load},
                     {"pace", run.pace},
                     {"recorded", run.recorded}});
