--- a/tests/standins/tst_users_executor_model.cc
+++ b/tests/standins/tst_users_executor_model.cc
@@ -1,4 +1,4 @@
-// Which ends of the stand-in for the users' executors count as recorded.
+// Tests which ends of runs the model of the users' executors takes as recorded.
 #include <doctest/doctest.h>
 
 #include <vector>
@@ -8,15 +8,16 @@
 namespace thornplank::standins {
 namespace {
 
-TEST_CASE("an end that is recorded after its lease lapsed counts for nothing") {
+TEST_CASE("an end that is recorded after its lease lapsed does not count") {
   struct Row {
     const char* name;
-    // When the scheduler asks, and up to when it renews the lease then.
-    int64_t asks;
-    int64_t renews_until;
-    // When it says that the end, at 100, is recorded.
-    int64_t records;
-    bool counts;
+    // When the scheduler queries the status, and until when it renews the lease
+    // with that query. The run ends at 100.
+    int64_t queried_at;
+    int64_t renewed_until;
+    // When the scheduler reports the end as recorded.
+    int64_t recorded_at;
+    bool expect_recorded;
   };
   const std::vector<Row> rows = {
       {"within the lease", 200, 1500, 300, true},
@@ -36,16 +37,16 @@
     REQUIRE(model.Start(order, 0) == StartOutcome::kAccepted);
     StatusQuery query;
     query.epoch = 1;
-    query.lease_until = Milliseconds(row.renews_until);
+    query.lease_until = Milliseconds(row.renewed_until);
     WorkerStatusReport report;
-    REQUIRE(model.Status(query, row.asks, &report) == CallOutcome::kOk);
+    REQUIRE(model.Status(query, row.queried_at, &report) == CallOutcome::kOk);
     REQUIRE(report.ended.size() == 1);
     CHECK(report.ended[0].end == RunEnd::kDone);
     query.recorded_ends = 1;
     query.lease_until.reset();
-    REQUIRE(model.Status(query, row.records, &report) == CallOutcome::kOk);
+    REQUIRE(model.Status(query, row.recorded_at, &report) == CallOutcome::kOk);
     REQUIRE(model.history().size() == 1);
-    CHECK(model.history()[0].recorded == row.counts);
+    CHECK(model.history()[0].recorded == row.expect_recorded);
   }
 }
 
--- a/tests/standins/users_advisor_role.cc
+++ b/tests/standins/users_advisor_role.cc
@@ -1,4 +1,4 @@
-// Verdicts by a hash, so that they never change.
+// Derives approvals and tickets from a hash, so that they never change.
 #include "standins/users_advisor_role.h"
 
 #include <xxhash.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr size_t kMostNamed = 100;
+constexpr size_t kMaxWorkersPerQuery = 100;
 
 uint64_t Hash(std::string_view step, std::string_view executor) {
   const std::string text = std::string(step) + "/" + std::string(executor);
@@ -31,8 +31,9 @@
   const std::string step = StringField(body, "step").value_or("");
   const Json* workers = ArrayField(body, "workers");
   if (exchange->path() != "/v1/advise" || step.empty() || workers == nullptr ||
-      workers->size() > kMostNamed) {
-    return exchange->Answer(ProblemReply(400, "no such question"));
+      workers->size() > kMaxWorkersPerQuery) {
+    return exchange->Answer(
+        ProblemReply(400, "no such call, or a malformed query"));
   }
   Json good = Json::array();
   for (const Json& worker : *workers) {
@@ -42,17 +43,18 @@
     }
   }
   ++calls_;
-  named_ += static_cast<int64_t>(workers->size());
-  const auto took =
-      settings_.decision + settings_.each * static_cast<int>(workers->size());
-  RunAfter(executor(), took, [this, exchange, good = std::move(good)] {
+  named_workers_ += static_cast<int64_t>(workers->size());
+  const auto answer_delay =
+      settings_.decision_time +
+      settings_.time_per_worker * static_cast<int>(workers->size());
+  RunAfter(executor(), answer_delay, [this, exchange, good = std::move(good)] {
     exchange->Answer(
         JsonReply({{"good", good}, {"valid_ms", settings_.validity.count()}}));
   });
 }
 
 Json UsersAdvisorRole::ControlState() {
-  return {{"calls", calls_}, {"named", named_}};
+  return {{"calls", calls_}, {"named", named_workers_}};
 }
 
 bool UsersAdvisorRole::ApplyControl(const Json& control, Error* error) {
--- a/tests/standins/users_advisor_role.h
+++ b/tests/standins/users_advisor_role.h
@@ -1,4 +1,5 @@
-// The users' service that approves executors for steps, over HTTP.
+// Stand-in for the users' advisor, the HTTP service that approves executors for
+// steps.
 #ifndef THORNPLANK_TESTS_STANDINS_USERS_ADVISOR_ROLE_H_
 #define THORNPLANK_TESTS_STANDINS_USERS_ADVISOR_ROLE_H_
 
@@ -9,15 +10,20 @@
 
 namespace thornplank::standins {
 
-// Whether the executor's present life may run the step ("ID.K.STEP"): two of
-// three may. The executor asks the same when it is given a ticket.
+// Whether the incarnation with the id `executor` may run the step
+// ("ID.K.STEP"). True for about two of three pairs. The stand-in executors call
+// it as well, to check their tickets.
 bool IsApproved(std::string_view step, std::string_view executor);
+// The ticket that the advisor issues with its approval.
 std::string TicketFor(std::string_view step, std::string_view executor);
 
 struct UsersAdvisorSettings {
   std::string listen;
-  Milliseconds decision{20};
-  Milliseconds each{1};
+  // An answer takes decision_time, plus time_per_worker for each worker asked
+  // about.
+  Milliseconds decision_time{20};
+  Milliseconds time_per_worker{1};
+  // How long an approval is valid.
   Milliseconds validity{3000};
 };
 
@@ -36,7 +42,8 @@
   const UsersAdvisorSettings settings_;
   bool silent_ = false;
   int64_t calls_ = 0;
-  int64_t named_ = 0;
+  // Workers in all queries answered.
+  int64_t named_workers_ = 0;
 };
 
 }  // namespace thornplank::standins
--- a/tests/standins/users_executor_model.cc
+++ b/tests/standins/users_executor_model.cc
@@ -1,4 +1,4 @@
-// Runs, leases and ends of one executor.
+// Implements the runs, the lease and the orders of a model executor.
 #include "standins/users_executor_model.h"
 
 #include <algorithm>
@@ -10,107 +10,109 @@
 
 namespace {
 
-// How long a run goes on after its stop.
-constexpr int64_t kStopMs = 60;
-constexpr int64_t kLongestLeaseMs = 10000;
-constexpr int64_t kMillisPerPercent = 100;
-// From a change of its capacity until starts must keep to it: the users' three
-// seconds and a heartbeat.
+// How long a run continues after it is told to stop.
+constexpr int64_t kStopDurationMs = 60;
+constexpr int64_t kMaxLeaseMs = 10000;
+constexpr int64_t kFullPercent = 100;
+// From a reduction of the capacity until starts must respect it: the three
+// seconds of the users' rule and one heartbeat interval.
 constexpr int64_t kResizeGraceMs = 3300;
 
-Resources NeedOf(const Json& payload, int step) {
-  Resources need;
+Resources RequiredResources(const Json& payload, int step) {
+  Resources required;
   const Json* needs = ArrayField(payload, "needs");
   const auto index = static_cast<size_t>(step);
-  if (needs == nullptr || index >= needs->size()) return need;
+  if (needs == nullptr || index >= needs->size()) return required;
   const Json& row = (*needs)[index];
-  if (!row.is_array() || row.size() != 3) return need;
-  need.cpu_millis = row[0].get<int64_t>();
-  need.memory_mb = row[1].get<int64_t>();
-  need.accelerators = row[2].get<int64_t>();
-  return need;
+  if (!row.is_array() || row.size() != 3) return required;
+  required.cpu_millis = row[0].get<int64_t>();
+  required.memory_mb = row[1].get<int64_t>();
+  required.accelerators = row[2].get<int64_t>();
+  return required;
 }
 
 }  // namespace
 
 UsersExecutorModel::UsersExecutorModel(std::string name, Resources capacity)
     : name_(std::move(name)),
-      whole_(capacity),
+      full_capacity_(capacity),
       capacity_(capacity),
-      former_(capacity) {}
+      previous_capacity_(capacity) {}
 
 std::string UsersExecutorModel::id() const {
-  return name_ + "-" + std::to_string(named_life_);
+  return name_ + "-" + std::to_string(id_incarnation_);
 }
 
 int64_t UsersExecutorModel::Progress(const Run& run, int64_t now) const {
   if (stalled_) return 0;
-  const double worked = static_cast<double>(now - run.since) / slowdown_;
-  return run.done_ms + static_cast<int64_t>(worked);
+  const double worked =
+      static_cast<double>(now - run.progress_since) / slowdown_;
+  return run.progress_ms + static_cast<int64_t>(worked);
 }
 
 void UsersExecutorModel::Advance(int64_t now) {
   for (auto it = runs_.begin(); it != runs_.end();) {
     const auto run = it++;
-    // Nobody may have looked for long: what came first counts.
+    // Several ends may be due since the last call; the earliest one counts.
     const auto [time, end] = NextEnd(run->second);
-    if (time <= now) End(run, end, time);
+    if (time <= now) EndRun(run, end, time);
   }
-  if (deadline_ < now) NoteLapse();
+  if (lease_end_ < now) MarkLapsedEnds();
 }
 
-void UsersExecutorModel::NoteLapse() {
-  for (Ended& end : ended_) {
-    if (end.time <= deadline_) end.lapsed = true;
+void UsersExecutorModel::MarkLapsedEnds() {
+  for (UnrecordedEnd& end : unrecorded_ends_) {
+    if (end.time <= lease_end_) end.lapsed = true;
   }
 }
 
 std::pair<int64_t, RunEnd> UsersExecutorModel::NextEnd(const Run& run) const {
-  std::pair<int64_t, RunEnd> next{deadline_, RunEnd::kLeaseLapsed};
-  const double left = static_cast<double>(run.work_ms - run.done_ms);
-  const int64_t finished = run.since + static_cast<int64_t>(left * slowdown_);
+  std::pair<int64_t, RunEnd> next{lease_end_, RunEnd::kLeaseLapsed};
+  const double left = static_cast<double>(run.work_ms - run.progress_ms);
+  const int64_t finished =
+      run.progress_since + static_cast<int64_t>(left * slowdown_);
   if (!stalled_ && finished <= next.first) {
     next = {finished, run.fails ? RunEnd::kFailed : RunEnd::kDone};
   }
-  if (run.stops_at >= 0 && run.stops_at < next.first) {
-    next = {run.stops_at, RunEnd::kStopped};
+  if (run.stop_effective_at >= 0 && run.stop_effective_at < next.first) {
+    next = {run.stop_effective_at, RunEnd::kStopped};
   }
   return next;
 }
 
-void UsersExecutorModel::End(std::map<std::string, Run>::iterator run,
-                             RunEnd end, int64_t now) {
-  RunHistory& history = history_[run->second.history];
+void UsersExecutorModel::EndRun(std::map<std::string, Run>::iterator run,
+                                RunEnd end, int64_t now) {
+  RunHistory& history = history_[run->second.history_index];
   history.ended_ms = now;
   history.end_reason = std::string(ToText(end));
-  closed_runs_[run->first] =
-      std::max(closed_runs_[run->first], run->second.run);
-  Ended ended;
-  ended.number = next_number_++;
+  last_closed_runs_[run->first] =
+      std::max(last_closed_runs_[run->first], run->second.run);
+  UnrecordedEnd ended;
+  ended.number = next_end_number_++;
   ended.time = now;
   ended.task = run->second.task;
   ended.run = run->second.run;
   ended.end = end;
-  ended.history = run->second.history;
-  ended_.push_back(std::move(ended));
+  ended.history_index = run->second.history_index;
+  unrecorded_ends_.push_back(std::move(ended));
   runs_.erase(run);
 }
 
 StartOutcome UsersExecutorModel::Start(const StartOrder& order, int64_t now) {
   Advance(now);
-  if (order.epoch < fence_) return StartOutcome::kFenced;
-  fence_ = order.epoch;
+  if (order.epoch < highest_epoch_) return StartOutcome::kFenced;
+  highest_epoch_ = order.epoch;
   if (order.deadline.count() <= now) return StartOutcome::kRefused;
-  deadline_ = std::max(deadline_,
-                       std::min(order.deadline.count(), now + kLongestLeaseMs));
+  lease_end_ =
+      std::max(lease_end_, std::min(order.deadline.count(), now + kMaxLeaseMs));
   const std::string name = order.task.ToString();
-  const auto present = runs_.find(name);
-  if (present != runs_.end()) {
-    return present->second.run == order.run ? StartOutcome::kAccepted
+  const auto running = runs_.find(name);
+  if (running != runs_.end()) {
+    return running->second.run == order.run ? StartOutcome::kAccepted
                                             : StartOutcome::kRefused;
   }
-  const auto closed = closed_runs_.find(name);
-  if (closed != closed_runs_.end() && order.run <= closed->second) {
+  const auto closed = last_closed_runs_.find(name);
+  if (closed != last_closed_runs_.end() && order.run <= closed->second) {
     return StartOutcome::kRefused;
   }
   const Json payload = ParseJson(order.payload).value_or(Json::object());
@@ -125,21 +127,21 @@
   run.run = order.run;
   run.work_ms = IntField(payload, "work_ms").value_or(100);
   run.fails = fail_all_ || BoolField(payload, "fail").value_or(false);
-  run.need = NeedOf(payload, order.task.step.step);
+  run.required = RequiredResources(payload, order.task.step.step);
   run.tail_ms = IntField(payload, "tail_ms").value_or(0);
   run.disturbs_ms = IntField(payload, "disturbs_ms").value_or(0);
   run.began = now;
-  run.since = now;
-  run.history = history_.size();
+  run.progress_since = now;
+  run.history_index = history_.size();
   RunHistory history;
   history.worker = id();
   history.task = name;
   history.run = order.run;
   history.began_ms = now;
   history_.push_back(std::move(history));
-  Resources used = run.need;
+  Resources used = run.required;
   for (const auto& [other_name, other] : runs_) {
-    used += other.need;
+    used += other.required;
   }
   if (!used.FitsInto(AllowedCapacity(now))) {
     violations_.push_back(id() + " is over its capacity with " + name);
@@ -150,33 +152,33 @@
 
 CallOutcome UsersExecutorModel::Stop(const StopOrder& order, int64_t now) {
   Advance(now);
-  if (order.epoch < fence_) return CallOutcome::kFenced;
-  fence_ = order.epoch;
+  if (order.epoch < highest_epoch_) return CallOutcome::kFenced;
+  highest_epoch_ = order.epoch;
   const std::string name = order.task.ToString();
-  closed_runs_[name] = std::max(closed_runs_[name], order.run);
+  last_closed_runs_[name] = std::max(last_closed_runs_[name], order.run);
   const auto run = runs_.find(name);
   if (run != runs_.end() && run->second.run <= order.run &&
-      run->second.stops_at < 0) {
-    run->second.stops_at = now + kStopMs;
+      run->second.stop_effective_at < 0) {
+    run->second.stop_effective_at = now + kStopDurationMs;
   }
   return CallOutcome::kOk;
 }
 
 CallOutcome UsersExecutorModel::SetPace(const PaceOrder& order, int64_t now) {
   Advance(now);
-  if (order.epoch < fence_) return CallOutcome::kFenced;
-  fence_ = order.epoch;
+  if (order.epoch < highest_epoch_) return CallOutcome::kFenced;
+  highest_epoch_ = order.epoch;
   const auto run = runs_.find(order.task.ToString());
   if (run == runs_.end() || run->second.run != order.run) {
     return CallOutcome::kRefused;
   }
   run->second.pace = order.percent;
-  history_[run->second.history].pace = order.percent;
+  history_[run->second.history_index].pace = order.percent;
   return CallOutcome::kOk;
 }
 
 int64_t UsersExecutorModel::Load(const Run& run) const {
-  if (run.tail_ms == 0) return run.need.cpu_millis * run.pace / kFullPace;
+  if (run.tail_ms == 0) return run.required.cpu_millis * run.pace / kFullPace;
   int64_t tail = run.tail_ms;
   for (const auto& [name, other] : runs_) {
     tail += other.disturbs_ms * other.pace / kFullPace;
@@ -187,36 +189,37 @@
 CallOutcome UsersExecutorModel::Status(const StatusQuery& query, int64_t now,
                                        WorkerStatusReport* report) {
   Advance(now);
-  if (query.epoch < fence_) return CallOutcome::kFenced;
-  fence_ = query.epoch;
+  if (query.epoch < highest_epoch_) return CallOutcome::kFenced;
+  highest_epoch_ = query.epoch;
   if (query.lease_until) {
-    deadline_ = std::max(
-        deadline_, std::min(query.lease_until->count(), now + kLongestLeaseMs));
+    lease_end_ = std::max(
+        lease_end_, std::min(query.lease_until->count(), now + kMaxLeaseMs));
   }
-  while (!ended_.empty() && ended_.front().number <= query.recorded_ends) {
-    history_[ended_.front().history].recorded = !ended_.front().lapsed;
-    ended_.pop_front();
+  while (!unrecorded_ends_.empty() &&
+         unrecorded_ends_.front().number <= query.recorded_ends) {
+    history_[unrecorded_ends_.front().history_index].recorded =
+        !unrecorded_ends_.front().lapsed;
+    unrecorded_ends_.pop_front();
   }
   report->clock = Milliseconds(now);
   for (const auto& [name, run] : runs_) {
-    history_[run.history].load = Load(run);
+    history_[run.history_index].load = Load(run);
     const int64_t percent =
-        run.work_ms > 0 ? Progress(run, now) * kMillisPerPercent / run.work_ms
-                        : 0;
+        run.work_ms > 0 ? Progress(run, now) * kFullPercent / run.work_ms : 0;
     report->running.push_back(
         {run.task, run.run, "",
-         static_cast<int>(std::min<int64_t>(percent, kMillisPerPercent)),
+         static_cast<int>(std::min<int64_t>(percent, kFullPercent)),
          Load(run)});
   }
-  for (const Ended& end : ended_) {
+  for (const UnrecordedEnd& end : unrecorded_ends_) {
     report->ended.push_back({end.number, end.task, end.run, end.end, ""});
   }
   return CallOutcome::kOk;
 }
 
-bool UsersExecutorModel::HasEndBehind(int64_t recorded, int64_t now) {
+bool UsersExecutorModel::HasEndAfter(int64_t recorded, int64_t now) {
   Advance(now);
-  return !ended_.empty() && ended_.back().number > recorded;
+  return !unrecorded_ends_.empty() && unrecorded_ends_.back().number > recorded;
 }
 
 void UsersExecutorModel::set_stalled(bool on, int64_t now) {
@@ -227,45 +230,46 @@
 void UsersExecutorModel::set_slowdown(double factor, int64_t now) {
   Advance(now);
   for (auto& [name, run] : runs_) {
-    run.done_ms = Progress(run, now);
-    run.since = now;
+    run.progress_ms = Progress(run, now);
+    run.progress_since = now;
   }
   slowdown_ = factor;
 }
 
 void UsersExecutorModel::set_capacity_percent(int64_t percent, int64_t now) {
-  former_ = AllowedCapacity(now);
+  previous_capacity_ = AllowedCapacity(now);
   resized_at_ = now;
-  capacity_ = ShareOf(whole_, static_cast<double>(percent) / 100);
+  capacity_ = ShareOf(full_capacity_, static_cast<double>(percent) / 100);
 }
 
 Resources UsersExecutorModel::AllowedCapacity(int64_t now) const {
-  const bool fresh = now - resized_at_ <= kResizeGraceMs;
-  return fresh ? ElementwiseMax(capacity_, former_) : capacity_;
+  const bool in_grace_period = now - resized_at_ <= kResizeGraceMs;
+  return in_grace_period ? ElementwiseMax(capacity_, previous_capacity_)
+                         : capacity_;
 }
 
 void UsersExecutorModel::Crash(int64_t now) {
-  EndLife(now);
-  named_life_ = ++life_;
+  EndIncarnation(now);
+  id_incarnation_ = ++incarnation_;
 }
 
 void UsersExecutorModel::Restart(int64_t now) {
-  EndLife(now);
-  ++life_;
+  EndIncarnation(now);
+  ++incarnation_;
 }
 
-void UsersExecutorModel::EndLife(int64_t now) {
+void UsersExecutorModel::EndIncarnation(int64_t now) {
   Advance(now);
   for (const auto& [name, run] : runs_) {
-    history_[run.history].ended_ms = now;
-    history_[run.history].end_reason = "crashed";
+    history_[run.history_index].ended_ms = now;
+    history_[run.history_index].end_reason = "crashed";
   }
   runs_.clear();
-  ended_.clear();
-  closed_runs_.clear();
-  next_number_ = 1;
-  fence_ = 0;
-  deadline_ = 0;
+  unrecorded_ends_.clear();
+  last_closed_runs_.clear();
+  next_end_number_ = 1;
+  highest_epoch_ = 0;
+  lease_end_ = 0;
 }
 
 std::optional<Milliseconds> UsersExecutorModel::CrashDelay(
--- a/tests/standins/users_executor_model.h
+++ b/tests/standins/users_executor_model.h
@@ -1,13 +1,19 @@
-// One of the users' executors without its transport: runs under leases, ends
-// that are listed until they are recorded, fencing, late orders.
+// Model of one of the users' executors, without its transport: runs under a
+// lease, ends of runs that are reported until the scheduler has recorded them,
+// fencing by epochs, and orders that arrive late.
 //
-// What a task does is told by its payload, a JSON object: work_ms, fail, and
-// needs, for each step the thousandths of a core, the megabytes and the
-// accelerators of one task, by which the model sees whether its capacity is
-// kept to. tail_ms makes a task serve, disturbs_ms adds to the tails beside it.
-// With "advised": true a start needs the advisor's ticket. crash_after_ms: the
-// executor crashes so long after it has started the task; crash_task names the
-// one task of each step that does so, without it all do.
+// The payload of a task is a JSON object that determines its behaviour:
+//   work_ms         run time; 100 by default
+//   fail            whether the run fails
+//   needs           for each step, thousandths of a core, megabytes and
+//                   accelerators of one task; the model uses it to detect that
+//                   its capacity is exceeded
+//   tail_ms         the task serves requests, with this tail latency
+//   disturbs_ms     added to the tail latencies of other tasks on the executor
+//   advised         whether a start needs a ticket of the advisor
+//   crash_after_ms  the executor crashes this long after the start of the task
+//   crash_task      index of the one task of each step that crashes the
+//                   executor; if absent, all do
 #ifndef THORNPLANK_TESTS_STANDINS_USERS_EXECUTOR_MODEL_H_
 #define THORNPLANK_TESTS_STANDINS_USERS_EXECUTOR_MODEL_H_
 
@@ -26,21 +32,23 @@
 
 namespace thornplank::standins {
 
-// One run, for the checker.
+// One run, as the control interface reports it to checkers.
 struct RunHistory {
   std::string worker;
   std::string task;
   int run = 0;
   int64_t began_ms = 0;
-  // -1 while it runs.
+  // -1 while the run lasts.
   int64_t ended_ms = -1;
+  // RunEnd as text, or "crashed".
   std::string end_reason;
-  // Its end was recorded by the scheduler, under a lease that had not lapsed
-  // since. After a lapse the scheduler may have begun the task again, so that
-  // the end counts for nothing, for good (the users' rule).
+  // Whether the scheduler recorded the end of the run before the lease lapsed.
+  // By the users' rule an end recorded later never counts, because after a
+  // lapse the scheduler may have started the task again.
   bool recorded = false;
-  // As last reported, and as last ordered.
+  // As last reported.
   int64_t load = 0;
+  // As last ordered, in percent.
   int pace = kFullPace;
 };
 
@@ -49,104 +57,117 @@
   UsersExecutorModel(std::string name, Resources capacity);
 
   std::string id() const;
-  // Counts its lives, also those under one id.
-  int life() const { return life_; }
-  // As it is now.
+  // Number of the incarnation, counting those that kept their id as well.
+  int incarnation() const { return incarnation_; }
+  // The present capacity.
   const Resources& capacity() const { return capacity_; }
 
-  // Every call takes the present in milliseconds, which is the worker's clock.
+  // All functions take the current time in milliseconds. Deadlines and reports
+  // use the same clock.
   StartOutcome Start(const StartOrder& order, int64_t now);
   CallOutcome Stop(const StopOrder& order, int64_t now);
   CallOutcome SetPace(const PaceOrder& order, int64_t now);
   CallOutcome Status(const StatusQuery& query, int64_t now,
                      WorkerStatusReport* report);
-  // Whether a report would list an end behind `recorded`.
-  bool HasEndBehind(int64_t recorded, int64_t now);
+  // Whether a report would list an end with a number above `recorded`.
+  bool HasEndAfter(int64_t recorded, int64_t now);
 
   // Faults.
   void set_fail_all(bool on) { fail_all_ = on; }
   void set_stalled(bool on, int64_t now);
-  // From now on work takes this many times as long.
+  // From now on runs take `factor` times as long as their payload says.
   void set_slowdown(double factor, int64_t now);
-  // From now on it has that share of its first capacity. Who starts something
-  // may go by the larger one for a while (the users' rule).
+  // Sets the capacity to a share of the initial one. For kResizeGraceMs starts
+  // may still rely on a larger previous capacity (the users' rule).
   void set_capacity_percent(int64_t percent, int64_t now);
-  // Everything ends; a new life begins, under a new id.
+  // Ends all runs and begins a new incarnation with a new id.
   void Crash(int64_t now);
-  // The same under the id that it had.
+  // Ends all runs and begins a new incarnation with the same id.
   void Restart(int64_t now);
-  // How long after its start the ordered task crashes its executor; nullopt for
-  // a task that does not.
+  // How long after its start the task of `order` crashes the executor; nullopt
+  // if it does not.
   static std::optional<Milliseconds> CrashDelay(const StartOrder& order);
 
   const std::vector<RunHistory>& history() const { return history_; }
-  // Times at which more ran than there is room for.
+  // One message per start that exceeded the capacity.
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
   struct Run {
     TaskRef task;
     int run = 0;
-    Resources need;
+    Resources required;
     int64_t work_ms = 0;
     bool fails = false;
-    // Of a serving task: the tail of its answers when nothing disturbs it.
+    // Tail latency of a serving task while no other task disturbs it; 0 for
+    // other tasks.
     int64_t tail_ms = 0;
-    // What it adds to the tails of others at full pace.
+    // Added to the tail latencies of other tasks while this one runs at full
+    // pace.
     int64_t disturbs_ms = 0;
     int pace = kFullPace;
     int64_t began = 0;
-    // Work that was done by `since`, when the executor's pace last changed.
-    int64_t done_ms = 0;
-    int64_t since = 0;
-    // Set by a stop: when it will be over.
-    int64_t stops_at = -1;
-    size_t history = 0;
+    // Work done by `progress_since`, when the slowdown of the executor last
+    // changed.
+    int64_t progress_ms = 0;
+    int64_t progress_since = 0;
+    // When an ordered stop takes effect; -1 without one.
+    int64_t stop_effective_at = -1;
+    // Index in history_.
+    size_t history_index = 0;
   };
-  struct Ended {
+  // An end that the scheduler has not recorded yet.
+  struct UnrecordedEnd {
+    // Ends of an incarnation are numbered from 1.
     int64_t number = 0;
     int64_t time = 0;
-    // The lease lapsed after it, before it was recorded.
+    // Whether the lease lapsed after the end and before it was recorded.
     bool lapsed = false;
     TaskRef task;
     int run = 0;
     RunEnd end = RunEnd::kLost;
-    size_t history = 0;
+    size_t history_index = 0;
   };
 
-  // Everything ends.
-  void EndLife(int64_t now);
+  // Ends all runs and resets the state of the incarnation.
+  void EndIncarnation(int64_t now);
+  // Ends the runs whose ends were due by `now`.
   void Advance(int64_t now);
-  // Ends that nobody has recorded when the lease lapses.
-  void NoteLapse();
-  // How the run ends if nothing else happens to it, and when.
+  // Marks the unrecorded ends that precede the lapse of the lease.
+  void MarkLapsedEnds();
+  // When and how the run ends unless a further order changes it.
   std::pair<int64_t, RunEnd> NextEnd(const Run& run) const;
-  void End(std::map<std::string, Run>::iterator run, RunEnd end, int64_t now);
+  void EndRun(std::map<std::string, Run>::iterator run, RunEnd end,
+              int64_t now);
   int64_t Progress(const Run& run, int64_t now) const;
+  // The load that reports show: the tail latency in milliseconds of a serving
+  // task, else the processor use in thousandths of a core.
   int64_t Load(const Run& run) const;
-
-  // The most that may be started on it.
+  // Capacity that starts may use at `now`.
   Resources AllowedCapacity(int64_t now) const;
 
   const std::string name_;
-  const Resources whole_;
+  const Resources full_capacity_;
   Resources capacity_;
-  // The largest of the capacities that were in force shortly before.
-  Resources former_;
+  // The largest capacity that starts could use before the last change.
+  Resources previous_capacity_;
   int64_t resized_at_ = 0;
-  int life_ = 1;
-  // Of the life that took its id.
-  int named_life_ = 1;
-  int64_t fence_ = 0;
-  int64_t deadline_ = 0;
+  int incarnation_ = 1;
+  // Number of the incarnation that began with the present id.
+  int id_incarnation_ = 1;
+  // Highest epoch seen; orders with a lower one are fenced.
+  int64_t highest_epoch_ = 0;
+  // End of the lease of all runs.
+  int64_t lease_end_ = 0;
   bool fail_all_ = false;
   bool stalled_ = false;
   double slowdown_ = 1;
+  // By task.
   std::map<std::string, Run> runs_;
-  // The highest run that was stopped or has ended, by task.
-  std::map<std::string, int> closed_runs_;
-  std::deque<Ended> ended_;
-  int64_t next_number_ = 1;
+  // The highest run number that was stopped or has ended, by task.
+  std::map<std::string, int> last_closed_runs_;
+  std::deque<UnrecordedEnd> unrecorded_ends_;
+  int64_t next_end_number_ = 1;
   std::vector<RunHistory> history_;
   std::vector<std::string> violations_;
 };
--- a/tests/standins/users_executor_role.cc
+++ b/tests/standins/users_executor_role.cc
@@ -1,4 +1,4 @@
-// Orders, reports and heartbeats of the users' executors.
+// Implements the orders, reports and heartbeats of the users' executors.
 #include "standins/users_executor_role.h"
 
 #include <functional>
@@ -8,16 +8,16 @@
 
 namespace {
 
-constexpr Milliseconds kHoldTick{10};
-// Heartbeats that are missed before an entry lapses.
-constexpr int kMissedBeats = 3;
-constexpr int kMisdirected = 421;
+constexpr Milliseconds kHoldPollInterval{10};
+// Heartbeat intervals after which the entry of a crashed executor expires.
+constexpr int kMissedHeartbeats = 3;
+constexpr int kMisdirectedRequest = 421;
 
 int64_t UnixNow() {
   return ToUnixMilliseconds(std::chrono::system_clock::now());
 }
 
-std::string How(RunEnd end) {
+std::string ToWireText(RunEnd end) {
   switch (end) {
     case RunEnd::kDone:
       return "done";
@@ -39,7 +39,7 @@
   return "stopped";
 }
 
-Json ReportBody(const WorkerStatusReport& report, int64_t born) {
+Json ReportBody(const WorkerStatusReport& report, int64_t start_ms) {
   Json running = Json::array();
   for (const RunReport& run : report.running) {
     running.push_back(Json::array(
@@ -48,10 +48,10 @@
   Json finished = Json::array();
   for (const RunEndReport& end : report.ended) {
     finished.push_back(Json::array({end.number, end.task.ToString(), end.run,
-                                    How(end.end), end.checkpoint}));
+                                    ToWireText(end.end), end.checkpoint}));
   }
   return {{"clock_ms", report.clock.count()},
-          {"born", born},
+          {"born", start_ms},
           {"running", std::move(running)},
           {"finished", std::move(finished)}};
 }
@@ -66,22 +66,22 @@
       model_(settings_.name, settings_.capacity),
       timer_(executor),
       random_(static_cast<uint32_t>(std::hash<std::string>()(settings_.name))),
-      born_(UnixNow()) {}
+      start_ms_(UnixNow()) {}
 
-// All that an executor counts begins anew.
-void UsersExecutorRole::BeginLife() {
-  life_began_ = Clock();
-  born_ = UnixNow();
-  beats_ = 0;
+// Restarts the own clock and the heartbeat count.
+void UsersExecutorRole::BeginIncarnation() {
+  own_clock_offset_ = ModelClock();
+  start_ms_ = UnixNow();
+  heartbeat_count_ = 0;
 }
 
-int64_t UsersExecutorRole::Clock() const {
+int64_t UsersExecutorRole::ModelClock() const {
   return std::chrono::duration_cast<Milliseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
-void UsersExecutorRole::StartHeartbeats(Publish publish) {
+void UsersExecutorRole::StartHeartbeats(PublishFunction publish) {
   boost::asio::post(executor(), [this, publish = std::move(publish)] {
     publish_ = publish;
     Heartbeat();
@@ -99,10 +99,10 @@
                         {"gpu", model_.capacity().accelerators}}},
                       {"labels", {"a", settings_.rack}},
                       {"clock_ms", OwnClock()},
-                      {"born", born_},
-                      {"seq", ++beats_}};
+                      {"born", start_ms_},
+                      {"seq", ++heartbeat_count_}};
   if (!silent_ && !down_) publish_(model_.id(), entry.dump());
-  timer_.expires_after(settings_.heartbeat);
+  timer_.expires_after(settings_.heartbeat_interval);
   timer_.async_wait([this](boost::system::error_code code) {
     if (!code) Heartbeat();
   });
@@ -113,7 +113,8 @@
   if (down_) return CloseOtherConnections();
   const std::string expected = exchange->Header("X-Expect-Instance");
   if (!expected.empty() && expected != model_.id()) {
-    return exchange->Answer(ProblemReply(kMisdirected, "another life"));
+    return exchange->Answer(
+        ProblemReply(kMisdirectedRequest, "another incarnation"));
   }
   const std::string path = exchange->path();
   const Json body =
@@ -125,32 +126,35 @@
     query.epoch = IntField(body, "fence").value_or(0);
     query.recorded_ends = IntField(body, "last_seen").value_or(0);
     if (const auto deadline = IntField(body, "deadline_ms")) {
-      query.lease_until = Milliseconds(*deadline + life_began_);
+      query.lease_until = Milliseconds(*deadline + own_clock_offset_);
     }
     const Milliseconds wait(IntField(body, "wait_ms").value_or(0));
-    return Hold(exchange, query, std::chrono::steady_clock::now() + wait);
+    return HandleStatusQuery(exchange, query,
+                             std::chrono::steady_clock::now() + wait);
   }
   if (!late) {
-    const Reply reply = Order(path, body);
+    const Reply reply = HandleOrder(path, body);
     const bool lost =
         std::uniform_real_distribution<double>(0, 1)(random_) < lost_share_;
     if (!lost) exchange->Answer(reply);
     return;
   }
-  // What is on its way to a life ends with it.
-  RunAfter(executor(), late_by_, [this, path, body, life = model_.life()] {
-    if (life == model_.life()) Order(path, body);
-  });
+  // An order does not reach an incarnation later than the one it was sent to.
+  RunAfter(executor(), late_delay_,
+           [this, path, body, incarnation = model_.incarnation()] {
+             if (incarnation == model_.incarnation()) HandleOrder(path, body);
+           });
 }
 
-Reply UsersExecutorRole::Order(const std::string& path, const Json& body) {
+Reply UsersExecutorRole::HandleOrder(const std::string& path,
+                                     const Json& body) {
   const auto task = ParseTaskRef(StringField(body, "task").value_or(""));
   if (!task) return ProblemReply(400, "no such task name");
   const int run = static_cast<int>(IntField(body, "run").value_or(0));
   const int64_t epoch = IntField(body, "fence").value_or(0);
   const Json clock = {{"clock_ms", OwnClock()}};
   if (path == "/v1/run-stop") {
-    const CallOutcome outcome = model_.Stop({*task, run, epoch}, Clock());
+    const CallOutcome outcome = model_.Stop({*task, run, epoch}, ModelClock());
     if (outcome == CallOutcome::kOk) return JsonReply(clock);
     return JsonReply({{"clock_ms", OwnClock()}, {"reason", "fence"}}, 409);
   }
@@ -158,7 +162,7 @@
     const int percent =
         static_cast<int>(IntField(body, "percent").value_or(kFullPace));
     const CallOutcome outcome =
-        model_.SetPace({*task, run, percent, epoch}, Clock());
+        model_.SetPace({*task, run, percent, epoch}, ModelClock());
     if (outcome == CallOutcome::kOk) return JsonReply(clock);
     const char* reason = outcome == CallOutcome::kFenced ? "fence" : "old";
     return JsonReply({{"clock_ms", OwnClock()}, {"reason", reason}}, 409);
@@ -170,12 +174,12 @@
   order.payload = StringField(body, "spec").value_or("");
   order.checkpoint = StringField(body, "checkpointed").value_or("");
   order.ticket = StringField(body, "ticket").value_or("");
-  order.deadline =
-      Milliseconds(IntField(body, "deadline_ms").value_or(0) + life_began_);
+  order.deadline = Milliseconds(IntField(body, "deadline_ms").value_or(0) +
+                                own_clock_offset_);
   order.epoch = epoch;
-  const StartOutcome outcome = model_.Start(order, Clock());
+  const StartOutcome outcome = model_.Start(order, ModelClock());
   if (outcome == StartOutcome::kAccepted) {
-    CrashUnder(order);
+    ScheduleCrash(order);
     return JsonReply(clock);
   }
   const char* reason = "old";
@@ -184,50 +188,53 @@
   return JsonReply({{"clock_ms", OwnClock()}, {"reason", reason}}, 409);
 }
 
-void UsersExecutorRole::CrashUnder(const StartOrder& order) {
+void UsersExecutorRole::ScheduleCrash(const StartOrder& order) {
   const auto delay = UsersExecutorModel::CrashDelay(order);
   if (!delay) return;
-  RunAfter(executor(), *delay, [this, life = model_.life()] {
-    if (life == model_.life()) CrashSilently(keeps_id_);
+  RunAfter(executor(), *delay, [this, incarnation = model_.incarnation()] {
+    if (incarnation == model_.incarnation()) CrashAndRestart(keeps_id_);
   });
 }
 
-void UsersExecutorRole::CrashSilently(bool keep_id) {
-  const std::string old = model_.id();
+void UsersExecutorRole::CrashAndRestart(bool keep_id) {
+  const std::string old_id = model_.id();
   if (keep_id) {
-    model_.Restart(Clock());
+    model_.Restart(ModelClock());
   } else {
-    model_.Crash(Clock());
+    model_.Crash(ModelClock());
   }
   down_ = true;
   CloseOtherConnections();
-  RunAfter(executor(), restart_, [this, life = model_.life()] {
-    if (life != model_.life()) return;
-    down_ = false;
-    BeginLife();
-  });
+  RunAfter(executor(), restart_time_,
+           [this, incarnation = model_.incarnation()] {
+             if (incarnation != model_.incarnation()) return;
+             down_ = false;
+             BeginIncarnation();
+           });
   if (keep_id) return;
-  RunAfter(executor(), settings_.heartbeat * kMissedBeats, [this, old] {
-    if (publish_) publish_(old, std::nullopt);
-  });
+  RunAfter(executor(), settings_.heartbeat_interval * kMissedHeartbeats,
+           [this, old_id] {
+             if (publish_) publish_(old_id, std::nullopt);
+           });
 }
 
-void UsersExecutorRole::Hold(const ExchangePtr& exchange,
-                             const StatusQuery& query, Time until) {
+void UsersExecutorRole::HandleStatusQuery(const ExchangePtr& exchange,
+                                          const StatusQuery& query,
+                                          Time until) {
   WorkerStatusReport report;
-  const CallOutcome outcome = model_.Status(query, Clock(), &report);
+  const CallOutcome outcome = model_.Status(query, ModelClock(), &report);
   if (outcome != CallOutcome::kOk) {
     return exchange->Answer(
         JsonReply({{"clock_ms", OwnClock()}, {"reason", "fence"}}, 409));
   }
-  report.clock -= Milliseconds(life_began_);
-  const bool ready = model_.HasEndBehind(query.recorded_ends, Clock()) ||
+  report.clock -= Milliseconds(own_clock_offset_);
+  const bool ready = model_.HasEndAfter(query.recorded_ends, ModelClock()) ||
                      std::chrono::steady_clock::now() >= until;
-  if (ready) return exchange->Answer(JsonReply(ReportBody(report, born_)));
-  RunAfter(executor(), kHoldTick,
-           [this, exchange, query, until, life = model_.life()] {
-             if (silent_ || life != model_.life()) return;
-             Hold(exchange, query, until);
+  if (ready) return exchange->Answer(JsonReply(ReportBody(report, start_ms_)));
+  RunAfter(executor(), kHoldPollInterval,
+           [this, exchange, query, until, incarnation = model_.incarnation()] {
+             if (silent_ || incarnation != model_.incarnation()) return;
+             HandleStatusQuery(exchange, query, until);
            });
 }
 
@@ -263,26 +270,26 @@
       NumberField(control, "lost_percent").value_or(lost_share_ * 100) / 100;
   if (BoolField(control, "reset").value_or(false)) CloseOtherConnections();
   if (const auto factor = NumberField(control, "slowdown")) {
-    model_.set_slowdown(*factor, Clock());
+    model_.set_slowdown(*factor, ModelClock());
   }
-  ReadField(control, "restart_ms", &restart_);
+  ReadField(control, "restart_ms", &restart_time_);
   ReadField(control, "keeps_id", &keeps_id_);
   if (BoolField(control, "restart").value_or(false)) {
-    CrashSilently(/*keep_id=*/true);
+    CrashAndRestart(/*keep_id=*/true);
   }
   if (const auto percent = IntField(control, "capacity_percent")) {
-    model_.set_capacity_percent(*percent, Clock());
+    model_.set_capacity_percent(*percent, ModelClock());
   }
   if (const auto on = BoolField(control, "fail_all")) model_.set_fail_all(*on);
   if (const auto on = BoolField(control, "stalled")) {
-    model_.set_stalled(*on, Clock());
+    model_.set_stalled(*on, ModelClock());
   }
   if (BoolField(control, "crash").value_or(false)) {
-    const std::string old = model_.id();
-    model_.Crash(Clock());
-    BeginLife();
+    const std::string old_id = model_.id();
+    model_.Crash(ModelClock());
+    BeginIncarnation();
     CloseOtherConnections();
-    if (publish_) publish_(old, std::nullopt);
+    if (publish_) publish_(old_id, std::nullopt);
   }
   return true;
 }
--- a/tests/standins/users_executor_role.h
+++ b/tests/standins/users_executor_role.h
@@ -1,4 +1,5 @@
-// One of the users' executors over HTTP, with faults.
+// Stand-in for one of the users' executors: serves a UsersExecutorModel over
+// HTTP, with faults.
 #ifndef THORNPLANK_TESTS_STANDINS_USERS_EXECUTOR_ROLE_H_
 #define THORNPLANK_TESTS_STANDINS_USERS_EXECUTOR_ROLE_H_
 
@@ -19,20 +20,21 @@
   std::string failure_domain;
   std::string rack;
   Resources capacity;
-  Milliseconds heartbeat{300};
+  Milliseconds heartbeat_interval{300};
 };
 
 class UsersExecutorRole : public Role {
  public:
-  // Writes an entry of the registry; without a value it is removed.
-  using Publish =
+  // Writes the entry with an id to the registry of executors, or removes it if
+  // there is no value.
+  using PublishFunction =
       std::function<void(const std::string&, std::optional<std::string>)>;
 
   UsersExecutorRole(const boost::asio::any_io_executor& executor,
                     UsersExecutorSettings settings);
 
   // Starts to send heartbeats.
-  void StartHeartbeats(Publish publish);
+  void StartHeartbeats(PublishFunction publish);
 
  protected:
   void Handle(ExchangePtr exchange) override;
@@ -40,44 +42,51 @@
   bool ApplyControl(const Json& control, Error* error) override;
 
  private:
-  // The model's time, in which histories of all executors compare.
-  int64_t Clock() const;
-  // What the executor's own clock shows: it begins anew with each life.
-  int64_t OwnClock() const { return Clock() - life_began_; }
+  // Clock of the model, in milliseconds. It is the same for all executors, so
+  // that their histories can be compared.
+  int64_t ModelClock() const;
+  // Clock that the executor shows to others, which restarts with each
+  // incarnation.
+  int64_t OwnClock() const { return ModelClock() - own_clock_offset_; }
+  // Publishes the entry and schedules the next heartbeat.
   void Heartbeat();
-  void Hold(const ExchangePtr& exchange, const StatusQuery& query, Time until);
-  Reply Order(const std::string& path, const Json& body);
-  // The task that was just started takes the executor down, if it does so.
-  void CrashUnder(const StartOrder& order);
-  // Everything ends. The next life answers a moment later, under a new id,
-  // where the entry of this one lapses, or under the same.
-  void CrashSilently(bool keep_id);
-  void BeginLife();
+  // Answers once there is an end to report, and at `until` at the latest.
+  void HandleStatusQuery(const ExchangePtr& exchange, const StatusQuery& query,
+                         Time until);
+  // Carries out a start, stop or pace order.
+  Reply HandleOrder(const std::string& path, const Json& body);
+  // Schedules the crash that the payload of a started task asks for, if any.
+  void ScheduleCrash(const StartOrder& order);
+  // Ends all runs. The next incarnation answers after restart_time_, with the
+  // same id, or with a new one; then the entry of the present one expires.
+  void CrashAndRestart(bool keep_id);
+  void BeginIncarnation();
 
   const UsersExecutorSettings settings_;
   UsersExecutorModel model_;
   boost::asio::steady_timer timer_;
-  Publish publish_;
+  PublishFunction publish_;
   std::mt19937 random_;
   bool silent_ = false;
-  // Between two lives: nobody listens.
+  // Between two incarnations, when no call is answered.
   bool down_ = false;
   bool draining_ = false;
-  // Share of the orders that get no answer and are carried out later.
+  // Share of the orders that get no answer and are carried out after
+  // late_delay_.
   double late_share_ = 0;
   // Share of the orders that are carried out and get no answer.
   double lost_share_ = 0;
-  Milliseconds late_by_{2500};
-  int64_t beats_ = 0;
-  // What its clock, which begins anew with each life, is behind the model's.
-  // The first life is that of a machine which was up for long.
-  int64_t life_began_ = 0;
-  // In Unix milliseconds.
-  int64_t born_ = 0;
-  // It is back under its id after a crash by a task.
+  Milliseconds late_delay_{2500};
+  int64_t heartbeat_count_ = 0;
+  // Milliseconds by which the own clock is behind the clock of the model. It is
+  // 0 in the first incarnation, like on a machine that has been up for long.
+  int64_t own_clock_offset_ = 0;
+  // Start of the incarnation, in Unix milliseconds.
+  int64_t start_ms_ = 0;
+  // Whether the executor keeps its id when a task crashes it.
   bool keeps_id_ = false;
-  // From a crash until the next life answers.
-  Milliseconds restart_{300};
+  // From a crash until the next incarnation answers.
+  Milliseconds restart_time_{300};
 };
 
 }  // namespace thornplank::standins
--- a/tests/standins/users_store_model.cc
+++ b/tests/standins/users_store_model.cc
@@ -1,4 +1,4 @@
-// Fencing, conditions and repeats of appends.
+// Checks the epochs, sequence numbers and conditions of appends.
 #include "standins/users_store_model.h"
 
 namespace thornplank::standins {
@@ -75,13 +75,13 @@
   if (it == logs_.end()) return result;
   const Log& log = it->second;
   result.end = log.end();
-  if (from < log.first) {
+  if (from < log.first_offset) {
     result.outcome = ReadOutcome::kTrimmed;
     return result;
   }
   for (int64_t offset = from; offset < log.end(); ++offset) {
     result.records.push_back(
-        log.records[static_cast<size_t>(offset - log.first)]);
+        log.records[static_cast<size_t>(offset - log.first_offset)]);
   }
   return result;
 }
@@ -114,7 +114,7 @@
 
 void UsersStoreModel::DropHistory() {
   for (auto& [name, log] : logs_) {
-    log.first = log.end();
+    log.first_offset = log.end();
     log.records.clear();
   }
 }
--- a/tests/standins/users_store_model.h
+++ b/tests/standins/users_store_model.h
@@ -1,5 +1,6 @@
-// The users' log store without its transport: keyed topics, conditional and
-// fenced appends, by its published protocol.
+// Model of the users' log store, without its transport: partitions of keyed
+// records, conditional appends and fenced appends, as its published protocol
+// defines them.
 #ifndef THORNPLANK_TESTS_STANDINS_USERS_STORE_MODEL_H_
 #define THORNPLANK_TESTS_STANDINS_USERS_STORE_MODEL_H_
 
@@ -18,31 +19,39 @@
  public:
   AppendResult Append(const AppendRequest& request);
   ReadResult Read(const Partition& partition, int64_t from) const;
-  // At most `limit` records behind `after_key`.
+  // At most `limit` newest records of the keys after `after_key`.
   NewestPage ReadNewest(const Partition& partition,
                         const std::string& after_key, size_t limit = 500) const;
+  // Offset after the last record.
   int64_t end(const Partition& partition) const;
-  // Drops the history of every partition; the newest of each key stays.
+  // Removes all records from reads by offset. The newest record of each key
+  // stays readable by ReadNewest.
   void DropHistory();
 
  private:
   struct Producer {
     int64_t epoch = -1;
     int64_t next_sequence = 0;
-    // The last five appends of the epoch, to answer repeats.
+    // Sequence numbers and results of the last kRememberedAppends appends, to
+    // answer repeated ones.
     std::deque<std::pair<int64_t, AppendResult>> recent;
   };
   struct Log {
+    // records[i] has the offset first_offset + i.
     std::vector<KeyedRecord> records;
-    int64_t first = 0;
+    int64_t first_offset = 0;
+    // Newest record of each key.
     std::map<std::string, KeyedRecord> newest;
     std::map<std::string, Producer> producers;
 
-    int64_t end() const { return first + static_cast<int64_t>(records.size()); }
+    int64_t end() const {
+      return first_offset + static_cast<int64_t>(records.size());
+    }
   };
 
   AppendResult Store(Log* log, const std::vector<KeyedRecord>& records);
 
+  // By stream and partition number.
   std::map<std::pair<std::string, int>, Log> logs_;
 };
 
--- a/tests/standins/users_store_role.cc
+++ b/tests/standins/users_store_role.cc
@@ -1,4 +1,4 @@
-// Calls of the users' store.
+// Implements the calls and faults of the users' store.
 #include "standins/users_store_role.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Milliseconds kReaderTick{10};
+constexpr Milliseconds kReaderPollInterval{10};
 constexpr char kExecutorsTopic[] = "keyed.servers";
 constexpr char kOperatorTopic[] = "keyed.op";
 
@@ -38,7 +38,7 @@
   return text;
 }
 
-// The records in the form of the wire.
+// The records of a request body.
 std::vector<KeyedRecord> Decode(const std::string& body) {
   std::vector<KeyedRecord> records;
   DecodeRecords(body, 0, &records);
@@ -86,7 +86,7 @@
 UsersStoreRole::UsersStoreRole(const boost::asio::any_io_executor& executor,
                                UsersStoreSettings settings)
     : Role(executor), settings_(std::move(settings)), timer_(executor) {
-  WakeReaders();
+  AnswerDueReads();
 }
 
 void UsersStoreRole::Publish(const std::string& id,
@@ -100,7 +100,7 @@
   });
 }
 
-bool UsersStoreRole::Chance(double share) {
+bool UsersStoreRole::IsSelected(double share) {
   return std::uniform_real_distribution<double>(0, 1)(random_) < share;
 }
 
@@ -108,14 +108,15 @@
   ++calls_;
   if (mode_ == "silent") return;
   if (mode_ == "busy") return exchange->Answer(ProblemReply(503, "busy"));
-  RunAfter(executor(), settings_.answer_time + slow_, [this, exchange] {
-    if (mode_ != "up") return;
-    const std::string path = exchange->path();
-    if (path == "/v1/log-append") return Append(exchange);
-    if (path == "/v1/log-read") return Read(exchange);
-    if (path == "/v1/log-newest") return Newest(exchange);
-    exchange->Answer(ProblemReply(404, "no such call"));
-  });
+  RunAfter(executor(), settings_.answer_time + extra_answer_time_,
+           [this, exchange] {
+             if (mode_ != "up") return;
+             const std::string path = exchange->path();
+             if (path == "/v1/log-append") return Append(exchange);
+             if (path == "/v1/log-read") return Read(exchange);
+             if (path == "/v1/log-newest") return ReadNewest(exchange);
+             exchange->Answer(ProblemReply(404, "no such call"));
+           });
 }
 
 void UsersStoreRole::Append(const ExchangePtr& exchange) {
@@ -130,12 +131,12 @@
         ProducerPosition{producer, exchange->QueryNumber("epoch", 0),
                          exchange->QueryNumber("seq", 0)};
   }
-  if (Chance(late_share_)) {
-    return RunAfter(executor(), late_by_,
+  if (IsSelected(late_share_)) {
+    return RunAfter(executor(), late_delay_,
                     [this, request] { model_.Append(request); });
   }
   const AppendResult result = model_.Append(request);
-  if (Chance(lost_share_)) return;
+  if (IsSelected(lost_share_)) return;
   exchange->Answer(AppendReply(result));
 }
 
@@ -144,7 +145,7 @@
   const int64_t from = exchange->QueryNumber("from", 0);
   const Milliseconds wait(exchange->QueryNumber("wait_ms", 0));
   if (wait.count() > 0 && model_.end(partition) <= from) {
-    waiting_.push_back(
+    waiting_reads_.push_back(
         {exchange, partition, from, std::chrono::steady_clock::now() + wait});
     return;
   }
@@ -164,23 +165,23 @@
   exchange->Answer(std::move(reply));
 }
 
-void UsersStoreRole::WakeReaders() {
+void UsersStoreRole::AnswerDueReads() {
   const Time now = std::chrono::steady_clock::now();
-  for (auto it = waiting_.begin(); it != waiting_.end();) {
+  for (auto it = waiting_reads_.begin(); it != waiting_reads_.end();) {
     const auto read = it++;
     if (mode_ == "silent") continue;
     const bool ready = model_.end(read->partition) > read->from;
-    if (!ready && now < read->until) continue;
+    if (!ready && now < read->deadline) continue;
     AnswerRead(read->exchange, read->partition, read->from);
-    waiting_.erase(read);
+    waiting_reads_.erase(read);
   }
-  timer_.expires_after(kReaderTick);
+  timer_.expires_after(kReaderPollInterval);
   timer_.async_wait([this](boost::system::error_code code) {
-    if (!code) WakeReaders();
+    if (!code) AnswerDueReads();
   });
 }
 
-void UsersStoreRole::Newest(const ExchangePtr& exchange) {
+void UsersStoreRole::ReadNewest(const ExchangePtr& exchange) {
   const NewestPage page = model_.ReadNewest(
       PartitionOf(*exchange), QueryText(exchange->request(), "depends_on"));
   Json items = Json::array();
@@ -207,7 +208,7 @@
     return false;
   }
   mode_ = StringField(control, "mode").value_or(mode_);
-  ReadField(control, "slow_ms", &slow_);
+  ReadField(control, "slow_ms", &extra_answer_time_);
   lost_share_ =
       NumberField(control, "lost_percent").value_or(lost_share_ * 100) / 100;
   late_share_ =
@@ -215,19 +216,19 @@
   if (BoolField(control, "drop_history").value_or(false)) model_.DropHistory();
   const std::string key = StringField(control, "key").value_or("config");
   if (const auto value = StringField(control, "put_operator")) {
-    Put(kOperatorTopic, key, *value);
+    PutRecord(kOperatorTopic, key, *value);
   }
   if (const auto dropped = StringField(control, "drop_operator")) {
-    Put(kOperatorTopic, *dropped, std::nullopt);
+    PutRecord(kOperatorTopic, *dropped, std::nullopt);
   }
   if (const auto value = StringField(control, "put_directory")) {
-    Put(kExecutorsTopic, key, *value);
+    PutRecord(kExecutorsTopic, key, *value);
   }
   return true;
 }
 
-void UsersStoreRole::Put(const std::string& topic, const std::string& key,
-                         const std::optional<std::string>& value) {
+void UsersStoreRole::PutRecord(const std::string& topic, const std::string& key,
+                               const std::optional<std::string>& value) {
   AppendRequest request;
   request.partition = {topic, 0};
   request.records = {{key, value, 0}};
--- a/tests/standins/users_store_role.h
+++ b/tests/standins/users_store_role.h
@@ -1,4 +1,5 @@
-// The users' store over HTTP, with faults.
+// Stand-in for the users' store: serves a UsersStoreModel over HTTP, with
+// faults.
 #ifndef THORNPLANK_TESTS_STANDINS_USERS_STORE_ROLE_H_
 #define THORNPLANK_TESTS_STANDINS_USERS_STORE_ROLE_H_
 
@@ -13,7 +14,7 @@
 
 struct UsersStoreSettings {
   std::string listen;
-  // Of each answer.
+  // Delay of each answer.
   Milliseconds answer_time{2};
 };
 
@@ -22,7 +23,8 @@
   UsersStoreRole(const boost::asio::any_io_executor& executor,
                  UsersStoreSettings settings);
 
-  // An executor's entry; without a value it is removed. Any thread.
+  // Writes the registry entry of an executor, or removes it if there is no
+  // value. May be called on any thread.
   void Publish(const std::string& id, std::optional<std::string> entry);
 
  protected:
@@ -31,37 +33,39 @@
   bool ApplyControl(const Json& control, Error* error) override;
 
  private:
-  void Put(const std::string& topic, const std::string& key,
-           const std::optional<std::string>& value);
-  // A read that waits for a record.
-  struct Waiting {
+  void PutRecord(const std::string& topic, const std::string& key,
+                 const std::optional<std::string>& value);
+  // A long-poll read that waits for a record.
+  struct WaitingRead {
     ExchangePtr exchange;
     Partition partition;
     int64_t from = 0;
-    Time until{};
+    Time deadline{};
   };
 
   void Append(const ExchangePtr& exchange);
   void Read(const ExchangePtr& exchange);
-  void Newest(const ExchangePtr& exchange);
+  void ReadNewest(const ExchangePtr& exchange);
   void AnswerRead(const ExchangePtr& exchange, const Partition& partition,
                   int64_t from);
-  void WakeReaders();
-  bool Chance(double share);
+  // Answers the waiting reads that are due, and schedules the next check.
+  void AnswerDueReads();
+  // True with the probability `share`.
+  bool IsSelected(double share);
 
   const UsersStoreSettings settings_;
   UsersStoreModel model_;
-  std::list<Waiting> waiting_;
+  std::list<WaitingRead> waiting_reads_;
   boost::asio::steady_timer timer_;
   std::mt19937 random_{1};
   // "up", "busy" (503) or "silent".
   std::string mode_ = "up";
-  Milliseconds slow_{0};
-  // Shares of the appends that are done without an answer, and of those that
-  // are done later without an answer.
+  Milliseconds extra_answer_time_{0};
+  // Share of the appends that are stored without an answer, and share of those
+  // that are stored after late_delay_ without an answer.
   double lost_share_ = 0;
   double late_share_ = 0;
-  Milliseconds late_by_{1500};
+  Milliseconds late_delay_{1500};
   int64_t calls_ = 0;
 };
 
