--- a/tests/standins/endpoints.cc
+++ b/tests/standins/endpoints.cc
@@ -1,4 +1,4 @@
-// Parsing of addresses and opening of acceptors.
+// Parses addresses and opens acceptors.
 #include "standins/endpoints.h"
 
 #include <charconv>
--- a/tests/standins/endpoints.h
+++ b/tests/standins/endpoints.h
@@ -1,4 +1,4 @@
-// Addresses in text form, and listening on them.
+// Converts endpoints to and from text, and opens listening sockets.
 #ifndef THORNPLANK_TESTS_STANDINS_ENDPOINTS_H_
 #define THORNPLANK_TESTS_STANDINS_ENDPOINTS_H_
 
@@ -10,14 +10,15 @@
 
 namespace thornplank::standins {
 
-// Parses "ip:port"; fills `*error` on failure.
+// Parses "ip:port"; sets `*error` on failure.
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(
     const std::string& address, Error* error);
 
 // "ip:port".
 std::string ToString(const boost::asio::ip::tcp::endpoint& endpoint);
 
-// Opens, binds and listens; on failure `*acceptor` is closed.
+// Opens and binds `*acceptor` and starts to listen. Returns false and closes
+// `*acceptor` on failure.
 bool Listen(const boost::asio::ip::tcp::endpoint& endpoint,
             boost::asio::ip::tcp::acceptor* acceptor, Error* error);
 
--- a/tests/standins/executor_role.cc
+++ b/tests/standins/executor_role.cc
@@ -1,4 +1,4 @@
-// Runs, refusals and faults of an executor.
+// Runs requests, refuses them, and applies the faults of an executor.
 #include "standins/executor_role.h"
 
 #include <xxhash.h>
@@ -15,10 +15,11 @@
 
 constexpr size_t kMaxRuns = 200000;
 constexpr size_t kEchoBytes = 4096;
-// A leaving executor still takes new work for this long.
+// A leaving executor still accepts new work for this long.
 constexpr Milliseconds kLeavingGrace{2000};
-// An answer held back for crossing goes out alone after this long.
-constexpr Milliseconds kCrossWait{2000};
+// An answer that is held back to be swapped is sent unchanged after this time
+// if no other answer follows.
+constexpr Milliseconds kCrossTimeout{2000};
 constexpr char kRequestId[] = "Thornplank-Request-Id";
 
 std::string Digest(const std::string& body) {
@@ -28,7 +29,7 @@
   return text;
 }
 
-bool TakeOne(int64_t* count) {
+bool ConsumeOne(int64_t* count) {
   if (*count <= 0) return false;
   --*count;
   return true;
@@ -52,7 +53,7 @@
 }
 
 void ExecutorRole::Handle(ExchangePtr exchange) {
-  // Let go without an answer.
+  // The exchange is dropped without an answer.
   if (faults_.silent) return;
   if (exchange->request().method() == http::verb::get) {
     bool known = exchange->path() == "/healthz";
@@ -65,19 +66,19 @@
   if (faults_.fail_fast) {
     return Send(exchange, ProblemReply(500, "fails at once"));
   }
-  if (RefusesAsLeaving()) return Refuse(exchange, "leaving");
-  if (busy_ >= settings_.slots) return Refuse(exchange, "no free slot");
-  Begin(exchange);
+  if (IsRefusingAsLeaving()) return Refuse(exchange, "leaving");
+  if (busy_slots_ >= settings_.slots) return Refuse(exchange, "no free slot");
+  StartRun(exchange);
 }
 
-bool ExecutorRole::RefusesAsLeaving() const {
+bool ExecutorRole::IsRefusingAsLeaving() const {
   return leaving_since_ &&
          std::chrono::steady_clock::now() - *leaving_since_ >= kLeavingGrace;
 }
 
 void ExecutorRole::Refuse(const ExchangePtr& exchange,
                           const std::string& reason) {
-  ++refused_;
+  ++refused_requests_;
   Reply reply = ProblemReply(503, reason);
   reply.headers.emplace_back("Thornplank-Not-Run", "1");
   std::string id = exchange->Header(kRequestId);
@@ -85,47 +86,48 @@
   Send(exchange, std::move(reply));
 }
 
-void ExecutorRole::Begin(const ExchangePtr& exchange) {
-  ++busy_;
-  int64_t serial = ++runs_total_;
+void ExecutorRole::StartRun(const ExchangePtr& exchange) {
+  ++busy_slots_;
+  int64_t run_number = ++runs_total_;
   runs_.push_back({exchange->Header(kRequestId),
                    exchange->Header("Idempotency-Key"),
                    Digest(exchange->request().body()),
                    ToUnixMilliseconds(std::chrono::system_clock::now())});
   if (runs_.size() > kMaxRuns) runs_.pop_front();
-  RunAfter(executor(), settings_.service_time + faults_.late,
-           [this, exchange, serial] { Finish(exchange, serial); });
+  RunAfter(executor(), settings_.service_time + faults_.extra_delay,
+           [this, exchange, run_number] { FinishRun(exchange, run_number); });
 }
 
-void ExecutorRole::Finish(const ExchangePtr& exchange, int64_t serial) {
-  --busy_;
-  if (TakeOne(&faults_.close_after_request)) return exchange->Close();
-  Reply reply = MakeAnswer(exchange, serial);
-  if (TakeOne(&faults_.truncate_next)) {
-    return exchange->AnswerHalf(std::move(reply));
+void ExecutorRole::FinishRun(const ExchangePtr& exchange, int64_t run_number) {
+  --busy_slots_;
+  if (ConsumeOne(&faults_.close_after_request)) return exchange->Close();
+  Reply reply = MakeAnswer(exchange, run_number);
+  if (ConsumeOne(&faults_.truncate_next)) {
+    return exchange->AnswerTruncated(std::move(reply));
   }
-  if (held_ || faults_.cross_next > 0) {
-    return Cross({exchange, std::move(reply)});
+  if (held_answer_ || faults_.cross_next > 0) {
+    return CrossAnswers({exchange, std::move(reply)});
   }
   Send(exchange, std::move(reply));
 }
 
-void ExecutorRole::Cross(Finished finished) {
-  if (held_) {
-    Finished first = std::move(*held_);
-    held_.reset();
+void ExecutorRole::CrossAnswers(HeldAnswer answer) {
+  if (held_answer_) {
+    HeldAnswer first = std::move(*held_answer_);
+    held_answer_.reset();
     --faults_.cross_next;
-    Send(first.exchange, std::move(finished.reply));
-    Send(finished.exchange, std::move(first.reply));
+    Send(first.exchange, std::move(answer.reply));
+    Send(answer.exchange, std::move(first.reply));
     return;
   }
-  held_ = std::move(finished);
-  RunAfter(executor(), kCrossWait, [this, exchange = held_->exchange] {
-    if (!held_ || held_->exchange != exchange) return;
-    Reply reply = std::move(held_->reply);
-    held_.reset();
-    Send(exchange, std::move(reply));
-  });
+  held_answer_ = std::move(answer);
+  RunAfter(executor(), kCrossTimeout,
+           [this, exchange = held_answer_->exchange] {
+             if (!held_answer_ || held_answer_->exchange != exchange) return;
+             Reply reply = std::move(held_answer_->reply);
+             held_answer_.reset();
+             Send(exchange, std::move(reply));
+           });
 }
 
 void ExecutorRole::Send(const ExchangePtr& exchange, Reply reply) {
@@ -133,13 +135,14 @@
   exchange->Answer(std::move(reply));
 }
 
-Reply ExecutorRole::MakeAnswer(const ExchangePtr& exchange, int64_t serial) {
+Reply ExecutorRole::MakeAnswer(const ExchangePtr& exchange,
+                               int64_t run_number) {
   std::string id = exchange->Header(kRequestId);
   Json body = {{"executor", settings_.name},
                {"request_id", id},
                {"echo", exchange->request().body().substr(0, kEchoBytes)},
-               {"run", serial}};
-  if (TakeOne(&faults_.oversize_next)) {
+               {"run", run_number}};
+  if (ConsumeOne(&faults_.oversize_next)) {
     body["padding"] =
         std::string(static_cast<size_t>(faults_.oversize_bytes), 'x');
   }
@@ -156,12 +159,10 @@
                     {"digest", run.digest},
                     {"time_ms", run.time_ms}});
   }
-  return {{"executor", settings_.name},
-          {"runs", std::move(runs)},
-          {"runs_total", runs_total_},
-          {"refused", refused_},
-          {"busy", busy_},
-          {"connections", listener().connections()}};
+  return {
+      {"executor", settings_.name}, {"runs", std::move(runs)},
+      {"runs_total", runs_total_},  {"refused", refused_requests_},
+      {"busy", busy_slots_},        {"connections", listener().connections()}};
 }
 
 bool ExecutorRole::ApplyControl(const Json& control, Error* error) {
@@ -172,7 +173,7 @@
           error)) {
     return false;
   }
-  ReadField(control, "late_ms", &faults_.late);
+  ReadField(control, "late_ms", &faults_.extra_delay);
   ReadField(control, "cross_next", &faults_.cross_next);
   ReadField(control, "truncate_next", &faults_.truncate_next);
   ReadField(control, "fail_fast", &faults_.fail_fast);
--- a/tests/standins/executor_role.h
+++ b/tests/standins/executor_role.h
@@ -1,5 +1,5 @@
-// An executor: a few slots, a bound on connections, a record of every run,
-// and the ways in which an upstream goes wrong.
+// Stand-in for an executor: limited slots and connections, a history of its
+// runs, and the faults of a failing upstream.
 #ifndef THORNPLANK_TESTS_STANDINS_EXECUTOR_ROLE_H_
 #define THORNPLANK_TESTS_STANDINS_EXECUTOR_ROLE_H_
 
@@ -27,7 +27,7 @@
   ExecutorRole(const boost::asio::any_io_executor& executor,
                ExecutorSettings settings);
 
-  // The entry of this executor in the instance list.
+  // This executor as it is listed in the instance list.
   Json Instance() const;
 
  protected:
@@ -42,13 +42,14 @@
     std::string digest;
     int64_t time_ms = 0;
   };
-  struct Finished {
+  struct HeldAnswer {
     ExchangePtr exchange;
     Reply reply;
   };
-  // The counts say how many of the next answers go wrong in that way.
+  // Members of type int64_t, except oversize_bytes, hold the number of answers
+  // that the fault still affects.
   struct Faults {
-    Milliseconds late{0};
+    Milliseconds extra_delay{0};
     int64_t cross_next = 0;
     int64_t truncate_next = 0;
     bool fail_fast = false;
@@ -58,27 +59,28 @@
     int64_t oversize_bytes = 16 * 1024 * 1024;
   };
 
-  // True when new work is refused because the executor is leaving.
-  bool RefusesAsLeaving() const;
+  // Whether the executor is leaving and its grace period for new work is over.
+  bool IsRefusingAsLeaving() const;
   void Refuse(const ExchangePtr& exchange, const std::string& reason);
-  void Begin(const ExchangePtr& exchange);
-  void Finish(const ExchangePtr& exchange, int64_t serial);
-  // Holds one answer back and swaps it with the next.
-  void Cross(Finished finished);
+  void StartRun(const ExchangePtr& exchange);
+  void FinishRun(const ExchangePtr& exchange, int64_t run_number);
+  // Holds back every other answer and swaps its body with that of the next.
+  void CrossAnswers(HeldAnswer answer);
   void Send(const ExchangePtr& exchange, Reply reply);
-  Reply MakeAnswer(const ExchangePtr& exchange, int64_t serial);
+  Reply MakeAnswer(const ExchangePtr& exchange, int64_t run_number);
 
   const ExecutorSettings settings_;
   Faults faults_;
-  // Set while leaving: since when.
+  // Set while the executor is leaving.
   std::optional<Time> leaving_since_;
   // Slots in use; at most settings_.slots.
-  int64_t busy_ = 0;
-  std::optional<Finished> held_;
-  // The last runs, bounded; runs_total_ counts all.
+  int64_t busy_slots_ = 0;
+  // An answer that waits for another one to be swapped with.
+  std::optional<HeldAnswer> held_answer_;
+  // The last kMaxRuns runs; runs_total_ counts all.
   std::deque<Run> runs_;
   int64_t runs_total_ = 0;
-  int64_t refused_ = 0;
+  int64_t refused_requests_ = 0;
 };
 
 }  // namespace thornplank::standins
--- a/tests/standins/http_listener.cc
+++ b/tests/standins/http_listener.cc
@@ -1,4 +1,4 @@
-// The listener and its connections, on Boost.Beast.
+// Implements the listener and its connections with Boost.Beast.
 #include "standins/http_listener.h"
 
 #include <charconv>
@@ -18,12 +18,14 @@
 
 }  // namespace
 
-// One connection: reads a request, hands it on, writes its answer, repeats.
+// One connection. Reads a request, passes it to the handler, writes the answer,
+// and reads the next request.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(HttpListener* listener, tcp::socket socket)
       : listener_(listener), socket_(std::move(socket)) {
-    // WatchPeer must never block the strand.
+    // Non-blocking, so that the receive in WatchForClose cannot block the
+    // strand.
     error_code ignored;
     socket_.non_blocking(true, ignored);
   }
@@ -39,7 +41,7 @@
   }
 
   void Answer(Reply reply, const HttpRequest& request) {
-    pending_ = false;
+    answer_due_ = false;
     auto message = MakeMessage(std::move(reply), request);
     http::async_write(
         socket_, *message,
@@ -49,13 +51,13 @@
         });
   }
 
-  void AnswerHalf(Reply reply, const HttpRequest& request) {
-    pending_ = false;
-    size_t cut = (reply.body.size() + 1) / 2;
+  void AnswerTruncated(Reply reply, const HttpRequest& request) {
+    answer_due_ = false;
+    size_t omitted_bytes = (reply.body.size() + 1) / 2;
     std::ostringstream stream;
     stream << *MakeMessage(std::move(reply), request);
     auto bytes = std::make_shared<std::string>(stream.str());
-    bytes->resize(bytes->size() - cut);
+    bytes->resize(bytes->size() - omitted_bytes);
     net::async_write(socket_, net::buffer(*bytes),
                      [self = shared_from_this(), bytes](error_code, size_t) {
                        self->Close();
@@ -85,25 +87,26 @@
   }
 
   void Handle() {
-    pending_ = true;
-    ++serial_;
+    answer_due_ = true;
+    ++requests_;
     listener_->handler_(
         std::make_shared<Exchange>(shared_from_this(), parser_->release()));
-    if (pending_) WatchPeer();
+    if (answer_due_) WatchForClose();
   }
 
-  // Notices a peer that gives up while its answer is outstanding.
-  void WatchPeer() {
+  // Closes the connection if the peer closes it while its answer is
+  // outstanding.
+  void WatchForClose() {
     socket_.async_wait(
         tcp::socket::wait_read,
-        [self = shared_from_this(), serial = serial_](error_code error) {
-          if (error || !self->pending_ || serial != self->serial_) return;
+        [self = shared_from_this(), number = requests_](error_code error) {
+          if (error || !self->answer_due_ || number != self->requests_) return;
           char byte = 0;
           error_code peeked;
           self->socket_.receive(net::buffer(&byte, 1),
                                 tcp::socket::message_peek, peeked);
-          // Readiness may be stale: an event from before the last read.
-          if (peeked == net::error::would_block) return self->WatchPeer();
+          // The readiness event may be stale, left from before the last read.
+          if (peeked == net::error::would_block) return self->WatchForClose();
           if (peeked) self->Close();
         });
   }
@@ -112,10 +115,10 @@
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::string_body>> parser_;
-  // True between a request and the start of its answer.
-  bool pending_ = false;
-  // Counts the requests of this connection.
-  uint64_t serial_ = 0;
+  // Whether a request was read whose answer has not been started.
+  bool answer_due_ = false;
+  // Number of requests read on this connection.
+  uint64_t requests_ = 0;
 };
 
 Reply JsonReply(const Json& body, int status) {
@@ -171,17 +174,17 @@
 }
 
 void Exchange::Answer(Reply reply) {
-  if (std::exchange(done_, true)) return;
+  if (std::exchange(completed_, true)) return;
   session_->Answer(std::move(reply), request_);
 }
 
-void Exchange::AnswerHalf(Reply reply) {
-  if (std::exchange(done_, true)) return;
-  session_->AnswerHalf(std::move(reply), request_);
+void Exchange::AnswerTruncated(Reply reply) {
+  if (std::exchange(completed_, true)) return;
+  session_->AnswerTruncated(std::move(reply), request_);
 }
 
 void Exchange::Close() {
-  if (std::exchange(done_, true)) return;
+  if (std::exchange(completed_, true)) return;
   session_->Close();
 }
 
@@ -204,10 +207,10 @@
   return ToString(acceptor_.local_endpoint(ignored));
 }
 
-void HttpListener::CloseConnections(const Session* kept) {
+void HttpListener::CloseConnectionsExcept(const Session* excluded) {
   auto sessions = sessions_;
   for (const auto& session : sessions) {
-    if (session.get() != kept) session->Close();
+    if (session.get() != excluded) session->Close();
   }
 }
 
--- a/tests/standins/instance_list_role.cc
+++ b/tests/standins/instance_list_role.cc
@@ -1,4 +1,4 @@
-// Versions of the instance list and its controls.
+// Keeps the versions of the instance list and applies its faults.
 #include "standins/instance_list_role.h"
 
 #include <xxhash.h>
@@ -16,10 +16,10 @@
 InstanceListRole::InstanceListRole(const boost::asio::any_io_executor& executor,
                                    const InstanceListSettings& settings)
     : Role(executor), lag_(settings.lag) {
-  SetInitial(settings.instances);
+  SetInitialInstances(settings.instances);
 }
 
-void InstanceListRole::SetInitial(const Json& instances) {
+void InstanceListRole::SetInitialInstances(const Json& instances) {
   versions_.clear();
   versions_.push_back({Time(), instances});
 }
@@ -29,7 +29,7 @@
     return exchange->Answer(ProblemReply(404, "no such resource"));
   }
   if (outage_) return exchange->Answer(ProblemReply(503, "outage"));
-  Trim(std::chrono::steady_clock::now());
+  RemoveOldVersions(std::chrono::steady_clock::now());
   WallTime as_of = std::chrono::system_clock::now() - lag_;
   const std::string text = versions_.front().instances.dump();
   const std::string etag =
@@ -57,7 +57,7 @@
   ReadField(control, "outage", &outage_);
   ReadField(control, "lag_ms", &lag_);
   if (const Json* instances = ArrayField(control, "instances")) {
-    Push(*instances);
+    AddVersion(*instances);
   }
   if (const Json* change = ObjectField(control, "set_state")) {
     SetState(StringField(*change, "name").value_or(""),
@@ -73,7 +73,7 @@
   for (Json& instance : instances) {
     if (IsNamed(instance, name)) instance["state"] = state;
   }
-  Push(std::move(instances));
+  AddVersion(std::move(instances));
 }
 
 void InstanceListRole::Remove(const std::string& name) {
@@ -81,16 +81,16 @@
   for (const Json& instance : versions_.back().instances) {
     if (!IsNamed(instance, name)) kept.push_back(instance);
   }
-  Push(std::move(kept));
+  AddVersion(std::move(kept));
 }
 
-void InstanceListRole::Push(Json instances) {
+void InstanceListRole::AddVersion(Json instances) {
   Time now = std::chrono::steady_clock::now();
-  Trim(now);
+  RemoveOldVersions(now);
   versions_.push_back({now, std::move(instances)});
 }
 
-void InstanceListRole::Trim(Time now) {
+void InstanceListRole::RemoveOldVersions(Time now) {
   while (versions_.size() > 1 && versions_[1].since <= now - lag_) {
     versions_.pop_front();
   }
--- a/tests/standins/instance_list_role.h
+++ b/tests/standins/instance_list_role.h
@@ -1,4 +1,5 @@
-// The instance list: answers describe the state of some time ago.
+// Stand-in for the instance list of the platform. Its answers show changes only
+// after a configurable lag.
 #ifndef THORNPLANK_TESTS_STANDINS_INSTANCE_LIST_ROLE_H_
 #define THORNPLANK_TESTS_STANDINS_INSTANCE_LIST_ROLE_H_
 
@@ -12,9 +13,9 @@
 struct InstanceListSettings {
   std::string listen;
   Milliseconds lag{2000};
-  // Adds the workers and executors of this process.
+  // Whether the workers and executors of this process are listed, too.
   bool include_own = false;
-  // As they travel; see docs/PROTOCOLS.md.
+  // In the wire format; see docs/PROTOCOLS.md.
   Json instances = Json::array();
 };
 
@@ -23,9 +24,8 @@
   InstanceListRole(const boost::asio::any_io_executor& executor,
                    const InstanceListSettings& settings);
 
-  // The instances at the start, without any lag. Call before the io_context
-  // runs.
-  void SetInitial(const Json& instances);
+  // Replaces the list without lag. Must be called before the io_context runs.
+  void SetInitialInstances(const Json& instances);
 
  protected:
   void Handle(ExchangePtr exchange) override;
@@ -34,20 +34,20 @@
 
  private:
   struct Version {
-    // In force since then.
+    // When the list was changed to `instances`.
     Time since;
     Json instances;
   };
 
   void SetState(const std::string& name, const std::string& state);
   void Remove(const std::string& name);
-  void Push(Json instances);
-  // Removes versions that no answer can show any more.
-  void Trim(Time now);
+  void AddVersion(Json instances);
+  // Removes versions that were superseded before `now` - lag.
+  void RemoveOldVersions(Time now);
 
   Milliseconds lag_;
   bool outage_ = false;
-  // Oldest first; never empty. The front is what answers show.
+  // Oldest first; never empty. Answers show the first one.
   std::deque<Version> versions_;
 };
 
--- a/tests/standins/lease_table.cc
+++ b/tests/standins/lease_table.cc
@@ -1,4 +1,4 @@
-// Transitions of the leases of one stand-in worker.
+// State transitions of the leases of a stand-in worker.
 #include "standins/lease_table.h"
 
 #include <algorithm>
@@ -48,12 +48,12 @@
   for (const auto& [id, lease] : leases_) held += lease.accelerators;
   std::map<std::string, Lease> added;
   for (const Lease& lease : leases) {
-    if (Knows(lease.lease_id)) continue;
+    if (Contains(lease.lease_id)) continue;
     if (!added.emplace(lease.lease_id, lease).second) continue;
     held += lease.accelerators;
   }
   if (held > accelerators_) return false;
-  for (const auto& [id, lease] : added) Note(lease, now, "granted");
+  for (const auto& [id, lease] : added) RecordEvent(lease, now, "granted");
   leases_.merge(added);
   return true;
 }
@@ -79,12 +79,12 @@
       Start(&lease, now);
     }
     if (throttled && lease.state == LeaseState::kRunning) {
-      Pause(&lease, now);
+      SaveProgress(&lease, now);
       lease.state = LeaseState::kThrottled;
-      Note(lease, now, "throttled");
+      RecordEvent(lease, now, "throttled");
     }
   }
-  NoteUsage(now);
+  RecordUsage(now);
 }
 
 void LeaseTable::Checkpoint(const std::vector<std::string>& lease_ids,
@@ -98,13 +98,13 @@
         lease.state != LeaseState::kThrottled) {
       continue;
     }
-    Pause(&lease, now);
+    SaveProgress(&lease, now);
     lease.state = LeaseState::kCheckpointing;
     lease.checkpoint_end.reset();
     if (!faults_.hang_checkpoint) lease.checkpoint_end = now + checkpoint_time_;
-    Note(lease, now, "checkpointing");
+    RecordEvent(lease, now, "checkpointing");
   }
-  NoteUsage(now);
+  RecordUsage(now);
 }
 
 void LeaseTable::Stop(const std::vector<std::string>& lease_ids, Time now) {
@@ -112,27 +112,27 @@
   for (const std::string& id : lease_ids) {
     auto found = leases_.find(id);
     if (found == leases_.end()) continue;
-    Note(found->second, now, "stopped");
+    RecordEvent(found->second, now, "stopped");
     leases_.erase(found);
   }
-  NoteUsage(now);
+  RecordUsage(now);
 }
 
-void LeaseTable::Drop(Time now) {
+void LeaseTable::DropAll(Time now) {
   Advance(now);
-  for (const auto& [id, lease] : leases_) Note(lease, now, "dropped");
+  for (const auto& [id, lease] : leases_) RecordEvent(lease, now, "dropped");
   leases_.clear();
-  NoteUsage(now);
+  RecordUsage(now);
 }
 
 void LeaseTable::Advance(Time now) {
-  for (auto at = leases_.begin(); at != leases_.end();) {
-    at = AdvanceLease(&at->second, now) ? leases_.erase(at) : std::next(at);
+  for (auto it = leases_.begin(); it != leases_.end();) {
+    it = AdvanceLease(&it->second, now) ? leases_.erase(it) : std::next(it);
   }
-  NoteUsage(now);
+  RecordUsage(now);
 }
 
-std::optional<Time> LeaseTable::next_event() const {
+std::optional<Time> LeaseTable::next_event_time() const {
   std::optional<Time> next;
   auto consider = [&next](std::optional<Time> time) {
     if (time && (!next || *time < *next)) next = time;
@@ -145,7 +145,7 @@
   return next;
 }
 
-bool LeaseTable::Knows(const std::string& lease_id) const {
+bool LeaseTable::Contains(const std::string& lease_id) const {
   return leases_.count(lease_id) > 0;
 }
 
@@ -165,19 +165,19 @@
 }
 
 void LeaseTable::Start(Lease* lease, Time now) {
-  Note(*lease, now, "started");
+  RecordEvent(*lease, now, "started");
   if (faults_.fail_everything || lease->fails) {
     lease->state = LeaseState::kFailed;
     lease->reason = faults_.fail_everything ? "the worker fails everything"
                                             : "the task fails";
-    Note(*lease, now, "failed");
+    RecordEvent(*lease, now, "failed");
     return;
   }
   lease->state = LeaseState::kRunning;
   lease->running_since = now;
 }
 
-void LeaseTable::Pause(Lease* lease, Time now) {
+void LeaseTable::SaveProgress(Lease* lease, Time now) {
   lease->progress = Progress(*lease, now);
 }
 
@@ -185,17 +185,17 @@
   Time until = std::min(now, lease->deadline);
   auto finish = FinishTime(*lease);
   if (finish && *finish <= until) {
-    Pause(lease, *finish);
+    SaveProgress(lease, *finish);
     lease->state = LeaseState::kFinished;
-    Note(*lease, *finish, "finished");
+    RecordEvent(*lease, *finish, "finished");
   }
   if (lease->checkpoint_end && *lease->checkpoint_end <= until) {
     lease->state = LeaseState::kCheckpointed;
-    Note(*lease, *lease->checkpoint_end, "checkpointed");
+    RecordEvent(*lease, *lease->checkpoint_end, "checkpointed");
     lease->checkpoint_end.reset();
   }
   if (lease->deadline > now) return false;
-  Note(*lease, lease->deadline, "lapsed");
+  RecordEvent(*lease, lease->deadline, "lapsed");
   return true;
 }
 
@@ -206,12 +206,13 @@
   return lease.running_since + (*lease.run_time - lease.progress);
 }
 
-void LeaseTable::Note(const Lease& lease, Time time, const std::string& what) {
+void LeaseTable::RecordEvent(const Lease& lease, Time time,
+                             const std::string& what) {
   history_.push_back({time, lease.lease_id, lease.gang_id, lease.job_id, what});
   if (history_.size() > kMaxHistory) history_.pop_front();
 }
 
-void LeaseTable::NoteUsage(Time now) {
+void LeaseTable::RecordUsage(Time now) {
   int64_t accelerators = 0;
   for (const auto& [id, lease] : leases_) {
     if (UsesAccelerators(lease)) accelerators += lease.accelerators;
--- a/tests/standins/lease_table.h
+++ b/tests/standins/lease_table.h
@@ -1,6 +1,6 @@
-// The lease table of one stand-in worker: grants, terms, throttle, progress
-// and the history of starts and stops. No sockets, timers or clocks inside:
-// calls and a Time go in.
+// Lease table of one stand-in worker: grants, terms, throttling, progress and
+// the history of starts and stops. It uses no sockets, timers or clocks; the
+// caller passes the current time.
 #ifndef THORNPLANK_TESTS_STANDINS_LEASE_TABLE_H_
 #define THORNPLANK_TESTS_STANDINS_LEASE_TABLE_H_
 
@@ -33,23 +33,25 @@
   std::string job_id;
   std::string account;
   int64_t accelerators = 0;
-  // Absent: the task runs until it is stopped.
+  // If absent, the task runs until it is stopped.
   std::optional<Milliseconds> run_time;
   // The task fails as soon as it is unthrottled.
   bool fails = false;
   LeaseState state = LeaseState::kThrottled;
   std::string reason;
-  // The term ends then.
+  // End of the term.
   Time deadline;
-  // Progress up to the last stop; while running, `running_since` adds to it.
+  // Excludes the time since `running_since` while the task runs.
   Duration progress = Duration::zero();
   Time running_since;
-  // When a checkpoint completes; only in kCheckpointing, absent in a hang.
+  // When the checkpoint completes. Set only in kCheckpointing, and not for a
+  // checkpoint that hangs.
   std::optional<Time> checkpoint_end;
 };
 
-// A fact for the history check. `what` is granted, started, throttled,
-// checkpointing, checkpointed, finished, failed, stopped, lapsed or dropped.
+// An entry of the history that tests check. `what` is granted, started,
+// throttled, checkpointing, checkpointed, finished, failed, stopped, lapsed or
+// dropped.
 struct LeaseEvent {
   Time time;
   std::string lease_id;
@@ -68,8 +70,8 @@
   LeaseTable(int64_t accelerators, Milliseconds checkpoint_time,
              Milliseconds usage_lag, Time now);
 
-  // Grants all of `leases` or, when they don't fit, none (false). A lease
-  // that is already known is left as it is.
+  // Grants all of `leases`. If they do not fit, returns false and grants none.
+  // A lease that is already in the table is left unchanged.
   bool Grant(const std::vector<Lease>& leases, Time now);
   void Renew(const std::vector<std::string>& lease_ids, Milliseconds term,
              Time now);
@@ -77,18 +79,18 @@
                 Time now);
   void Checkpoint(const std::vector<std::string>& lease_ids, Time now);
   void Stop(const std::vector<std::string>& lease_ids, Time now);
-  // Forgets every lease, as a worker that dies does.
-  void Drop(Time now);
+  // Removes all leases, as if the worker had died.
+  void DropAll(Time now);
 
-  // Carries out what has become due. Every call above does so first.
+  // Applies all transitions due at `now`. Every function above calls it first.
   void Advance(Time now);
-  // The next moment at which something becomes due.
-  std::optional<Time> next_event() const;
+  // When the next transition becomes due.
+  std::optional<Time> next_event_time() const;
 
-  bool Knows(const std::string& lease_id) const;
+  bool Contains(const std::string& lease_id) const;
   const std::map<std::string, Lease>& leases() const { return leases_; }
   Duration Progress(const Lease& lease, Time now) const;
-  // Accelerators of running and checkpointing tasks, as of `now` - lag.
+  // Accelerators of running and checkpointing tasks at `now` - usage_lag().
   int64_t LaggedUsage(Time now) const;
   Milliseconds usage_lag() const { return usage_lag_; }
   void set_usage_lag(Milliseconds lag) { usage_lag_ = lag; }
@@ -102,22 +104,22 @@
   };
 
   void Start(Lease* lease, Time now);
-  void Pause(Lease* lease, Time now);
-  // Moves one lease on; true when its term is over.
+  void SaveProgress(Lease* lease, Time now);
+  // Applies the due transitions of one lease. Returns whether its term is over.
   bool AdvanceLease(Lease* lease, Time now);
   std::optional<Time> FinishTime(const Lease& lease) const;
-  void Note(const Lease& lease, Time time, const std::string& what);
-  void NoteUsage(Time now);
+  void RecordEvent(const Lease& lease, Time time, const std::string& what);
+  void RecordUsage(Time now);
 
   const int64_t accelerators_;
   const Milliseconds checkpoint_time_;
   Milliseconds usage_lag_;
   LeaseFaults faults_;
-  // By lease id. The accelerators of all add up to at most accelerators_.
+  // By lease id. Together they hold at most accelerators_.
   std::map<std::string, Lease> leases_;
-  // Bounded; the oldest go first.
+  // The last kMaxHistory events, oldest first.
   std::deque<LeaseEvent> history_;
-  // Changes of the usage, oldest first; never empty.
+  // Values after each change of the usage, oldest first; never empty.
   std::deque<Usage> usage_;
 };
 
--- a/tests/standins/log_role.cc
+++ b/tests/standins/log_role.cc
@@ -1,4 +1,4 @@
-// Appends, reads and faults of the log service.
+// Implements the calls and the faults of the log service.
 #include "standins/log_role.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 constexpr int64_t kDefaultReadRecords = 500;
 constexpr double kBurstSeconds = 0.25;
 
-// The stream of "/v1/streams/{stream}/records".
+// Name of the stream in a path "/v1/streams/{stream}/records".
 std::optional<std::string> StreamName(const std::string& path) {
   const std::string prefix = "/v1/streams/";
   const std::string suffix = "/records";
@@ -25,7 +25,7 @@
   return path.substr(prefix.size(), end - prefix.size());
 }
 
-// The records of an append; nullptr unless every one has an id and data.
+// The records of an append, or nullptr if one of them lacks an id or data.
 const Json* ValidRecords(const Json& body) {
   const Json* records = ArrayField(body, "records");
   if (records == nullptr || records->empty()) return nullptr;
@@ -37,7 +37,7 @@
   return records;
 }
 
-Reply TryLater(int status, const std::string& title) {
+Reply RetryLaterReply(int status, const std::string& title) {
   Reply reply = ProblemReply(status, title);
   reply.headers.emplace_back("Retry-After", "1");
   return reply;
@@ -48,16 +48,17 @@
 void TokenBucket::set_rate(int64_t per_second) {
   rate_ = per_second;
   tokens_ = std::max(1.0, static_cast<double>(rate_) * kBurstSeconds);
-  filled_ = Time();
+  last_refill_ = Time();
 }
 
 bool TokenBucket::Take(Time now) {
   if (rate_ <= 0) return true;
   double rate = static_cast<double>(rate_);
-  double passed = std::chrono::duration<double>(now - filled_).count();
-  tokens_ =
-      std::min(tokens_ + passed * rate, std::max(1.0, rate * kBurstSeconds));
-  filled_ = now;
+  double elapsed_seconds =
+      std::chrono::duration<double>(now - last_refill_).count();
+  tokens_ = std::min(tokens_ + elapsed_seconds * rate,
+                     std::max(1.0, rate * kBurstSeconds));
+  last_refill_ = now;
   if (tokens_ < 1.0) return false;
   tokens_ -= 1.0;
   return true;
@@ -72,9 +73,9 @@
 void LogRole::Handle(ExchangePtr exchange) {
   auto name = StreamName(exchange->path());
   if (!name) return exchange->Answer(ProblemReply(404, "no such resource"));
-  if (outage_) return Answer(exchange, TryLater(503, "outage"));
+  if (outage_) return Answer(exchange, RetryLaterReply(503, "outage"));
   Stream& stream = streams_[*name];
-  Trim(stream);
+  ApplyRetention(stream);
   switch (exchange->request().method()) {
     case http::verb::post:
       return Append(stream, exchange);
@@ -94,7 +95,7 @@
   Time now = std::chrono::steady_clock::now();
   if (!bucket_.Take(now)) {
     ++counters_.refused;
-    return Answer(exchange, TryLater(429, "too many appends"));
+    return Answer(exchange, RetryLaterReply(429, "too many appends"));
   }
   int64_t time_ms = ToUnixMilliseconds(std::chrono::system_clock::now());
   int64_t first = stream.next_offset();
@@ -111,8 +112,8 @@
   counters_.records += next - first;
   counters_.append_bytes +=
       static_cast<int64_t>(exchange->request().body().size());
-  WakeWaiters(stream);
-  Trim(stream);
+  AnswerReadyWaiters(stream);
+  ApplyRetention(stream);
   if (lose_replies_ > 0) {
     --lose_replies_;
     ++counters_.lost_replies;
@@ -129,7 +130,7 @@
     return AnswerRead(stream, waiter);
   }
   stream.waiters.push_back(waiter);
-  // An append or an outage may have answered and removed it by then.
+  // An append or an outage may have answered and removed the waiter before.
   RunAfter(executor(), wait, [this, &stream, exchange] {
     auto found = std::find_if(
         stream.waiters.begin(), stream.waiters.end(),
@@ -142,7 +143,7 @@
 }
 
 void LogRole::AnswerRead(Stream& stream, const Waiter& waiter) {
-  Trim(stream);
+  ApplyRetention(stream);
   ++counters_.reads;
   int64_t next = stream.next_offset();
   if (waiter.from < stream.first_offset) {
@@ -165,25 +166,25 @@
   Answer(waiter.exchange, std::move(reply));
 }
 
-void LogRole::WakeWaiters(Stream& stream) {
-  for (auto at = stream.waiters.begin(); at != stream.waiters.end();) {
-    if (at->from >= stream.next_offset()) {
-      ++at;
+void LogRole::AnswerReadyWaiters(Stream& stream) {
+  for (auto it = stream.waiters.begin(); it != stream.waiters.end();) {
+    if (it->from >= stream.next_offset()) {
+      ++it;
       continue;
     }
-    AnswerRead(stream, *at);
-    at = stream.waiters.erase(at);
+    AnswerRead(stream, *it);
+    it = stream.waiters.erase(it);
   }
 }
 
-void LogRole::Trim(Stream& stream) {
+void LogRole::ApplyRetention(Stream& stream) {
   auto size_limit = static_cast<size_t>(settings_.retain_records);
   Time now = std::chrono::steady_clock::now();
   while (!stream.records.empty()) {
-    bool many = size_limit > 0 && stream.records.size() > size_limit;
-    bool old = settings_.retain > Milliseconds::zero() &&
-               now - stream.records.front().time > settings_.retain;
-    if (!many && !old) return;
+    bool over_count = size_limit > 0 && stream.records.size() > size_limit;
+    bool over_age = settings_.retention > Milliseconds::zero() &&
+                    now - stream.records.front().time > settings_.retention;
+    if (!over_count && !over_age) return;
     stream.records.pop_front();
     ++stream.first_offset;
   }
@@ -225,15 +226,15 @@
   ReadField(control, "delay_ms", &delay_);
   ReadField(control, "lose_replies", &lose_replies_);
   ReadField(control, "retain_records", &settings_.retain_records);
-  ReadField(control, "retain_ms", &settings_.retain);
+  ReadField(control, "retain_ms", &settings_.retention);
   if (auto rate = IntField(control, "appends_per_second")) {
     bucket_.set_rate(*rate);
   }
   for (auto& [name, stream] : streams_) {
-    Trim(stream);
+    ApplyRetention(stream);
     if (!outage_) continue;
     for (const Waiter& waiter : stream.waiters) {
-      Answer(waiter.exchange, TryLater(503, "outage"));
+      Answer(waiter.exchange, RetryLaterReply(503, "outage"));
     }
     stream.waiters.clear();
   }
--- a/tests/standins/log_role.h
+++ b/tests/standins/log_role.h
@@ -1,5 +1,5 @@
-// The log service: streams of records with offsets, bounded retention, a cap
-// on appends and long-poll reads.
+// Stand-in for the log service: streams of records with offsets, limited
+// retention, a rate limit for appends, and long-poll reads.
 #ifndef THORNPLANK_TESTS_STANDINS_LOG_ROLE_H_
 #define THORNPLANK_TESTS_STANDINS_LOG_ROLE_H_
 
@@ -15,25 +15,27 @@
 
 struct LogRoleSettings {
   std::string listen;
-  // Batches a second over all streams; 0 is no cap.
+  // Limit of batches per second over all streams; 0 means no limit.
   int64_t appends_per_second = 400;
-  // Kept per stream; 0 keeps all.
+  // Records kept per stream; 0 keeps all.
   int64_t retain_records = 0;
-  Milliseconds retain{0};
+  // How long records are kept; 0 keeps them forever.
+  Milliseconds retention{0};
 };
 
-// Admits `rate` events a second with bursts of a quarter of a second.
+// Rate limiter whose bursts may reach the number of events of kBurstSeconds.
 class TokenBucket {
  public:
-  // 0 admits everything.
+  // A rate of 0 admits every event.
   void set_rate(int64_t per_second);
+  // Returns whether an event is admitted at `now`.
   bool Take(Time now);
 
  private:
   int64_t rate_ = 0;
-  // Between 0 and the burst.
+  // Events that may be admitted at once; at most the size of a burst.
   double tokens_ = 0;
-  Time filled_;
+  Time last_refill_;
 };
 
 class LogRole : public Role {
@@ -49,9 +51,10 @@
  private:
   struct Record {
     Time time;
-    // The record as read: one JSON object.
+    // The JSON object that reads return.
     std::string text;
   };
+  // A long-poll read that waits for a record.
   struct Waiter {
     ExchangePtr exchange;
     int64_t from = 0;
@@ -59,7 +62,7 @@
   };
   struct Stream {
     int64_t first_offset = 0;
-    // Record i has the offset first_offset + i.
+    // records[i] has the offset first_offset + i.
     std::deque<Record> records;
     std::list<Waiter> waiters;
 
@@ -80,9 +83,9 @@
   void Append(Stream& stream, const ExchangePtr& exchange);
   void Read(Stream& stream, const ExchangePtr& exchange);
   void AnswerRead(Stream& stream, const Waiter& waiter);
-  void WakeWaiters(Stream& stream);
-  void Trim(Stream& stream);
-  // Answers after the delay that is switched on.
+  void AnswerReadyWaiters(Stream& stream);
+  void ApplyRetention(Stream& stream);
+  // Answers after `delay_ms` of the control interface.
   void Answer(const ExchangePtr& exchange, Reply reply);
 
   LogRoleSettings settings_;
@@ -91,7 +94,7 @@
   Milliseconds delay_{0};
   int64_t lose_replies_ = 0;
   Counters counters_;
-  // Streams are never removed, so that references stay valid.
+  // By name. Streams are never removed, so references to them stay valid.
   std::map<std::string, Stream> streams_;
 };
 
--- a/tests/standins/main.cc
+++ b/tests/standins/main.cc
@@ -1,7 +1,8 @@
-// thornplank_standin: plays the platform and the upstreams in tests.
+// Main function of thornplank_standin, which takes the place of the platform
+// and the upstreams in tests.
 //
-// One process, any number of roles; README.md describes the configuration and
-// the controls.
+// One process runs any number of roles. README.md describes the configuration
+// and the controls.
 #include <gflags/gflags.h>
 
 #include <cstdio>
@@ -11,9 +12,10 @@
 
 #include "standins/standin_process.h"
 
-DEFINE_string(config, "", "the configuration, JSON with comments");
-DEFINE_string(port_file, "", "where to write the chosen addresses, as JSON");
-DEFINE_bool(check, false, "check the configuration and end");
+DEFINE_string(config, "", "configuration file, JSON with comments");
+DEFINE_string(port_file, "",
+              "file that receives the addresses in use, as JSON");
+DEFINE_bool(check, false, "check the configuration and exit");
 
 namespace thornplank::standins {
 namespace {
@@ -33,7 +35,7 @@
   return ParseStandinConfig(*json, error);
 }
 
-// Writes the file in one step: a reader sees all of it or nothing.
+// Replaces the file atomically, so that a reader never sees a part of it.
 bool WriteAddresses(const std::string& path, const Json& addresses,
                     Error* error) {
   std::string draft = path + ".new";
@@ -55,7 +57,8 @@
   auto config = LoadConfig(FLAGS_config, &error);
   if (!config) return Fail(error, kConfigError);
   if (FLAGS_check) return 0;
-  // Before "ready", so that no signal after it is lost.
+  // Set up before "ready" is printed, so that no signal sent after that is
+  // lost.
   boost::asio::io_context signal_io;
   boost::asio::signal_set signals(signal_io, SIGTERM, SIGINT);
   StandinProcess process;
--- a/tests/standins/role.cc
+++ b/tests/standins/role.cc
@@ -1,4 +1,4 @@
-// Dispatch between a role's own requests and its control interface.
+// Separates control calls from the requests of a role.
 #include "standins/role.h"
 
 #include <algorithm>
@@ -13,11 +13,11 @@
       }) {}
 
 void Role::Dispatch(ExchangePtr exchange) {
-  if (exchange->path() == "/control") return Control(*exchange);
+  if (exchange->path() == "/control") return HandleControl(*exchange);
   Handle(std::move(exchange));
 }
 
-void Role::Control(Exchange& exchange) {
+void Role::HandleControl(Exchange& exchange) {
   if (exchange.request().method() == http::verb::get) {
     return exchange.Answer(JsonReply(ControlState()));
   }
@@ -36,7 +36,7 @@
 }
 
 void Role::CloseOtherConnections() {
-  listener_.CloseConnections(control_session_);
+  listener_.CloseConnectionsExcept(control_session_);
 }
 
 bool HasOnlyFields(const Json& control,
--- a/tests/standins/role.h
+++ b/tests/standins/role.h
@@ -1,5 +1,7 @@
-// What every HTTP role of the stand-in program has in common: a listener and
-// a control interface by which a test switches faults.
+// Base class of the HTTP roles of the stand-in program: a listener and a
+// control interface through which a test switches faults on and off.
+//
+// All functions of a role run on its strand, so roles need no locks.
 #ifndef THORNPLANK_TESTS_STANDINS_ROLE_H_
 #define THORNPLANK_TESTS_STANDINS_ROLE_H_
 
@@ -12,7 +14,7 @@
 
 class Role {
  public:
-  // `executor` is a strand of this role alone.
+  // `executor` must be a strand that no other role uses.
   explicit Role(const boost::asio::any_io_executor& executor);
   virtual ~Role() = default;
 
@@ -22,15 +24,17 @@
   std::string address() const { return listener_.address(); }
 
  protected:
-  // Any request but those to /control.
+  // Handles every request except those to /control.
   virtual void Handle(ExchangePtr exchange) = 0;
-  // The answer to GET /control: counters and history.
+  // The body of the answer to GET /control: counters and history.
   virtual Json ControlState() = 0;
-  // Applies the object of POST /control; false with `*error` changes nothing.
+  // Applies the object of a POST to /control. On failure returns false, sets
+  // `*error` and changes nothing.
   virtual bool ApplyControl(const Json& control, Error* error) = 0;
 
   HttpListener& listener() { return listener_; }
-  // Closes every connection but the one whose control call is being applied.
+  // Closes all connections except the one that sent the control call being
+  // applied.
   void CloseOtherConnections();
   const boost::asio::any_io_executor& executor() const {
     return listener_.executor();
@@ -38,19 +42,19 @@
 
  private:
   void Dispatch(ExchangePtr exchange);
-  void Control(Exchange& exchange);
+  void HandleControl(Exchange& exchange);
 
   HttpListener listener_;
-  // Not null only during ApplyControl.
+  // Connection of the control call being applied; null outside ApplyControl.
   const Session* control_session_ = nullptr;
 };
 
-// True when `control` is an object with none but `names` in it; a mistyped
-// fault must not pass for one that is switched on.
+// Returns whether `control` has no fields other than `names`. Otherwise a test
+// that mistypes the name of a fault would run without the fault.
 bool HasOnlyFields(const Json& control,
                    std::initializer_list<std::string_view> names, Error* error);
 
-// Sets `*value` when the field is there.
+// Sets `*value` if the field is present.
 void ReadField(const Json& control, std::string_view name, bool* value);
 void ReadField(const Json& control, std::string_view name, int64_t* value);
 void ReadField(const Json& control, std::string_view name, Milliseconds* value);
--- a/tests/standins/standin_config.cc
+++ b/tests/standins/standin_config.cc
@@ -1,4 +1,4 @@
-// Checking and expansion of the configuration.
+// Checks the configuration and expands its groups.
 #include "standins/standin_config.h"
 
 #include <functional>
@@ -14,34 +14,35 @@
 constexpr int64_t kMaxThreads = 16;
 constexpr int64_t kMaxNumber = 1000000000;
 
-// Reads the fields of one object. The first fault is kept in the Error; the
-// caller looks at Finish at the end.
+// Reads the fields of one object. Only the first error is reported; the caller
+// must call Finish at the end.
 class FieldReader {
  public:
-  FieldReader(const Json& object, std::string where, Error* error)
-      : object_(object), where_(std::move(where)), error_(error) {
+  FieldReader(const Json& object, std::string section, Error* error)
+      : object_(object), section_(std::move(section)), error_(error) {
     if (!object_.is_object()) Fail("not an object");
   }
 
   std::string String(const std::string& name) {
-    return Required(name, StringField(object_, Known(name)), "a string");
+    return Required(name, StringField(object_, MarkKnown(name)), "a string");
   }
   std::string String(const std::string& name, const std::string& fallback) {
-    return Has(name) ? String(name) : (Known(name), fallback);
+    return Has(name) ? String(name) : (MarkKnown(name), fallback);
   }
   int64_t Int(const std::string& name, int64_t fallback, int64_t min = 0,
               int64_t max = kMaxNumber) {
-    if (!Has(name)) return Known(name), fallback;
-    int64_t value = Required(name, IntField(object_, Known(name)), "a number");
+    if (!Has(name)) return MarkKnown(name), fallback;
+    int64_t value =
+        Required(name, IntField(object_, MarkKnown(name)), "a number");
     if (value < min || value > max) Fail(name + ": out of range");
     return value;
   }
-  Milliseconds Time(const std::string& name, Milliseconds fallback) {
+  Milliseconds Interval(const std::string& name, Milliseconds fallback) {
     return Milliseconds(Int(name, fallback.count()));
   }
   bool Bool(const std::string& name, bool fallback) {
-    if (!Has(name)) return Known(name), fallback;
-    return Required(name, BoolField(object_, Known(name)), "true or false");
+    if (!Has(name)) return MarkKnown(name), fallback;
+    return Required(name, BoolField(object_, MarkKnown(name)), "true or false");
   }
   // An "ip:port".
   std::string Address(const std::string& name) {
@@ -62,22 +63,23 @@
     }
     return values;
   }
-  // Empty when absent.
+  // An empty array if the field is absent.
   Json Array(const std::string& name) {
-    if (!Has(name)) return Known(name), Json::array();
-    const Json* array = ArrayField(object_, Known(name));
+    if (!Has(name)) return MarkKnown(name), Json::array();
+    const Json* array = ArrayField(object_, MarkKnown(name));
     if (array != nullptr) return *array;
     Fail(name + ": not an array");
     return Json::array();
   }
-  // Null when absent.
+  // Null if the field is absent.
   Json Object(const std::string& name) {
-    return Has(name) ? object_[Known(name)] : (Known(name), Json());
+    return Has(name) ? object_[MarkKnown(name)] : (MarkKnown(name), Json());
   }
   void Fail(const std::string& reason) {
-    if (ok_) SetError(error_, "check config", where_, reason);
+    if (ok_) SetError(error_, "check config", section_, reason);
     ok_ = false;
   }
+  // Returns whether all reads succeeded and all fields of the object were read.
   bool Finish() {
     if (!ok_) return false;
     for (const auto& [name, value] : object_.items()) {
@@ -90,7 +92,7 @@
   bool Has(const std::string& name) const {
     return object_.is_object() && object_.contains(name);
   }
-  const std::string& Known(const std::string& name) {
+  const std::string& MarkKnown(const std::string& name) {
     return *known_.insert(name).first;
   }
   template <typename T>
@@ -101,20 +103,20 @@
   }
 
   const Json& object_;
-  const std::string where_;
+  const std::string section_;
   Error* error_;
   std::set<std::string> known_;
   bool ok_ = true;
 };
 
-// Whether the role stands in a rack.
+// Whether the settings of the role have a rack.
 template <typename Settings, typename = void>
 struct HasRack : std::false_type {};
 template <typename Settings>
 struct HasRack<Settings, std::void_t<decltype(Settings::rack)>>
     : std::true_type {};
 
-// The address `index` ports above "ip:port"; port 0 stays 0.
+// "ip:port" with `index` added to the port; port 0 stays 0.
 std::string AddressAt(const std::string& first, int64_t index) {
   auto endpoint = ParseEndpoint(first, nullptr);
   if (!endpoint || endpoint->port() == 0) return first;
@@ -122,16 +124,17 @@
          std::to_string(endpoint->port() + index);
 }
 
-// Platforms name a failure domain for every instance, so a group without any
-// stands in one.
-constexpr char kOnlyDomain[] = "a";
+// Platforms assign a failure domain to every instance, so instances of a group
+// without any are assigned to this one.
+constexpr char kDefaultDomain[] = "a";
 
-std::string DomainAt(const std::vector<std::string>& domains, int64_t index) {
-  if (domains.empty()) return kOnlyDomain;
+std::string FailureDomainAt(const std::vector<std::string>& domains,
+                            int64_t index) {
+  if (domains.empty()) return kDefaultDomain;
   return domains[static_cast<size_t>(index) % domains.size()];
 }
 
-// Fails when the last of `count` ports is none.
+// Reports an error if the last of `count` consecutive ports is above 65535.
 void CheckPorts(const std::string& first, int64_t count, FieldReader* fields) {
   auto endpoint = ParseEndpoint(first, nullptr);
   if (!endpoint || endpoint->port() == 0) return;
@@ -140,7 +143,7 @@
   }
 }
 
-// Equal roles under numbered names, at addresses one after the other.
+// Roles with equal settings, numbered names and consecutive ports.
 struct RoleGroup {
   std::string prefix;
   int64_t count = 1;
@@ -158,21 +161,21 @@
   return group;
 }
 
-// One copy of `common` for each of the group; failure domains change with each
-// rack of `racks_of`.
+// Appends one copy of `common` for each role of the group. Every `rack_size` of
+// them share a rack and a failure domain.
 template <typename Settings>
-void Expand(const RoleGroup& group, const Settings& common, int64_t racks_of,
-            std::vector<Settings>* all) {
+void Expand(const RoleGroup& group, const Settings& common, int64_t rack_size,
+            std::vector<Settings>* roles) {
   for (int64_t index = 0; index < group.count; ++index) {
     Settings settings = common;
-    const int64_t rack = index / racks_of;
+    const int64_t rack = index / rack_size;
     settings.name = group.prefix + std::to_string(index);
     settings.listen = AddressAt(group.first_address, index);
-    settings.failure_domain = DomainAt(group.failure_domains, rack);
+    settings.failure_domain = FailureDomainAt(group.failure_domains, rack);
     if constexpr (HasRack<Settings>::value) {
       settings.rack = group.prefix + "-rack" + std::to_string(rack);
     }
-    all->push_back(std::move(settings));
+    roles->push_back(std::move(settings));
   }
 }
 
@@ -183,7 +186,7 @@
   settings.appends_per_second =
       fields.Int("appends_per_second", settings.appends_per_second);
   settings.retain_records = fields.Int("retain_records", 0);
-  settings.retain = fields.Time("retain_ms", settings.retain);
+  settings.retention = fields.Interval("retain_ms", settings.retention);
   config->log = settings;
   return fields.Finish();
 }
@@ -192,7 +195,7 @@
   FieldReader fields(json, "instance_list", error);
   InstanceListSettings settings;
   settings.listen = fields.Address("listen");
-  settings.lag = fields.Time("lag_ms", settings.lag);
+  settings.lag = fields.Interval("lag_ms", settings.lag);
   settings.include_own = fields.Bool("include_own", false);
   settings.instances = fields.Array("instances");
   config->instance_list = settings;
@@ -202,15 +205,16 @@
 bool ParseWorkers(const Json& json, StandinConfig* config, Error* error) {
   FieldReader fields(json, "workers", error);
   const RoleGroup group = ReadGroup(&fields);
-  const int64_t racks_of = fields.Int("racks_of", 6, 1);
+  const int64_t rack_size = fields.Int("racks_of", 6, 1);
   WorkerSettings common;
   common.accelerators = fields.Int("accelerators", common.accelerators);
   common.cores = fields.Int("cores", common.cores);
   common.memory_mb = fields.Int("memory_mb", common.memory_mb);
-  common.checkpoint_time = fields.Time("checkpoint_ms", common.checkpoint_time);
-  common.usage_lag = fields.Time("usage_lag_ms", common.usage_lag);
+  common.checkpoint_time =
+      fields.Interval("checkpoint_ms", common.checkpoint_time);
+  common.usage_lag = fields.Interval("usage_lag_ms", common.usage_lag);
   if (!fields.Finish()) return false;
-  Expand(group, common, racks_of, &config->workers);
+  Expand(group, common, rack_size, &config->workers);
   return true;
 }
 
@@ -222,9 +226,9 @@
   common.slots = fields.Int("slots", common.slots, 1);
   common.max_connections =
       fields.Int("max_connections", common.max_connections);
-  common.service_time = fields.Time("service_time_ms", common.service_time);
+  common.service_time = fields.Interval("service_time_ms", common.service_time);
   if (!fields.Finish()) return false;
-  Expand(group, common, /*racks_of=*/1, &config->executors);
+  Expand(group, common, /*rack_size=*/1, &config->executors);
   return true;
 }
 
@@ -232,7 +236,7 @@
   FieldReader fields(json, "users_store", error);
   UsersStoreSettings settings;
   settings.listen = fields.Address("listen");
-  settings.answer_time = fields.Time("answer_ms", settings.answer_time);
+  settings.answer_time = fields.Interval("answer_ms", settings.answer_time);
   config->users_store = settings;
   return fields.Finish();
 }
@@ -241,9 +245,11 @@
   FieldReader fields(json, "users_advisor", error);
   UsersAdvisorSettings settings;
   settings.listen = fields.Address("listen");
-  settings.decision = fields.Time("decision_ms", settings.decision);
-  settings.each = fields.Time("each_ms", settings.each);
-  settings.validity = fields.Time("validity_ms", settings.validity);
+  settings.decision_time =
+      fields.Interval("decision_ms", settings.decision_time);
+  settings.time_per_worker =
+      fields.Interval("each_ms", settings.time_per_worker);
+  settings.validity = fields.Interval("validity_ms", settings.validity);
   config->users_advisor = settings;
   return fields.Finish();
 }
@@ -252,14 +258,14 @@
                          Error* error) {
   FieldReader fields(json, "users_executors", error);
   const RoleGroup group = ReadGroup(&fields);
-  const int64_t racks_of = fields.Int("racks_of", 6, 1);
+  const int64_t rack_size = fields.Int("racks_of", 6, 1);
   UsersExecutorSettings common;
   common.service = fields.String("service");
   common.capacity.cpu_millis = fields.Int("cpu_millis", 64000);
   common.capacity.memory_mb = fields.Int("memory_mb", 256000);
   common.capacity.accelerators = fields.Int("accelerators", 8);
   if (!fields.Finish()) return false;
-  Expand(group, common, racks_of, &config->users_executors);
+  Expand(group, common, rack_size, &config->users_executors);
   return true;
 }
 
@@ -273,7 +279,7 @@
   return fields.Finish();
 }
 
-// The names that a proxy may have as its target.
+// Names of roles that a proxy may have as its target.
 std::set<std::string> RoleNames(const StandinConfig& config) {
   std::set<std::string> names;
   if (config.log) names.insert("log");
--- a/tests/standins/standin_config.h
+++ b/tests/standins/standin_config.h
@@ -1,4 +1,4 @@
-// The configuration of the stand-in program: which roles this process plays.
+// Configuration of the stand-in program: the roles that the process runs.
 #ifndef THORNPLANK_TESTS_STANDINS_STANDIN_CONFIG_H_
 #define THORNPLANK_TESTS_STANDINS_STANDIN_CONFIG_H_
 
@@ -22,18 +22,19 @@
   int64_t threads = 2;
   std::optional<LogRoleSettings> log;
   std::optional<InstanceListSettings> instance_list;
-  // One entry per worker and executor; groups are expanded.
+  // One element per worker and executor, with the groups of the file expanded.
   std::vector<WorkerSettings> workers;
   std::vector<ExecutorSettings> executors;
-  // The users' platform.
+  // Stand-ins for the platform of the users: their store, executors and
+  // advisor.
   std::optional<UsersStoreSettings> users_store;
   std::vector<UsersExecutorSettings> users_executors;
   std::optional<UsersAdvisorSettings> users_advisor;
   std::vector<ProxySettings> proxies;
 };
 
-// Checks the whole of `json`; unknown fields are errors. See README.md for
-// the fields.
+// Parses and checks `json`. Unknown fields are errors. README.md lists the
+// fields.
 std::optional<StandinConfig> ParseStandinConfig(const Json& json, Error* error);
 
 }  // namespace thornplank::standins
--- a/tests/standins/standin_process.cc
+++ b/tests/standins/standin_process.cc
@@ -1,4 +1,4 @@
-// Start and stop of the roles.
+// Starts and stops the roles.
 #include "standins/standin_process.h"
 
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Makes a role, opens its listener and puts it into `*role`.
+// Creates `*role` and opens its listener.
 template <typename RoleType, typename Settings>
 bool OpenRole(const boost::asio::any_io_executor& strand,
               const Settings& settings, std::unique_ptr<RoleType>* role,
@@ -135,7 +135,7 @@
   for (const auto& [name, role] : executors_) {
     instances.push_back(role->Instance());
   }
-  instance_list_->SetInitial(instances);
+  instance_list_->SetInitialInstances(instances);
 }
 
 }  // namespace thornplank::standins
--- a/tests/standins/standin_process.h
+++ b/tests/standins/standin_process.h
@@ -1,4 +1,4 @@
-// The roles of one process on one io_context.
+// Runs the configured roles of one process on a shared io_context.
 #ifndef THORNPLANK_TESTS_STANDINS_STANDIN_PROCESS_H_
 #define THORNPLANK_TESTS_STANDINS_STANDIN_PROCESS_H_
 
@@ -16,15 +16,15 @@
 class StandinProcess {
  public:
   StandinProcess();
-  // Stops.
+  // Calls Stop.
   ~StandinProcess();
 
-  // Opens every listener of `config`, then runs them on its threads; false
-  // with `*error` when a listener fails.
+  // Opens the listeners of all roles in `config`, then starts the threads.
+  // Returns false and sets `*error` if a listener cannot be opened.
   bool Start(const StandinConfig& config, Error* error);
   void Stop();
 
-  // The chosen addresses:
+  // The addresses in use:
   // {"log","instance_list","workers":{name:address},"executors":{…},
   //  "proxies":[{"listen","control","target"}]}.
   Json Addresses() const;
@@ -36,7 +36,7 @@
   bool OpenProxies(const StandinConfig& config, Error* error);
   void FillInstanceList(const InstanceListSettings& settings);
 
-  // Before the roles: their sockets must go first.
+  // Declared before the roles, because their sockets must be destroyed first.
   boost::asio::io_context io_;
   std::unique_ptr<LogRole> log_;
   std::unique_ptr<InstanceListRole> instance_list_;
@@ -46,8 +46,9 @@
   std::unique_ptr<UsersAdvisorRole> users_advisor_;
   std::map<std::string, std::unique_ptr<UsersExecutorRole>> users_executors_;
   std::vector<std::unique_ptr<TcpProxy>> proxies_;
-  // By name of role; the targets that a proxy may name.
+  // Addresses of the possible targets of a proxy, by name of the role.
   std::map<std::string, std::string> role_addresses_;
+  // Resolved "ip:port" targets, in the order of proxies_.
   std::vector<std::string> proxy_targets_;
   std::vector<std::thread> threads_;
 };
--- a/tests/standins/tcp_proxy.cc
+++ b/tests/standins/tcp_proxy.cc
@@ -1,4 +1,4 @@
-// Forwarding of bytes and the faults of the proxy.
+// Forwards bytes and applies the faults of the proxy.
 #include "standins/tcp_proxy.h"
 
 #include <array>
@@ -15,13 +15,14 @@
 namespace {
 
 constexpr size_t kChunkBytes = 16 * 1024;
-// Chunks waiting in one direction; beyond it the sender is not read.
-constexpr size_t kMaxChunks = 256;
+// Limit of queued chunks per direction; while it is reached, nothing is read
+// from the sender.
+constexpr size_t kMaxQueuedChunks = 256;
 constexpr Milliseconds kAcceptRetryDelay{50};
 
 }  // namespace
 
-// Two sockets and the bytes on their way between them.
+// A client, its upstream, and the bytes queued between them.
 class ProxyConnection : public std::enable_shared_from_this<ProxyConnection> {
  public:
   ProxyConnection(TcpProxy* proxy, tcp::socket client)
@@ -42,16 +43,16 @@
         });
   }
 
-  // From now on both ends are read and nothing is passed on or closed.
+  // From now on reads from both ends, but forwards nothing and closes neither.
   void Silence() {
     silent_ = true;
     for (Direction* direction : {&forward_, &backward_}) {
       direction->chunks.clear();
-      if (!direction->reading && !direction->ended) Read(direction);
+      if (!direction->reading && !direction->source_ended) Read(direction);
     }
   }
 
-  // Passes on what was held, after a freeze.
+  // Forwards the bytes that were held during a freeze.
   void Resume() {
     Write(&forward_);
     Write(&backward_);
@@ -69,7 +70,7 @@
  private:
   struct Chunk {
     Time due;
-    // Empty at the end of the stream.
+    // Empty for the end of the stream.
     std::vector<char> bytes;
   };
   struct Direction {
@@ -81,13 +82,14 @@
     net::steady_timer timer;
     std::array<char, kChunkBytes> buffer;
     std::deque<Chunk> chunks;
-    // An operation of that kind is outstanding; at most one of each.
+    // Whether such an operation is outstanding. `writing` includes the wait for
+    // the front chunk to be due.
     bool reading = false;
     bool writing = false;
-    // `from` has sent its last byte.
-    bool ended = false;
-    // The end has been passed on to `to`.
-    bool closed = false;
+    // Whether `from` has reached its end or failed.
+    bool source_ended = false;
+    // Whether the end of the stream has been forwarded to `to`.
+    bool sink_closed = false;
   };
 
   void Read(Direction* direction) {
@@ -102,26 +104,27 @@
 
   void OnRead(Direction* direction, error_code error, size_t size) {
     if (error == net::error::operation_aborted) return;
-    direction->ended = static_cast<bool>(error);
+    direction->source_ended = static_cast<bool>(error);
     if (silent_) {
       if (!error) Read(direction);
       return;
     }
     if (error && error != net::error::eof) return Close();
-    proxy_->bytes_ += static_cast<int64_t>(size);
+    proxy_->forwarded_bytes_ += static_cast<int64_t>(size);
     const char* begin = direction->buffer.data();
     direction->chunks.push_back(
         {std::chrono::steady_clock::now() + proxy_->faults_.delay,
          std::vector<char>(begin, begin + size)});
     Write(direction);
-    if (!error && direction->chunks.size() < kMaxChunks) Read(direction);
+    if (!error && direction->chunks.size() < kMaxQueuedChunks) Read(direction);
   }
 
   void Write(Direction* direction) {
     if (silent_ || direction->writing || direction->chunks.empty()) return;
     if (proxy_->faults_.freeze) return;
     direction->writing = true;
-    // The timer also keeps Write from calling itself.
+    // The timer is used without a delay as well, so that Write does not
+    // recurse.
     direction->timer.expires_at(direction->chunks.front().due);
     direction->timer.async_wait(
         [self = shared_from_this(), direction](error_code error) {
@@ -136,7 +139,7 @@
     auto bytes = std::make_shared<std::vector<char>>(
         std::move(direction->chunks.front().bytes));
     direction->chunks.pop_front();
-    if (bytes->empty()) return EndDirection(direction);
+    if (bytes->empty()) return ShutDownSink(direction);
     direction->writing = true;
     net::async_write(*direction->to, net::buffer(*bytes),
                      [self = shared_from_this(), direction, bytes](
@@ -144,27 +147,27 @@
                        direction->writing = false;
                        if (self->silent_) return;
                        if (error) return self->Close();
-                       if (!direction->reading && !direction->ended) {
+                       if (!direction->reading && !direction->source_ended) {
                          self->Read(direction);
                        }
                        self->Write(direction);
                      });
   }
 
-  void EndDirection(Direction* direction) {
+  void ShutDownSink(Direction* direction) {
     error_code ignored;
     direction->to->shutdown(tcp::socket::shutdown_send, ignored);
-    direction->closed = true;
-    if (forward_.closed && backward_.closed) Close();
+    direction->sink_closed = true;
+    if (forward_.sink_closed && backward_.sink_closed) Close();
   }
 
   TcpProxy* proxy_;
   tcp::socket client_;
   tcp::socket upstream_;
-  // From the client to the upstream, and back.
+  // Client to upstream, and upstream to client.
   Direction forward_;
   Direction backward_;
-  // Never reset: such a connection is lost for good.
+  // Never reset, also not by `heal`.
   bool silent_ = false;
 };
 
@@ -179,14 +182,14 @@
   if (!listen || !upstream) return false;
   listen_endpoint_ = *listen;
   target_endpoint_ = *upstream;
-  return Reopen(error);
+  return EnsureListening(error);
 }
 
 std::string TcpProxy::forwarding_address() const {
   return ToString(listen_endpoint_);
 }
 
-bool TcpProxy::Reopen(Error* error) {
+bool TcpProxy::EnsureListening(Error* error) {
   if (acceptor_.is_open()) return true;
   if (!Listen(listen_endpoint_, &acceptor_, error)) return false;
   error_code ignored;
@@ -203,7 +206,7 @@
         if (acceptor_.is_open()) Accept();
       });
     }
-    ++accepted_;
+    ++accepted_connections_;
     socket.set_option(tcp::no_delay(true), error);
     auto connection =
         std::make_shared<ProxyConnection>(this, std::move(socket));
@@ -228,9 +231,9 @@
   return {{"cut", faults_.cut},
           {"freeze", faults_.freeze},
           {"delay_ms", faults_.delay.count()},
-          {"accepted", accepted_},
+          {"accepted", accepted_connections_},
           {"connections", connections_.size()},
-          {"bytes", bytes_}};
+          {"bytes", forwarded_bytes_}};
 }
 
 bool TcpProxy::ApplyControl(const Json& control, Error* error) {
@@ -252,7 +255,7 @@
   }
   auto connections = connections_;
   for (const auto& connection : connections) connection->Resume();
-  return Reopen(error);
+  return EnsureListening(error);
 }
 
 }  // namespace thornplank::standins
--- a/tests/standins/tcp_proxy.h
+++ b/tests/standins/tcp_proxy.h
@@ -1,4 +1,4 @@
-// A TCP proxy between two ends that can cut, hold, delay or lose bytes.
+// TCP proxy that can cut connections and hold, delay or discard their bytes.
 #ifndef THORNPLANK_TESTS_STANDINS_TCP_PROXY_H_
 #define THORNPLANK_TESTS_STANDINS_TCP_PROXY_H_
 
@@ -14,7 +14,7 @@
 
 struct ProxySettings {
   std::string listen;
-  // Where the control interface listens.
+  // Address of the control interface.
   std::string control;
   // "ip:port", or the name of a role of this process.
   std::string target;
@@ -22,21 +22,21 @@
 
 class ProxyConnection;
 
-// The faults that connections look at.
+// Faults that apply to all connections.
 struct ProxyFaults {
   bool cut = false;
   bool freeze = false;
   Milliseconds delay{0};
 };
 
-// The role's own listener is the control interface.
+// The listener of the base class serves only the control interface.
 class TcpProxy : public Role {
  public:
   TcpProxy(const boost::asio::any_io_executor& executor,
            ProxySettings settings);
   ~TcpProxy() override;
 
-  // Binds the forwarding port; `target` is an "ip:port".
+  // Starts to forward connections to `target`, an "ip:port".
   bool OpenForwarding(const std::string& target, Error* error);
   // The bound "ip:port" that clients connect to.
   std::string forwarding_address() const;
@@ -49,21 +49,23 @@
  private:
   friend class ProxyConnection;
 
-  // Listens, unless it does.
-  bool Reopen(Error* error);
+  // Opens the acceptor unless it is open.
+  bool EnsureListening(Error* error);
   void Accept();
+  // Stops listening and closes all connections.
   void Cut();
 
   const ProxySettings settings_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  // Where it listens; the port is the bound one once it was open.
+  // Has the bound port, instead of 0, once the acceptor was opened. Later
+  // openings use the same port.
   boost::asio::ip::tcp::endpoint listen_endpoint_;
   boost::asio::ip::tcp::endpoint target_endpoint_;
   ProxyFaults faults_;
-  // Every open connection; one leaves when both its ends are closed.
+  // All open connections; a connection removes itself when it closes.
   std::set<std::shared_ptr<ProxyConnection>> connections_;
-  int64_t accepted_ = 0;
-  int64_t bytes_ = 0;
+  int64_t accepted_connections_ = 0;
+  int64_t forwarded_bytes_ = 0;
 };
 
 }  // namespace thornplank::standins
--- a/tests/standins/test_client.cc
+++ b/tests/standins/test_client.cc
@@ -1,4 +1,4 @@
-// The calls of the blocking test client.
+// Sends the requests of the test client.
 #include "standins/test_client.h"
 
 #include <boost/beast/http.hpp>
@@ -45,7 +45,7 @@
   http::async_write(stream_, request, [&answer](error_code error, size_t) {
     answer.error = error;
   });
-  RunToEnd();
+  RunPendingOperation();
   beast::flat_buffer buffer;
   http::response_parser<http::string_body> parser;
   parser.body_limit(kMaxBodyBytes);
@@ -53,7 +53,7 @@
     http::async_read(
         stream_, buffer, parser,
         [&answer](error_code error, size_t) { answer.error = error; });
-    RunToEnd();
+    RunPendingOperation();
   }
   connected_ = !answer.error && parser.get().keep_alive();
   if (answer.error) return answer;
@@ -74,12 +74,12 @@
   stream_.expires_after(timeout_);
   stream_.async_connect(*endpoint,
                         [error](error_code result) { *error = result; });
-  RunToEnd();
+  RunPendingOperation();
   connected_ = !*error;
   return connected_;
 }
 
-void TestClient::RunToEnd() {
+void TestClient::RunPendingOperation() {
   io_.restart();
   io_.run();
 }
--- a/tests/standins/test_client.h
+++ b/tests/standins/test_client.h
@@ -1,4 +1,5 @@
-// A blocking HTTP client for tests: one connection, calls with a timeout.
+// Blocking HTTP client for tests. It keeps one connection, and its calls have a
+// timeout.
 #ifndef THORNPLANK_TESTS_STANDINS_TEST_CLIENT_H_
 #define THORNPLANK_TESTS_STANDINS_TEST_CLIENT_H_
 
@@ -13,19 +14,21 @@
 namespace thornplank::standins {
 
 struct TestAnswer {
-  // 0 when no whole answer came: refused, closed, truncated or timed out.
+  // 0 if no complete answer arrived: the connection was refused or closed, or
+  // the answer was truncated or timed out.
   int status = 0;
-  // Null when the body is not JSON.
+  // Null if the body is not JSON.
   Json body;
   std::map<std::string, std::string> headers;
-  // Why no answer came.
+  // Why no complete answer arrived.
   boost::system::error_code error;
 };
 
 class TestClient {
  public:
-  // `address` is an "ip:port"; connects at the first call and again after a
-  // call that brought no whole answer.
+  // `address` is an "ip:port". The client connects at the first call, and again
+  // after a call without a complete answer or one after which the server closes
+  // the connection.
   explicit TestClient(std::string address);
 
   TestAnswer Get(const std::string& target);
@@ -38,8 +41,8 @@
                   const std::string& body,
                   const std::map<std::string, std::string>& headers);
   bool Connect(boost::system::error_code* error);
-  // Runs the operation just begun to its end or its timeout.
-  void RunToEnd();
+  // Blocks until the operation just started completes or times out.
+  void RunPendingOperation();
 
   const std::string address_;
   Milliseconds timeout_{10000};
--- a/tests/standins/tst_lease_table.cc
+++ b/tests/standins/tst_lease_table.cc
@@ -1,4 +1,4 @@
-// The lease table of the stand-in worker, on a clock of the test's own.
+// Tests the lease table of the stand-in worker. The tests pass the time.
 #include <doctest/doctest.h>
 
 #include "standins/lease_table.h"
@@ -29,7 +29,7 @@
   return found == table.leases().end() ? "gone" : ToString(found->second.state);
 }
 
-TEST_CASE("a grant is all or none and idempotent by lease id") {
+TEST_CASE("a grant is atomic, and idempotent by lease id") {
   struct Row {
     const char* name;
     std::vector<Lease> second_grant;
@@ -37,16 +37,16 @@
     size_t leases;
   };
   const std::vector<Row> rows = {
-      {"it fits", {MakeLease("b", 4), MakeLease("c", 1)}, true, 3},
+      {"all fit", {MakeLease("b", 4), MakeLease("c", 1)}, true, 3},
       {"the last does not fit",
        {MakeLease("b", 4), MakeLease("c", 2)},
        false,
        1},
-      {"a known lease takes no room",
+      {"a known lease needs no further accelerators",
        {MakeLease("a", 3), MakeLease("b", 5)},
        true,
        2},
-      {"one id twice counts once",
+      {"a repeated id counts once",
        {MakeLease("b", 4), MakeLease("b", 4)},
        true,
        2},
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("a task moves on only while it is not throttled") {
+TEST_CASE("a task makes progress only while it is not throttled") {
   LeaseTable table = MakeTable();
   table.Grant({MakeLease("a", 8, Milliseconds(300))}, At(0));
   table.Throttle({"a"}, false, At(100));
@@ -70,14 +70,14 @@
   CHECK(StateOf(table, "a") == "throttled");
   CHECK(table.Progress(table.leases().at("a"), At(600)) == Milliseconds(100));
   table.Throttle({"a"}, false, At(600));
-  CHECK(table.next_event() == At(800));
+  CHECK(table.next_event_time() == At(800));
   table.Advance(At(799));
   CHECK(StateOf(table, "a") == "running");
   table.Advance(At(800));
   CHECK(StateOf(table, "a") == "finished");
 }
 
-TEST_CASE("a lapsed lease is stopped at its deadline and frees its room") {
+TEST_CASE("a lapsed lease ends at its deadline and frees its accelerators") {
   LeaseTable table = MakeTable();
   table.Grant({MakeLease("a", 8, Milliseconds(5000))}, At(0));
   table.Throttle({"a"}, false, At(0));
@@ -85,7 +85,7 @@
   table.Advance(At(1500));
   CHECK(StateOf(table, "a") == "running");
   CHECK_FALSE(table.Grant({MakeLease("b", 1)}, At(1500)));
-  // Nobody looked in between: the history still names the deadline.
+  // The table did not advance in between; the history has the deadline anyway.
   table.Advance(At(4000));
   CHECK(StateOf(table, "a") == "gone");
   CHECK(table.history().back().what == "lapsed");
@@ -104,14 +104,14 @@
   CHECK(table.history().back().what == "lapsed");
 }
 
-TEST_CASE("a renewal after the deadline does not bring a lease back") {
+TEST_CASE("a renewal after the deadline does not restore a lease") {
   LeaseTable table = MakeTable();
   table.Grant({MakeLease("a", 8)}, At(0));
   table.Renew({"a"}, Milliseconds(1000), At(1000));
   CHECK(StateOf(table, "a") == "gone");
 }
 
-TEST_CASE("faults of the table") {
+TEST_CASE("faults change how tasks start and checkpoint") {
   struct Row {
     const char* name;
     LeaseFaults faults;
@@ -136,7 +136,7 @@
   }
 }
 
-TEST_CASE("the progress of a checkpoint stands still") {
+TEST_CASE("the progress of a checkpointed task does not change") {
   LeaseTable table = MakeTable();
   table.Grant({MakeLease("a", 2, Milliseconds(600))}, At(0));
   table.Throttle({"a"}, false, At(0));
@@ -146,7 +146,7 @@
   CHECK(table.Progress(table.leases().at("a"), At(900)) == Milliseconds(400));
 }
 
-TEST_CASE("usage counts what runs, and lags") {
+TEST_CASE("usage counts running tasks and lags") {
   LeaseTable table = MakeTable();
   table.Grant({MakeLease("a", 2), MakeLease("b", 4)}, At(0));
   table.Throttle({"b"}, false, At(100));
--- a/tests/standins/tst_standin.cc
+++ b/tests/standins/tst_standin.cc
@@ -1,4 +1,5 @@
-// The roles of the stand-in over HTTP, in one process on free ports.
+// Tests the roles of the stand-in program over HTTP, in one process and on free
+// ports.
 #include <doctest/doctest.h>
 
 #include <future>
@@ -12,23 +13,24 @@
 
 constexpr char kRecords[] = "/v1/streams/jobs/records";
 
-// One of everything, with a proxy before the executor.
+// One role of each kind on free ports, and a proxy in front of the executor.
 class Fixture {
  public:
   Fixture() {
-    Json any = "127.0.0.1:0";
+    Json any_port = "127.0.0.1:0";
     Json config = {
-        {"log", {{"listen", any}, {"appends_per_second", 0}}},
-        {"instance_list", {{"listen", any}, {"include_own", true}}},
-        {"workers", {{{"name_prefix", "w"}, {"first_address", any}}}},
+        {"log", {{"listen", any_port}, {"appends_per_second", 0}}},
+        {"instance_list", {{"listen", any_port}, {"include_own", true}}},
+        {"workers", {{{"name_prefix", "w"}, {"first_address", any_port}}}},
         {"executors",
          {{{"name_prefix", "x"},
-           {"first_address", any},
+           {"first_address", any_port},
            {"service", "claims"},
            {"slots", 2},
            {"max_connections", 4},
            {"service_time_ms", 1}}}},
-        {"proxies", {{{"listen", any}, {"control", any}, {"target", "x0"}}}}};
+        {"proxies",
+         {{{"listen", any_port}, {"control", any_port}, {"target", "x0"}}}}};
     Error error;
     auto parsed = ParseStandinConfig(config, &error);
     REQUIRE_MESSAGE(parsed, error.ToString());
@@ -78,7 +80,8 @@
   REQUIRE(TestClient(address).Post("/control", control).status == 200);
 }
 
-// Waits until `field` of GET /control is `value` or more; bounded.
+// Waits until `field` of GET /control is at least `value`. Fails after 5000
+// attempts.
 void AwaitControl(const std::string& address, const std::string& field,
                   int64_t value) {
   TestClient client(address);
@@ -86,7 +89,7 @@
     if (client.Get("/control").body[field] >= value) return;
     std::this_thread::sleep_for(Milliseconds(1));
   }
-  FAIL("the role never came to " << field << " = " << value);
+  FAIL("timed out waiting for " << field << " >= " << value);
 }
 
 TEST_CASE("log: batches get consecutive offsets per stream") {
@@ -105,7 +108,7 @@
   CHECK(read["next_offset"] == 3);
 }
 
-TEST_CASE("log: what retention removed is answered with 410") {
+TEST_CASE("log: a read of records removed by retention is answered with 410") {
   Fixture fixture;
   TestClient client(fixture.log);
   client.Post(kRecords, Records({"a", "b", "c", "d"}));
@@ -127,7 +130,7 @@
   }
 }
 
-TEST_CASE("log: an append whose reply is lost was applied") {
+TEST_CASE("log: an append whose reply is lost is applied") {
   Fixture fixture;
   TestClient client(fixture.log);
   SetFault(fixture.log, {{"lose_replies", 1}});
@@ -138,7 +141,7 @@
       "a");
 }
 
-TEST_CASE("log: an outage refuses and changes nothing") {
+TEST_CASE("log: calls during an outage are refused and change nothing") {
   Fixture fixture;
   TestClient client(fixture.log);
   SetFault(fixture.log, {{"outage", true}});
@@ -148,8 +151,8 @@
   CHECK(client.Post(kRecords, Records({"b"})).body["first_offset"] == 0);
 }
 
-// The client gives up long before the read's own wait ends.
-TEST_CASE("log: an append wakes a waiting read") {
+// The client times out long before the wait of the read would end.
+TEST_CASE("log: an append completes a waiting read") {
   Fixture fixture;
   auto read = std::async(std::launch::async, [&fixture] {
     return TestClient(fixture.log)
@@ -160,7 +163,8 @@
   CHECK(read.get().body["records"].size() == 1);
 }
 
-TEST_CASE("log: the cap admits a burst of a quarter of a second") {
+TEST_CASE(
+    "log: the rate limit admits the appends of a quarter of a second at once") {
   TokenBucket bucket;
   Time start = Time() + std::chrono::hours(1);
   bucket.set_rate(8);
@@ -195,7 +199,8 @@
   CHECK(client.Get("/v1/state").body["leases"].size() == 1);
 }
 
-TEST_CASE("worker: no room is 507, an unknown lease is gone") {
+TEST_CASE(
+    "worker: a grant that does not fit gets 507, an unknown lease is gone") {
   Fixture fixture;
   TestClient client(fixture.worker);
   CHECK(client.Post("/v1/leases", Grant(1, 1, {{"a", 5}, {"b", 4}})).status ==
@@ -211,7 +216,7 @@
   CHECK(report["leases"][0]["state"] == "gone");
 }
 
-TEST_CASE("worker: one that dies closes connections and forgets its leases") {
+TEST_CASE("worker: a dead worker closes connections and drops its leases") {
   Fixture fixture;
   TestClient client(fixture.worker);
   REQUIRE(client.Post("/v1/leases", Grant(1, 1, {{"a", 5}})).status == 200);
@@ -224,7 +229,7 @@
   CHECK(history.back()["what"] == "dropped");
 }
 
-TEST_CASE("executor: refused work did not run") {
+TEST_CASE("executor: each fault runs the request or not, as documented") {
   struct Row {
     const char* name;
     Json fault;
@@ -258,7 +263,7 @@
   }
 }
 
-TEST_CASE("executor: when full it refuses with proof") {
+TEST_CASE("executor: a refusal without a free slot says that nothing ran") {
   Fixture fixture;
   SetFault(fixture.executor, {{"late_ms", 3000}});
   std::vector<std::future<TestAnswer>> runs;
@@ -291,7 +296,7 @@
   CHECK(other.get().body["request_id"] == "r2");
 }
 
-TEST_CASE("executor: connections above the bound are closed at accept") {
+TEST_CASE("executor: connections above the limit are closed at accept") {
   Fixture fixture;
   std::vector<std::unique_ptr<TestClient>> clients;
   for (int index = 0; index < 4; ++index) {
@@ -302,8 +307,9 @@
   CHECK(clients.front()->Get("/healthz").status == 200);
 }
 
-// A load check for strands blocked by stale readiness, which a new connection
-// meets most.
+// Guards against a strand that blocks in a receive after a stale readiness
+// event. Such events are most frequent on new connections, so every read opens
+// one.
 TEST_CASE("log: waiting reads on new connections are all answered") {
   constexpr int kCalls = 300;
   Fixture fixture;
@@ -322,7 +328,7 @@
   CHECK(other.get() == kCalls);
 }
 
-TEST_CASE("proxy: existing connections go silent while new ones work") {
+TEST_CASE("proxy: silent_existing affects existing connections only") {
   Fixture fixture;
   TestClient old_client(fixture.proxy);
   REQUIRE(old_client.Post("/claims", 1).status == 200);
@@ -335,7 +341,7 @@
   CHECK(TestClient(fixture.executor).Get("/control").body["runs_total"] == 2);
 }
 
-TEST_CASE("proxy: a cut refuses until it heals") {
+TEST_CASE("proxy: connections are refused from cut until heal") {
   Fixture fixture;
   TestClient client(fixture.proxy);
   REQUIRE(client.Get("/healthz").status == 200);
@@ -346,7 +352,7 @@
   CHECK(client.Get("/healthz").status == 200);
 }
 
-TEST_CASE("proxy: a freeze holds the bytes until it heals") {
+TEST_CASE("proxy: bytes are held from freeze until heal") {
   Fixture fixture;
   SetFault(fixture.proxy_control, {{"freeze", true}});
   auto held = std::async(std::launch::async, [&fixture] {
@@ -358,7 +364,7 @@
   CHECK(held.get().status == 200);
 }
 
-TEST_CASE("instance list: a change shows only after the lag") {
+TEST_CASE("instance list: a change is visible only after the lag") {
   Fixture fixture;
   TestClient client(fixture.instance_list);
   auto state = [&client] {
@@ -379,7 +385,7 @@
   CHECK(state() == "absent");
 }
 
-TEST_CASE("a control that no role knows is refused") {
+TEST_CASE("unknown fields of a control call are refused by all roles") {
   Fixture fixture;
   for (const std::string& address :
        {fixture.log, fixture.instance_list, fixture.worker, fixture.executor,
@@ -389,7 +395,7 @@
   }
 }
 
-TEST_CASE("config: every instance stands in a failure domain") {
+TEST_CASE("config: every instance has a failure domain") {
   struct Row {
     Json domains;
     std::vector<std::string> expected;
@@ -414,7 +420,7 @@
   }
 }
 
-TEST_CASE("config: what is wrong is refused") {
+TEST_CASE("config: invalid configurations are refused") {
   struct Row {
     const char* name;
     const char* text;
--- a/tests/standins/worker_role.cc
+++ b/tests/standins/worker_role.cc
@@ -1,4 +1,4 @@
-// Calls, reports and faults of a worker.
+// Implements the calls, reports and faults of a worker.
 #include "standins/worker_role.h"
 
 #include <optional>
@@ -17,9 +17,9 @@
   return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
-// Wall-clock milliseconds of a moment of the monotonic clock.
-// By one pair of readings for the whole process, so that the times of
-// different workers compare.
+// Converts a time of the monotonic clock to Unix milliseconds. All workers of
+// the process use the same pair of clock readings, so that their times can be
+// compared.
 int64_t UnixMilliseconds(Time time) {
   static const WallTime wall_base = std::chrono::system_clock::now();
   static const Time base = std::chrono::steady_clock::now();
@@ -81,7 +81,7 @@
 
 void WorkerRole::Handle(ExchangePtr exchange) {
   if (dead_) return exchange->Close();
-  // Let go without an answer; the call has no effect.
+  // The call has no effect, and the exchange is dropped without an answer.
   if (frozen_) return;
   std::string path = exchange->path();
   Time now = std::chrono::steady_clock::now();
@@ -93,8 +93,9 @@
     return exchange->Answer(JsonReply(Report({}, now)));
   }
   auto body = ParseJson(exchange->request().body());
-  Reply reply = body ? Call(path, *body) : ProblemReply(400, "body: not JSON");
-  Arm();
+  Reply reply =
+      body ? HandleCall(path, *body) : ProblemReply(400, "body: not JSON");
+  ScheduleNextEvent();
   if (lose_replies_ > 0) {
     --lose_replies_;
     return exchange->Close();
@@ -102,7 +103,7 @@
   exchange->Answer(std::move(reply));
 }
 
-Reply WorkerRole::Call(const std::string& path, const Json& body) {
+Reply WorkerRole::HandleCall(const std::string& path, const Json& body) {
   const Json* token_json = ObjectField(body, "token");
   if (token_json == nullptr) return ProblemReply(400, "token: missing");
   auto epoch = IntField(*token_json, "epoch");
@@ -111,7 +112,7 @@
   Token token(*epoch, *sequence);
   if (token < newest_token_) {
     Json refusal = {{"type", "about:blank"},
-                    {"title", "an older token than the newest seen"},
+                    {"title", "the token is older than the newest one seen"},
                     {"status", 409},
                     {"newest_token", ToJson(newest_token_)}};
     return JsonReply(refusal, 409);
@@ -166,7 +167,8 @@
   return false;
 }
 
-Json WorkerRole::Report(const std::vector<std::string>& asked, Time now) const {
+Json WorkerRole::Report(const std::vector<std::string>& requested_ids,
+                        Time now) const {
   Json leases = Json::array();
   for (const auto& [id, lease] : table_.leases()) {
     leases.push_back(
@@ -179,8 +181,8 @@
          {"reason", lease.reason},
          {"progress_ms", ToMilliseconds(table_.Progress(lease, now))}});
   }
-  for (const std::string& id : asked) {
-    if (table_.Knows(id)) continue;
+  for (const std::string& id : requested_ids) {
+    if (table_.Contains(id)) continue;
     leases.push_back({{"lease_id", id},
                       {"gang_id", ""},
                       {"job_id", ""},
@@ -198,8 +200,8 @@
             {"accelerators_in_use", table_.LaggedUsage(now)}}}};
 }
 
-void WorkerRole::Arm() {
-  auto next = table_.next_event();
+void WorkerRole::ScheduleNextEvent() {
+  auto next = table_.next_event_time();
   if (!next) {
     timer_.cancel();
     return;
@@ -208,7 +210,7 @@
   timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     table_.Advance(std::chrono::steady_clock::now());
-    Arm();
+    ScheduleNextEvent();
   });
 }
 
@@ -246,9 +248,9 @@
   table_.set_usage_lag(lag);
   if (BoolField(control, "dead").value_or(false)) {
     dead_ = true;
-    table_.Drop(std::chrono::steady_clock::now());
+    table_.DropAll(std::chrono::steady_clock::now());
     CloseOtherConnections();
-    Arm();
+    ScheduleNextEvent();
   }
   if (BoolField(control, "revive").value_or(false)) {
     dead_ = false;
--- a/tests/standins/worker_role.h
+++ b/tests/standins/worker_role.h
@@ -1,4 +1,5 @@
-// A worker: the wire form of a lease table, with fencing and faults.
+// Stand-in for a worker: serves a LeaseTable over HTTP, with fencing and
+// faults.
 #ifndef THORNPLANK_TESTS_STANDINS_WORKER_ROLE_H_
 #define THORNPLANK_TESTS_STANDINS_WORKER_ROLE_H_
 
@@ -29,7 +30,7 @@
   WorkerRole(const boost::asio::any_io_executor& executor,
              WorkerSettings settings);
 
-  // The entry of this worker in the instance list.
+  // This worker as it is listed in the instance list.
   Json Instance() const;
 
  protected:
@@ -41,20 +42,21 @@
   // Epoch, then sequence.
   using Token = std::pair<int64_t, int64_t>;
 
-  // Carries out one call that changes leases.
-  Reply Call(const std::string& path, const Json& body);
+  // Checks the fencing token and carries out a call that changes leases.
+  Reply HandleCall(const std::string& path, const Json& body);
   Reply Grant(const Json& body, Time now);
-  // Calls on leases by their ids; false when the call is malformed.
+  // Carries out a call on existing leases. Returns false if it is malformed.
   bool ChangeLeases(const std::string& path, const Json& body,
                     const std::vector<std::string>& lease_ids, Time now);
-  // `asked` that the table does not know are reported as gone.
-  Json Report(const std::vector<std::string>& asked, Time now) const;
-  // Sets the timer to what becomes due next.
-  void Arm();
+  // Reports all leases, and those of `requested_ids` that are not in the table
+  // as gone.
+  Json Report(const std::vector<std::string>& requested_ids, Time now) const;
+  // Sets the timer to the next transition of the lease table.
+  void ScheduleNextEvent();
 
   const WorkerSettings settings_;
   LeaseTable table_;
-  // Only ever grows, also when the worker dies and comes back.
+  // Never decreases, also not when the worker dies and is revived.
   Token newest_token_{0, 0};
   boost::asio::steady_timer timer_;
   bool frozen_ = false;
