--- a/benchmarks/baseline_entry.cc
+++ b/benchmarks/baseline_entry.cc
@@ -1,5 +1,5 @@
-// The baseline that entries are measured against: forwards each request to the
-// next executor in turn, with no limits, no accounts and no retries.
+// Baseline for comparisons with an entry: forwards requests to the executors in
+// round-robin order, without limits, accounts or retries.
 #include <gflags/gflags.h>
 
 #include <atomic>
--- a/benchmarks/bench_control.cc
+++ b/benchmarks/bench_control.cc
@@ -1,9 +1,10 @@
-// What control costs an entry: processor time, memory and bytes a second
-// against the counts of entries, workers, running tasks and client accounts,
-// on real processes with nothing else to do.
+// Measures what control costs each entry of a cluster that serves no requests:
+// processor time, memory and bytes per second, for different numbers of
+// entries, workers, running tasks and client accounts.
 //
-// Each row starts its own processes, lets them settle, and reads /metrics of
-// every entry twice. The coordinator and the others are shown apart.
+// Each row of the result has its own cluster of real processes. After the
+// settle time, /metrics of every entry is read twice. The coordinator and one
+// of the other entries are printed.
 #include <gflags/gflags.h>
 
 #include <iostream>
@@ -18,14 +19,14 @@
 
 DEFINE_string(rows, "",
               "rows as entries:workers:tasks:accounts,...; empty for all");
-DEFINE_int32(seconds, 12, "time measured per row");
+DEFINE_int32(seconds, 12, "seconds measured per row");
 DEFINE_bool(takeover, false,
-            "then kills the coordinator of each row and times the takeover");
+            "also kill the coordinator of each row and time the takeover");
 
 namespace thornplank {
 namespace {
 
-constexpr Milliseconds kSettle{4000};
+constexpr Milliseconds kSettleTime{4000};
 constexpr int kJobMembers = 32;
 constexpr int kLongRunMs = 3600 * 1000;
 // Log events of the coordinator, see docs/EVENTS.md.
@@ -39,11 +40,11 @@
   int accounts = 4;
 };
 
-// One entry's counters at one moment.
+// Counters of one entry, read at the same time.
 struct Sample {
   double cpu_seconds = 0;
   double resident_bytes = 0;
-  // Bytes both ways, by what they serve.
+  // Bytes sent and received, by kind of peer.
   std::map<std::string, double> bytes;
 };
 
@@ -56,16 +57,16 @@
   return 0;
 }
 
-Sample Read(TestCluster& cluster, int entry) {
+Sample Scrape(TestCluster& cluster, int entry) {
   Sample sample;
   const auto response = cluster.Call(entry, "GET", "/metrics");
   if (!response.has_value()) return sample;
   const std::string& text = response->body;
   sample.cpu_seconds = MetricValue(text, "process_cpu_seconds_total");
   sample.resident_bytes = MetricValue(text, "process_resident_memory_bytes");
-  for (const char* to : {"platform", "workers", "executors"}) {
-    const std::string label = std::string("{to=\"") + to + "\"}";
-    sample.bytes[to] =
+  for (const char* destination : {"platform", "workers", "executors"}) {
+    const std::string label = std::string("{to=\"") + destination + "\"}";
+    sample.bytes[destination] =
         MetricValue(text, "thornplank_client_bytes_sent" + label) +
         MetricValue(text, "thornplank_client_bytes_received" + label);
   }
@@ -74,7 +75,7 @@
   return sample;
 }
 
-bool MakeAccounts(TestCluster& cluster, int accounts) {
+bool CreateAccounts(TestCluster& cluster, int accounts) {
   for (int i = 0; i < accounts; ++i) {
     if (!cluster.PutNode(0, "account" + std::to_string(i),
                          {{"kind", "account"}})) {
@@ -84,15 +85,17 @@
   return true;
 }
 
-// Gangs of kJobMembers with one accelerator each until `tasks` members run.
+// Submits gangs of at most kJobMembers members, with one accelerator each,
+// until there are row.tasks members, and waits until all gangs run.
 bool StartTasks(TestCluster& cluster, const Row& row) {
-  int wanted = 0;
-  for (int started = 0; started < row.tasks; started += kJobMembers) {
-    const int members = std::min(kJobMembers, row.tasks - started);
+  int submitted_jobs = 0;
+  for (int submitted_tasks = 0; submitted_tasks < row.tasks;
+       submitted_tasks += kJobMembers) {
+    const int members = std::min(kJobMembers, row.tasks - submitted_tasks);
     const Json job = cluster.CallJson(
         0, "POST", "/v1/jobs",
         {{"name", "long"},
-         {"account", "account" + std::to_string(wanted % row.accounts)},
+         {"account", "account" + std::to_string(submitted_jobs % row.accounts)},
          {"members", members},
          {"accelerators", 1},
          {"adjacency", "none"},
@@ -102,7 +105,7 @@
       std::cerr << "submit: " << job.dump() << "\n";
       return false;
     }
-    ++wanted;
+    ++submitted_jobs;
   }
   return TestCluster::Eventually(
       [&] {
@@ -112,7 +115,7 @@
         for (const Json& job : jobs == nullptr ? Json::array() : *jobs) {
           if (StringField(job, "phase") == "running") ++running;
         }
-        return running >= wanted;
+        return running >= submitted_jobs;
       },
       std::chrono::seconds(90));
 }
@@ -124,19 +127,21 @@
             << 100 * (after.cpu_seconds - before.cpu_seconds) / seconds << " | "
             << after.resident_bytes / 1e6;
   double total = 0;
-  for (const char* to : {"platform", "workers", "executors", "peers"}) {
+  for (const char* destination :
+       {"platform", "workers", "executors", "peers"}) {
     const double rate =
-        (after.bytes.at(to) - before.bytes.at(to)) / seconds / 1e3;
+        (after.bytes.at(destination) - before.bytes.at(destination)) / seconds /
+        1e3;
     total += rate;
     std::cout << " | " << rate;
   }
   std::cout << " | " << total << std::endl;
 }
 
-// Milliseconds on the wall clock from `killed_at` to the first event `number`
-// after it at any entry; -1 while there is none.
-int64_t SinceKill(const TestCluster& cluster, const Row& row, int number,
-                  int64_t killed_at) {
+// Wall-clock milliseconds from `killed_at` to the first later event `number` of
+// any entry; -1 if there is none yet.
+int64_t MillisecondsSinceKill(const TestCluster& cluster, const Row& row,
+                              int number, int64_t killed_at) {
   int64_t first = -1;
   for (int i = 0; i < row.entries; ++i) {
     for (const Json& event : cluster.Events(i, number)) {
@@ -155,14 +160,17 @@
         ToUnixMilliseconds(std::chrono::system_clock::now());
     cluster.entry(i).Kill();
     const bool done = TestCluster::Eventually(
-        [&] { return SinceKill(cluster, row, kTakeoverDone, killed_at) >= 0; },
+        [&] {
+          return MillisecondsSinceKill(cluster, row, kTakeoverDone,
+                                       killed_at) >= 0;
+        },
         std::chrono::seconds(60));
     std::cout << "takeover with " << row.workers << " workers, " << row.tasks
               << " tasks: epoch after "
-              << SinceKill(cluster, row, kEpochWon, killed_at)
+              << MillisecondsSinceKill(cluster, row, kEpochWon, killed_at)
               << " ms, workers heard and gangs adopted after "
-              << SinceKill(cluster, row, kTakeoverDone, killed_at) << " ms"
-              << (done ? "" : " (not done)") << std::endl;
+              << MillisecondsSinceKill(cluster, row, kTakeoverDone, killed_at)
+              << " ms" << (done ? "" : " (not done)") << std::endl;
     return;
   }
 }
@@ -172,24 +180,25 @@
   settings.entries = row.entries;
   settings.workers = row.workers;
   settings.executors = 8;
-  // Today's machines below 100 workers, the target's single accelerators above.
-  constexpr int kSmall = 100;
-  settings.accelerators_per_worker = row.workers <= kSmall ? 8 : 1;
+  // Up to 100 workers model the present machines, with eight accelerators each;
+  // larger clusters model the planned ones, with a single accelerator each.
+  constexpr int kMaxSmallCluster = 100;
+  settings.accelerators_per_worker = row.workers <= kMaxSmallCluster ? 8 : 1;
   if (row.tasks > row.workers * settings.accelerators_per_worker) {
     settings.accelerators_per_worker =
         (row.tasks + row.workers - 1) / row.workers;
   }
   settings.workers_per_rack = 6;
   TestCluster cluster(settings);
-  if (!cluster.Start() || !MakeAccounts(cluster, row.accounts) ||
+  if (!cluster.Start() || !CreateAccounts(cluster, row.accounts) ||
       !StartTasks(cluster, row)) {
     std::cerr << "row did not start\n";
     return false;
   }
-  std::this_thread::sleep_for(kSettle);
+  std::this_thread::sleep_for(kSettleTime);
   std::vector<Sample> before;
   before.reserve(static_cast<size_t>(row.entries));
-  for (int i = 0; i < row.entries; ++i) before.push_back(Read(cluster, i));
+  for (int i = 0; i < row.entries; ++i) before.push_back(Scrape(cluster, i));
   const Time begin = std::chrono::steady_clock::now();
   std::this_thread::sleep_for(std::chrono::seconds(FLAGS_seconds));
   const double seconds =
@@ -197,7 +206,7 @@
           .count();
   bool other_shown = false;
   for (int i = 0; i < row.entries; ++i) {
-    const Sample after = Read(cluster, i);
+    const Sample after = Scrape(cluster, i);
     const Json status = cluster.CallJson(i, "GET", "/v1/status");
     const bool coordinator =
         BoolField(status, "is_coordinator").value_or(false);
@@ -210,7 +219,7 @@
   return true;
 }
 
-std::vector<Row> Rows() {
+std::vector<Row> ParseRows() {
   if (FLAGS_rows.empty()) {
     return {{2, 50, 0, 4},    {4, 50, 0, 4},    {8, 50, 0, 4},
             {4, 200, 0, 4},   {4, 400, 0, 4},   {4, 50, 200, 4},
@@ -236,9 +245,9 @@
                "total kB/s\n"
                "---|---|---|---|---|---|---|---|---|---|---|---"
             << std::endl;
-  bool all = true;
-  for (const Row& row : Rows()) all = Measure(row) && all;
-  return all ? 0 : 1;
+  bool success = true;
+  for (const Row& row : ParseRows()) success = Measure(row) && success;
+  return success ? 0 : 1;
 }
 
 }  // namespace
--- a/benchmarks/bench_heartbeat.cc
+++ b/benchmarks/bench_heartbeat.cc
@@ -1,5 +1,6 @@
-// Bytes a second that each entry spends on heartbeats, with all entries in
-// this one process on real sockets. Prints one JSON object.
+// Measures the bytes per second and the processor time that entries use for
+// heartbeats. All entries run in this process and use real sockets. Prints one
+// JSON object.
 #include <gflags/gflags.h>
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -19,10 +20,11 @@
 #include "protocol/peer_mesh.h"
 
 DEFINE_int32(members, 8, "Entries in the mesh, 2 to 32.");
-DEFINE_int32(seconds, 10, "Seconds measured, after all see each other.");
+DEFINE_int32(seconds, 10,
+             "Seconds measured, once all entries know each other.");
 DEFINE_int32(interval_ms, 500, "Heartbeat interval in milliseconds.");
 DEFINE_int32(section_bytes, 0,
-             "Size of a further section in each heartbeat, in bytes.");
+             "Size of an additional section in each heartbeat, in bytes.");
 
 namespace thornplank {
 namespace {
@@ -33,7 +35,7 @@
 
 struct Entry {
   Entry(boost::asio::io_context& io, const std::string& name)
-      : mesh(io, Settings(name)),
+      : mesh(io, MeshSettings(name)),
         members(io, mesh,
                 {name,
                  name + "-1",
@@ -49,7 +51,7 @@
         nullptr);
   }
 
-  static PeerMeshSettings Settings(const std::string& name) {
+  static PeerMeshSettings MeshSettings(const std::string& name) {
     PeerMeshSettings settings;
     settings.name = name;
     settings.incarnation = name + "-1";
--- a/benchmarks/bench_jobs.cc
+++ b/benchmarks/bench_jobs.cc
@@ -1,7 +1,8 @@
-// Times of jobs under failure, on real entries with stand-ins: reclaim and
-// urgent start with everything full, and the first placement after the
-// coordinator was killed. Prints one JSON object. Times run from the call to
-// the worker's own record that the last member started.
+// Measures how long a job takes to start on real entries with stand-in workers:
+// by reclaim of a guarantee and as an urgent job while all accelerators are in
+// use, and as the first job after the coordinator was killed. A time ends with
+// the start of the last member, as the worker recorded it. It begins with the
+// submission, or with the kill. Prints one JSON object.
 #include <gflags/gflags.h>
 
 #include <algorithm>
@@ -18,20 +19,20 @@
 #include "job_observer.h"
 #include "test_cluster.h"
 
-DEFINE_int32(tries, 30, "Tries of reclaim and of urgent start each.");
+DEFINE_int32(tries, 30, "Jobs started by reclaim, and urgent jobs started.");
 DEFINE_int32(takeovers, 10, "Kills of the coordinator.");
 DEFINE_int32(checkpoint_ms, 200, "Checkpoint time of the stand-in workers.");
 
 namespace thornplank {
 namespace {
 
-constexpr int kWholeWorker = 8;
-constexpr Milliseconds kEndless{3600000};
+constexpr int kAcceleratorsPerWorker = 8;
+constexpr Milliseconds kEndlessRun{3600000};
 constexpr Milliseconds kShortRun{100};
-// A new coordinator is left alone for 3 s; a kill within that time would
-// measure that.
+// Other entries do not replace a new coordinator for 3 s; after an earlier kill
+// the result would include that time.
 constexpr Duration kSettleTime = std::chrono::seconds(4);
-constexpr Duration kLimit = std::chrono::seconds(60);
+constexpr Duration kWaitLimit = std::chrono::seconds(60);
 
 int64_t NowMs() { return ToUnixMilliseconds(std::chrono::system_clock::now()); }
 
@@ -49,11 +50,11 @@
           {"max_ms", Percentile(times_ms, 1)}};
 }
 
-// When the last of `members` started; nullopt when it did not.
+// Start time of the last of `members`; nullopt if not all start in time.
 std::optional<int64_t> AwaitStart(JobObserver* jobs, const std::string& id,
                                   int members) {
   if (!TestCluster::Eventually(
-          [&] { return jobs->Count(id, "started") >= members; }, kLimit)) {
+          [&] { return jobs->Count(id, "started") >= members; }, kWaitLimit)) {
     return std::nullopt;
   }
   int64_t last = 0;
@@ -64,14 +65,15 @@
   return last;
 }
 
-// Submits `job` while borrowers fill everything, and cancels it again.
+// Repeatedly submits `job` while `borrowers` use all accelerators, and cancels
+// it once it has started.
 std::vector<int64_t> MeasureStarts(TestCluster* cluster, JobObserver* jobs,
                                    const Json& job,
                                    const std::vector<std::string>& borrowers) {
   std::vector<int64_t> times_ms;
   const int members = static_cast<int>(IntField(job, "members").value_or(1));
   for (int i = 0; i < FLAGS_tries; ++i) {
-    if (!jobs->AwaitPhases(borrowers, "running", kLimit)) break;
+    if (!jobs->AwaitPhases(borrowers, "running", kWaitLimit)) break;
     const int64_t begin_ms = NowMs();
     const std::string id = jobs->Submit(i % 3, job);
     const auto started = AwaitStart(jobs, id, members);
@@ -90,9 +92,9 @@
     std::this_thread::sleep_for(kSettleTime);
     const int64_t begin_ms = NowMs();
     cluster->entry(former).Kill();
-    const std::string id =
-        jobs->Submit((former + 1) % 3,
-                     JobObserver::MakeJob("south", 1, kWholeWorker, kShortRun));
+    const std::string id = jobs->Submit(
+        (former + 1) % 3,
+        JobObserver::MakeJob("south", 1, kAcceleratorsPerWorker, kShortRun));
     const auto started = AwaitStart(jobs, id, 1);
     if (!started) break;
     times_ms.push_back(*started - begin_ms);
@@ -102,7 +104,7 @@
   return times_ms;
 }
 
-Json Account(const Json& shapes) {
+Json MakeAccount(const Json& shapes) {
   return {{"kind", "account"}, {"guaranteed_shapes", shapes}};
 }
 
@@ -111,12 +113,12 @@
   settings.checkpoint_ms = FLAGS_checkpoint_ms;
   TestCluster cluster{settings};
   const Json shape = {{"members", 3},
-                      {"accelerators", kWholeWorker},
+                      {"accelerators", kAcceleratorsPerWorker},
                       {"adjacency", "rack"},
                       {"count", 1}};
   if (!cluster.Start() ||
-      !cluster.PutNode(0, "north", Account(Json::array({shape}))) ||
-      !cluster.PutNode(0, "south", Account(Json::array()))) {
+      !cluster.PutNode(0, "north", MakeAccount(Json::array({shape}))) ||
+      !cluster.PutNode(0, "south", MakeAccount(Json::array()))) {
     std::cerr << "the cluster did not start\n";
     return 1;
   }
@@ -127,12 +129,14 @@
   result["takeover_to_placement"] = Summary(MeasureTakeovers(&cluster, &jobs));
 
   const std::vector<std::string> borrowers = jobs.SubmitMany(
-      0, JobObserver::MakeJob("south", 2, 4, kEndless), settings.workers);
-  Json guaranteed = JobObserver::MakeJob("north", 3, kWholeWorker, kEndless);
+      0, JobObserver::MakeJob("south", 2, 4, kEndlessRun), settings.workers);
+  Json guaranteed =
+      JobObserver::MakeJob("north", 3, kAcceleratorsPerWorker, kEndlessRun);
   guaranteed["adjacency"] = "rack";
   result["reclaim"] =
       Summary(MeasureStarts(&cluster, &jobs, guaranteed, borrowers));
-  Json urgent = JobObserver::MakeJob("south", 2, kWholeWorker, kEndless);
+  Json urgent =
+      JobObserver::MakeJob("south", 2, kAcceleratorsPerWorker, kEndlessRun);
   urgent["priority"] = "urgent";
   result["urgent"] = Summary(MeasureStarts(&cluster, &jobs, urgent, borrowers));
   std::cout << result.dump(2) << std::endl;
--- a/benchmarks/bench_requests.cc
+++ b/benchmarks/bench_requests.cc
@@ -1,9 +1,10 @@
-// Requests through real processes: 50 executors of 8 slots behind 8 entries,
-// and behind a baseline of 8 round-robin forwarders, in one run.
+// Measures requests through real processes: by default 8 entries in front of 50
+// executors with 8 slots each, compared with a baseline of 8 round-robin
+// forwarders.
 //
-// Prints tables and, with --out, writes the same figures as JSON. Ends by
-// itself in less than three minutes. Times depend on what else the machine
-// does; ratios within one run are what is to be compared.
+// Prints tables and, with --out, writes the same figures as JSON. A run takes
+// less than three minutes. Times depend on the load of the machine, so compare
+// ratios within one run rather than times of different runs.
 #include <gflags/gflags.h>
 
 #include <csignal>
@@ -19,21 +20,23 @@
 #include <vector>
 
 #include "base/json.h"
-#include "load_figures.h"
+#include "load_statistics.h"
 #include "loadgen/load_generator.h"
 #include "net/io_pool.h"
 #include "test_cluster.h"
 
-DEFINE_int32(entries, 8, "entries, and forwarders of the baseline");
-DEFINE_int32(executors, 50, "executors of 8 slots");
+DEFINE_int32(entries, 8,
+             "number of entries, and of forwarders of the baseline");
+DEFINE_int32(executors, 50, "number of executors, with 8 slots each");
 DEFINE_int32(service_ms, 200,
-             "mean service time in the burst; the executors differ by up to a "
-             "quarter of it");
+             "mean service time in the burst in milliseconds; executors differ "
+             "from it by up to a quarter");
 DEFINE_double(factor, 3, "load of the burst as a multiple of the capacity");
-DEFINE_int32(burst_ms, 5000, "length of the burst");
-DEFINE_int32(rounds, 3, "rounds of each measurement; medians are shown");
-DEFINE_int32(idle_ms, 10000, "how long idle entries are watched");
-DEFINE_string(parts, "idle,latency,appends,burst", "what is measured");
+DEFINE_int32(burst_ms, 5000, "length of the burst in milliseconds");
+DEFINE_int32(rounds, 3, "rounds of each measurement; the medians are printed");
+DEFINE_int32(idle_ms, 10000,
+             "how long idle entries are measured, in milliseconds");
+DEFINE_string(parts, "idle,latency,appends,burst", "measurements to run");
 DEFINE_string(out, "", "file for the figures as JSON");
 
 namespace thornplank {
@@ -43,22 +46,25 @@
 constexpr int kLoadThreads = 3;
 constexpr size_t kConnectionsPerEntry = 3500;
 constexpr Milliseconds kDeadline{2000};
-// Rates and lengths of the parts without a burst.
+// Rate in requests per second, and lengths, of the measurements without a
+// burst.
 constexpr double kLowRate = 150;
 constexpr Milliseconds kLowLength{2000};
 constexpr Milliseconds kAppendsLength{4000};
 constexpr Milliseconds kAloneLength{4000};
-// The first second of a load isn't counted: slots fill, shares settle.
-constexpr Milliseconds kSettling{1000};
+// The start of a load is not counted, because slots are still filling up and
+// the shares of the accounts are changing.
+constexpr Milliseconds kSettleTime{1000};
 constexpr double kMillisecondsPerSecond = 1000;
 constexpr char kNeighbour[] = "neighbour";
 constexpr char kFlood[] = "flood";
 constexpr char kToken[] = "operator-secret";
-// Load of the neighbour as a share of the capacity; half is its guarantee.
+// Load of the neighbour, and guarantee of each of the two accounts, as a share
+// of the capacity.
 constexpr double kNeighbourLoad = 0.4;
 constexpr double kGuarantee = 0.5;
 
-bool Measures(const std::string& part) {
+bool IsMeasured(const std::string& part) {
   return ("," + FLAGS_parts + ",").find("," + part + ",") != std::string::npos;
 }
 
@@ -66,21 +72,21 @@
   return static_cast<int>(FLAGS_executors * kSlots * kGuarantee);
 }
 
-// Service time of one executor in the burst, around the mean: equal ones would
-// answer in step for ever.
-int BurstServiceMs(int executor) {
-  const double place = FLAGS_executors < 2
-                           ? 0.5
-                           : static_cast<double>(executor) /
-                                 static_cast<double>(FLAGS_executors - 1);
-  return static_cast<int>(FLAGS_service_ms * (0.75 + 0.5 * place));
+// Service time of one executor in the burst. The executors have different
+// times, because with equal ones their answers would stay synchronized.
+int BurstServiceTimeMs(int executor) {
+  const double position = FLAGS_executors < 2
+                              ? 0.5
+                              : static_cast<double>(executor) /
+                                    static_cast<double>(FLAGS_executors - 1);
+  return static_cast<int>(FLAGS_service_ms * (0.75 + 0.5 * position));
 }
 
-// Requests a second that all executors can run in the burst.
+// Requests per second that all executors together can run in the burst.
 double Capacity() {
   double capacity = 0;
   for (int i = 0; i < FLAGS_executors; ++i) {
-    capacity += kSlots * kMillisecondsPerSecond / BurstServiceMs(i);
+    capacity += kSlots * kMillisecondsPerSecond / BurstServiceTimeMs(i);
   }
   return capacity;
 }
@@ -101,20 +107,20 @@
     pool_.Start();
   }
 
-  // False when the processes don't get ready.
+  // Returns false if a process does not get ready.
   bool Start();
   Json Idle();
   Json Latency(int service_ms);
   Json Appends(double rate);
-  // Medians of the rounds, {"thornplank","baseline"}; nullopt when processes
-  // don't start.
+  // Returns {"thornplank","baseline","rounds"}, with medians over the rounds;
+  // nullopt if a process does not start.
   std::optional<Json> Burst();
 
  private:
   using History = std::vector<HistoryRecord>;
 
   bool SetServiceTimes(bool burst, int service_ms);
-  History Load(LoadSettings settings);
+  History RunLoad(LoadSettings settings);
   LoadSettings LowLoad() const;
   LoadSettings BurstLoad() const;
   Json MeasureBurst();
@@ -128,7 +134,7 @@
   TestCluster cluster_;
   IoPool pool_;
   std::vector<std::unique_ptr<ChildProcess>> baseline_;
-  int loads_ = 0;
+  int load_count_ = 0;
 };
 
 std::vector<std::string> RequestBenchmark::EntryAddresses() const {
@@ -160,7 +166,8 @@
   return StartEntries();
 }
 
-// Starts those that don't run, and waits until each answers for both accounts.
+// Starts the entries that do not run, and waits until each of them answers
+// requests of both accounts.
 bool RequestBenchmark::StartEntries() {
   for (int i = 0; i < FLAGS_entries; ++i) {
     if (!cluster_.entry(i).running()) cluster_.StartEntry(i);
@@ -187,7 +194,7 @@
   }
 }
 
-// On the addresses of the entries, which must have been stopped.
+// Starts the forwarders on the addresses of the entries, which must be stopped.
 bool RequestBenchmark::StartBaseline() {
   std::string executors;
   for (const std::string& address : ExecutorAddresses()) {
@@ -212,17 +219,17 @@
 
 bool RequestBenchmark::SetServiceTimes(bool burst, int service_ms) {
   for (int i = 0; i < FLAGS_executors; ++i) {
-    const int late_ms = burst ? BurstServiceMs(i) : service_ms;
+    const int late_ms = burst ? BurstServiceTimeMs(i) : service_ms;
     const std::string address = cluster_.executor_address(i);
     if (!cluster_.Control(address, {{"late_ms", late_ms}})) return false;
   }
   return true;
 }
 
-RequestBenchmark::History RequestBenchmark::Load(LoadSettings settings) {
+RequestBenchmark::History RequestBenchmark::RunLoad(LoadSettings settings) {
   settings.max_connections_per_entry = kConnectionsPerEntry;
   settings.deadline = kDeadline;
-  settings.name = "load" + std::to_string(loads_++);
+  settings.name = "load" + std::to_string(load_count_++);
   LoadGenerator generator(pool_, std::move(settings));
   return generator.Run();
 }
@@ -239,18 +246,19 @@
   return std::nullopt;
 }
 
-// Medians over the entries: memory in bytes and share of one core.
+// Medians over the entries of their memory in megabytes and their share of a
+// core.
 Json RequestBenchmark::Idle() {
   const auto processor_time = [this](int entry) {
     return Metric(entry, "process_cpu_seconds_total").value_or(0);
   };
   std::vector<double> before;
   before.reserve(static_cast<size_t>(FLAGS_entries));
-  const Time begun = std::chrono::steady_clock::now();
+  const Time start_time = std::chrono::steady_clock::now();
   for (int i = 0; i < FLAGS_entries; ++i) before.push_back(processor_time(i));
   std::this_thread::sleep_for(Milliseconds(FLAGS_idle_ms));
   const std::chrono::duration<double> length =
-      std::chrono::steady_clock::now() - begun;
+      std::chrono::steady_clock::now() - start_time;
   std::vector<Json> entries;
   for (int i = 0; i < FLAGS_entries; ++i) {
     const double used = processor_time(i) - before[static_cast<size_t>(i)];
@@ -271,7 +279,8 @@
   return settings;
 }
 
-// A direct call, the same through an entry, and a non-idempotent one.
+// Latencies of direct calls to executors, of idempotent requests through an
+// entry, and of non-idempotent requests through an entry.
 Json RequestBenchmark::Latency(int service_ms) {
   if (!SetServiceTimes(/*burst=*/false, service_ms)) return Json::object();
   const LoadWindow whole{Duration(0), kLowLength};
@@ -282,12 +291,13 @@
     direct.direct = true;
     LoadSettings claims = LowLoad();
     claims.non_idempotent_share = 1;
-    // Connections are opened before the measured load.
-    Load(LowLoad());
-    const History histories[] = {Load(direct), Load(LowLoad()), Load(claims)};
-    const auto latency = [&](int way, double quantile) {
-      return LatencyQuantile(histories[way], whole, Outcome::kAnswered,
-                             quantile);
+    // Opens the connections before the measured loads.
+    RunLoad(LowLoad());
+    const History histories[] = {RunLoad(direct), RunLoad(LowLoad()),
+                                 RunLoad(claims)};
+    const auto latency = [&](int history_index, double quantile) {
+      return LatencyQuantile(histories[history_index], whole,
+                             Outcome::kAnswered, quantile);
     };
     rounds.push_back({{"direct_p50_us", latency(0, 0.5)},
                       {"direct_p99_us", latency(0, 0.99)},
@@ -301,7 +311,8 @@
   return MedianOfRounds(rounds);
 }
 
-// Appends of all entries to the log under a rate of non-idempotent requests.
+// Appends of all entries to the log, and latencies, under a constant rate of
+// non-idempotent requests.
 Json RequestBenchmark::Appends(double rate) {
   LoadSettings settings = LowLoad();
   settings.rate = rate;
@@ -316,19 +327,19 @@
   const double appends = counter("appends");
   const double records = counter("records");
   const double refused = counter("refused");
-  const History history = Load(settings);
+  const History history = RunLoad(settings);
   const LoadWindow whole{Duration(0), kAppendsLength};
   return {
       {"rate", rate},
       {"appends_per_second", (counter("appends") - appends) / seconds},
       {"records_per_second", (counter("records") - records) / seconds},
       {"refused_per_second", (counter("refused") - refused) / seconds},
-      {"answered_share", ShareOf(history, whole, Outcome::kAnswered)},
+      {"answered_share", OutcomeShare(history, whole, Outcome::kAnswered)},
       {"p50_us", LatencyQuantile(history, whole, Outcome::kAnswered, 0.5)},
       {"p99_us", LatencyQuantile(history, whole, Outcome::kAnswered, 0.99)}};
 }
 
-// Half of the requests at the first entry.
+// Overload by both accounts. Half of the requests go to the first entry.
 LoadSettings RequestBenchmark::BurstLoad() const {
   LoadSettings settings = LowLoad();
   settings.entry_weights.assign(static_cast<size_t>(FLAGS_entries), 1);
@@ -340,16 +351,16 @@
   return settings;
 }
 
-// The neighbour alone, then beside the flood.
+// Measures the neighbour alone, then together with the flood.
 Json RequestBenchmark::MeasureBurst() {
   LoadSettings alone = BurstLoad();
   alone.accounts = {{kNeighbour, kToken, 1}};
   alone.rate = kNeighbourLoad * Capacity();
   alone.duration = kAloneLength;
-  const History quiet = Load(alone);
-  const History burst = Load(BurstLoad());
-  const LoadWindow quiet_window{kSettling, kAloneLength};
-  const LoadWindow window{kSettling, Milliseconds(FLAGS_burst_ms)};
+  const History quiet = RunLoad(alone);
+  const History burst = RunLoad(BurstLoad());
+  const LoadWindow quiet_window{kSettleTime, kAloneLength};
+  const LoadWindow window{kSettleTime, Milliseconds(FLAGS_burst_ms)};
   const auto latency_ms = [&](Outcome outcome, double quantile,
                               const std::string& account) {
     return LatencyQuantile(burst, window, outcome, quantile, account) / 1e3;
@@ -370,29 +381,31 @@
       {"answered_p99_ms", latency_ms(Outcome::kAnswered, 0.99, "")},
       {"refused_p50_ms", latency_ms(Outcome::kNotRun, 0.5, "")},
       {"refused_p99_ms", latency_ms(Outcome::kNotRun, 0.99, "")},
-      {"unknown_share", ShareOf(burst, window, Outcome::kUnknown)},
-      {"no_answer_share", ShareOf(burst, window, Outcome::kNoAnswer)},
+      {"unknown_share", OutcomeShare(burst, window, Outcome::kUnknown)},
+      {"no_answer_share", OutcomeShare(burst, window, Outcome::kNoAnswer)},
       {"neighbour_alone_p99_ms", alone_p99},
       {"neighbour_flooded_p99_ms", flooded_p99},
       {"neighbour_p99_ratio", alone_p99 > 0 ? flooded_p99 / alone_p99 : 0.0}};
 }
 
 std::optional<Json> RequestBenchmark::Burst() {
-  std::vector<Json> own;
-  std::vector<Json> baseline;
+  std::vector<Json> entry_rounds;
+  std::vector<Json> baseline_rounds;
   if (!SetServiceTimes(/*burst=*/true, 0)) return std::nullopt;
   for (int round = 0; round < FLAGS_rounds; ++round) {
     if (!StartEntries()) return std::nullopt;
-    own.push_back(MeasureBurst());
-    // Both at once would need more connections than an executor takes.
+    entry_rounds.push_back(MeasureBurst());
+    // The entries are stopped first, because an executor does not accept enough
+    // connections for them and the baseline.
     StopEntries();
     if (!StartBaseline()) return std::nullopt;
-    baseline.push_back(MeasureBurst());
+    baseline_rounds.push_back(MeasureBurst());
     baseline_.clear();
   }
-  return Json{{"thornplank", MedianOfRounds(own)},
-              {"baseline", MedianOfRounds(baseline)},
-              {"rounds", {{"thornplank", own}, {"baseline", baseline}}}};
+  return Json{{"thornplank", MedianOfRounds(entry_rounds)},
+              {"baseline", MedianOfRounds(baseline_rounds)},
+              {"rounds",
+               {{"thornplank", entry_rounds}, {"baseline", baseline_rounds}}}};
 }
 
 int Fail(const std::string& what) {
@@ -401,28 +414,28 @@
 }
 
 int Run() {
-  const Time begun = std::chrono::steady_clock::now();
+  const Time start_time = std::chrono::steady_clock::now();
   RequestBenchmark benchmark;
   if (!benchmark.Start()) return Fail("the processes did not get ready");
   Json figures = {{"capacity_per_second", Capacity()}};
   std::cout << "capacity " << Capacity() << " requests a second\n";
-  if (Measures("idle")) {
+  if (IsMeasured("idle")) {
     figures["idle"] = benchmark.Idle();
     PrintTable("idle entry", {"median"}, {figures["idle"]});
   }
-  if (Measures("latency")) {
+  if (IsMeasured("latency")) {
     const std::vector<Json> columns = {benchmark.Latency(0),
                                        benchmark.Latency(20)};
     figures["latency"] = {{"0_ms", columns[0]}, {"20_ms", columns[1]}};
     PrintTable("low load, service time", {"0 ms", "20 ms"}, columns);
   }
-  if (Measures("appends")) {
+  if (IsMeasured("appends")) {
     const std::vector<Json> columns = {benchmark.Appends(200),
                                        benchmark.Appends(1000)};
     figures["appends"] = columns;
     PrintTable("non-idempotent", {"200/s", "1000/s"}, columns);
   }
-  if (Measures("burst")) {
+  if (IsMeasured("burst")) {
     const std::optional<Json> burst = benchmark.Burst();
     if (!burst.has_value()) return Fail("processes did not get ready");
     figures["burst"] = *burst;
@@ -430,7 +443,7 @@
                {(*burst)["thornplank"], (*burst)["baseline"]});
   }
   const std::chrono::duration<double> length =
-      std::chrono::steady_clock::now() - begun;
+      std::chrono::steady_clock::now() - start_time;
   figures["seconds"] = length.count();
   std::cout << "\n" << length.count() << " s\n";
   if (!FLAGS_out.empty()) {
--- a/benchmarks/bench_routing.cc
+++ b/benchmarks/bench_routing.cc
@@ -1,5 +1,5 @@
-// Weighs the ways of sharing executors' slots between entries, in virtual time,
-// and measures the processor time of a routing decision.
+// Compares, in virtual time, the policies by which entries share the slots of
+// executors, and measures the processor time of a routing decision.
 #include <gflags/gflags.h>
 
 #include <algorithm>
@@ -11,13 +11,15 @@
 #include <variant>
 #include <vector>
 
-#include "burst_loop.h"
+#include "burst_simulation.h"
 #include "routing/request_router.h"
 
 DEFINE_uint64(seed, 1, "Seed of arrivals and service times.");
-DEFINE_int32(burst_seconds, 10, "Length of the burst in virtual time.");
-DEFINE_int32(heartbeat_ms, 200, "Period of the entries' heartbeats.");
-DEFINE_int32(decisions, 200000, "Decisions measured for each row.");
+DEFINE_int32(burst_seconds, 10,
+             "Length of the burst in seconds of virtual time.");
+DEFINE_int32(heartbeat_ms, 200,
+             "Interval of the heartbeats of entries, in milliseconds.");
+DEFINE_int32(decisions, 200000, "Decisions measured per row.");
 
 namespace thornplank {
 namespace {
@@ -28,19 +30,19 @@
 using std::chrono::nanoseconds;
 using std::chrono::seconds;
 
-LoopOptions Options() {
+BurstOptions Options() {
   return {FLAGS_seed, FLAGS_burst_seconds, FLAGS_heartbeat_ms};
 }
 
-const char* NameOf(Way way) {
-  switch (way) {
-    case Way::kAllSlots:
+const char* NameOf(RoutingMethod method) {
+  switch (method) {
+    case RoutingMethod::kAllSlots:
       return "AllSlots";
-    case Way::kStaticShare:
+    case RoutingMethod::kStaticShare:
       return "StaticShare";
-    case Way::kDemandShare:
+    case RoutingMethod::kDemandShare:
       return "DemandShare";
-    case Way::kRoundRobin:
+    case RoutingMethod::kRoundRobin:
       return "round robin";
   }
   return "";
@@ -56,19 +58,20 @@
   return duration_cast<microseconds>(*position).count() / 1000.0;
 }
 
-void CompareWays() {
+void CompareMethods() {
   const std::vector<double> uneven = {50, 20, 5, 5, 5, 5, 5, 5};
-  const std::vector<double> one = {93, 1, 1, 1, 1, 1, 1, 1};
+  const std::vector<double> skewed = {93, 1, 1, 1, 1, 1, 1, 1};
   const std::vector<double> mixed = {70, 10, 10, 10};
-  const Load loads[] = {
+  const LoadProfile loads[] = {
       {"3.0 x capacity, half of it at one entry", 3.0, uneven, mixed},
-      {"0.9 x capacity, 93 % of it at one entry", 0.9, one, mixed},
+      {"0.9 x capacity, 93 % of it at one entry", 0.9, skewed, mixed},
       {"0.9 x capacity, even", 0.9, std::vector<double>(kEntries, 1), mixed},
   };
-  const double capacity = kExecutors * kSlots /
-                          std::chrono::duration<double>(kMeanService).count() *
-                          FLAGS_burst_seconds;
-  for (const Load& load : loads) {
+  const double capacity =
+      kExecutors * kSlots /
+      std::chrono::duration<double>(kMeanServiceTime).count() *
+      FLAGS_burst_seconds;
+  for (const LoadProfile& load : loads) {
     std::printf("\n%s\n", load.name);
     std::printf("%-12s %8s %8s %8s %8s %9s %9s %10s %10s %8s\n", "way",
                 "goodput", "goodput", "refused/", "unknown", "wait p50",
@@ -76,37 +79,40 @@
     std::printf("%-12s %8s %8s %8s %8s %9s %9s %10s %10s %8s\n", "", "/capac.",
                 "/demand", "answer", "", "ms", "ms", "p50 ms", "p99 ms",
                 "account");
-    for (Way way : {Way::kAllSlots, Way::kStaticShare, Way::kDemandShare,
-                    Way::kRoundRobin}) {
-      Figures figures = RunBurst(way, load, Options());
-      const int least = *std::min_element(figures.answered_by_account.begin(),
-                                          figures.answered_by_account.end());
+    for (RoutingMethod method :
+         {RoutingMethod::kAllSlots, RoutingMethod::kStaticShare,
+          RoutingMethod::kDemandShare, RoutingMethod::kRoundRobin}) {
+      BurstResults results = RunBurst(method, load, Options());
+      const int least = *std::min_element(results.answered_by_account.begin(),
+                                          results.answered_by_account.end());
       std::printf(
           "%-12s %8.3f %8.3f %8.3f %8d %9.1f %9.1f %10.1f %10.1f %8d\n",
-          NameOf(way), figures.answered_in_time / capacity,
-          1.0 * figures.answered_in_time / std::max(1, figures.arrived),
-          1.0 * figures.refused_attempts / std::max(1, figures.answered),
-          figures.unknown, QuantileMs(&figures.waits, 0.5),
-          QuantileMs(&figures.waits, 0.99),
-          QuantileMs(&figures.refusal_delays, 0.5),
-          QuantileMs(&figures.refusal_delays, 0.99), least);
+          NameOf(method), results.answered_in_time / capacity,
+          1.0 * results.answered_in_time / std::max(1, results.arrived),
+          1.0 * results.refused_attempts / std::max(1, results.answered),
+          results.unknown, QuantileMs(&results.waits, 0.5),
+          QuantileMs(&results.waits, 0.99),
+          QuantileMs(&results.refusal_delays, 0.5),
+          QuantileMs(&results.refusal_delays, 0.99), least);
     }
   }
 }
 
-// What a flood of one account costs a neighbour within its guarantee.
+// Compares the latencies of an account within its guarantee, without and with
+// another account that sends three times the capacity.
 void CompareNeighbours() {
   const std::vector<double> uneven = {50, 20, 5, 5, 5, 5, 5, 5};
-  const Load alone = {"alone", 0.1, uneven, {0, 1}};
-  const Load flooded = {"flooded", 3.1, uneven, {30, 1}};
+  const LoadProfile alone = {"alone", 0.1, uneven, {0, 1}};
+  const LoadProfile flooded = {"flooded", 3.1, uneven, {30, 1}};
   std::printf("\nneighbour at 0.1 x capacity, flood at 3 x capacity\n");
   std::printf("%-12s %12s %12s %12s %12s\n", "way", "alone p50", "alone p99",
               "flooded p50", "flooded p99");
-  for (Way way : {Way::kAllSlots, Way::kStaticShare, Way::kDemandShare,
-                  Way::kRoundRobin}) {
-    Figures before = RunBurst(way, alone, Options());
-    Figures after = RunBurst(way, flooded, Options());
-    std::printf("%-12s %12.1f %12.1f %12.1f %12.1f\n", NameOf(way),
+  for (RoutingMethod method :
+       {RoutingMethod::kAllSlots, RoutingMethod::kStaticShare,
+        RoutingMethod::kDemandShare, RoutingMethod::kRoundRobin}) {
+    BurstResults before = RunBurst(method, alone, Options());
+    BurstResults after = RunBurst(method, flooded, Options());
+    std::printf("%-12s %12.1f %12.1f %12.1f %12.1f\n", NameOf(method),
                 QuantileMs(&before.latencies_by_account[1], 0.5),
                 QuantileMs(&before.latencies_by_account[1], 0.99),
                 QuantileMs(&after.latencies_by_account[1], 0.5),
@@ -114,7 +120,7 @@
   }
 }
 
-// Nanoseconds for each Submit and each Complete on a saturated router.
+// Nanoseconds per call of Submit or CompleteAttempt on a saturated router.
 double DecisionTime(int executors, int accounts) {
   RequestRouter router(RouterOptions{});
   Time now{seconds(1)};
@@ -147,8 +153,8 @@
   const auto begin = std::chrono::steady_clock::now();
   for (int i = 0; i < FLAGS_decisions / 2; ++i) {
     now += microseconds(50);
-    const size_t which = random() % in_flight.size();
-    std::swap(in_flight[which], in_flight.back());
+    const size_t index = random() % in_flight.size();
+    std::swap(in_flight[index], in_flight.back());
     const SendAttempt attempt = in_flight.back();
     in_flight.pop_back();
     AttemptResult result;
@@ -177,7 +183,7 @@
 
 int main(int argc, char** argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  thornplank::CompareWays();
+  thornplank::CompareMethods();
   thornplank::CompareNeighbours();
   thornplank::MeasureDecisions();
   return 0;
--- a/benchmarks/bench_scheduling.cc
+++ b/benchmarks/bench_scheduling.cc
@@ -1,5 +1,6 @@
-// Measures the job scheduler: time and memory of one decision at several
-// cluster sizes, and its placements beside simple policies on the same jobs.
+// Measures the time and memory of decisions of the job scheduler for several
+// cluster sizes, and compares its placements with those of simple policies on
+// the same jobs.
 //
 //   bench_scheduling decisions
 //   bench_scheduling policies [seeds]
@@ -62,8 +63,8 @@
   return accounts;
 }
 
-// Processor time of this thread: decisions wait for nothing, and on a busy
-// machine the wall clock would show the other processes.
+// Processor time of this thread in microseconds. Decisions do not wait, and on
+// a busy machine wall-clock times would include those of other processes.
 double CpuMicros() {
   timespec time;
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
@@ -73,7 +74,8 @@
 
 int64_t HeapBytes() { return static_cast<int64_t>(mallinfo2().uordblks); }
 
-// Times every call of the scheduler.
+// Calls the scheduler, measures every call, and applies the resulting actions
+// at once.
 class TimedScheduler {
  public:
   explicit TimedScheduler(std::vector<WorkerInfo> workers,
@@ -81,7 +83,7 @@
       : scheduler_(SchedulerOptions()) {
     scheduler_.SetWorkers(workers, now_);
     scheduler_.SetGuarantees(accounts, now_);
-    Answer(scheduler_.Tick(now_));
+    ApplyActions(scheduler_.Tick(now_));
   }
 
   template <typename Call>
@@ -92,22 +94,23 @@
     if (recording_) {
       micros_[kind].push_back(end - begin);
     }
-    Answer(std::move(actions));
+    ApplyActions(std::move(actions));
   }
   void Submit(const JobSpec& job) {
-    Time("submit",
-         [&](JobScheduler& one, auto now) { return one.Submit(job, now); });
+    Time("submit", [&](JobScheduler& scheduler, auto now) {
+      return scheduler.Submit(job, now);
+    });
   }
-  // Ends the oldest running gang.
-  bool EndOne() {
-    while (!order_.empty()) {
-      const std::string job = order_.front();
-      order_.pop();
+  // Finishes the oldest running gang. Returns false if none runs.
+  bool FinishOldest() {
+    while (!start_order_.empty()) {
+      const std::string job = start_order_.front();
+      start_order_.pop();
       const auto found = running_.find(job);
       if (found == running_.end()) continue;
       const GrantGang grant = found->second;
       for (const GangMember& member : grant.members) {
-        Result(grant, member, MemberOutcome::kFinished);
+        ReportMember(grant, member, MemberOutcome::kFinished);
       }
       return true;
     }
@@ -115,7 +118,8 @@
   }
   void Advance(Duration by) {
     now_ += by;
-    Time("tick", [](JobScheduler& one, auto now) { return one.Tick(now); });
+    Time("tick",
+         [](JobScheduler& scheduler, auto now) { return scheduler.Tick(now); });
   }
   void StartRecording() { recording_ = true; }
   const std::map<std::string, std::vector<double>>& micros() const {
@@ -124,24 +128,25 @@
   const JobScheduler& scheduler() const { return scheduler_; }
 
  private:
-  void Result(const GrantGang& grant, const GangMember& member,
-              MemberOutcome outcome) {
-    // The last lease to go lets others be placed.
-    const bool ends =
+  void ReportMember(const GrantGang& grant, const GangMember& member,
+                    MemberOutcome outcome) {
+    // The release of the last lease lets the scheduler place other jobs.
+    const bool ends_gang =
         outcome == MemberOutcome::kGone && member == grant.members.back();
-    Time(ends ? "gang gone" : "member", [&](JobScheduler& one, auto now) {
-      return one.MemberResult(grant.job, grant.gang_id, member.lease_id,
-                              outcome, "", now);
-    });
+    Time(ends_gang ? "gang gone" : "member",
+         [&](JobScheduler& scheduler, auto now) {
+           return scheduler.MemberResult(grant.job, grant.gang_id,
+                                         member.lease_id, outcome, "", now);
+         });
   }
-  void Answer(const SchedulerActions& actions) {
+  void ApplyActions(const SchedulerActions& actions) {
     for (const SchedulerAction& action : actions) {
       if (const auto* grant = std::get_if<GrantGang>(&action)) {
         running_[grant->job] = *grant;
-        order_.push(grant->job);
+        start_order_.push(grant->job);
         const GrantGang copy = *grant;
         for (const GangMember& member : copy.members) {
-          Result(copy, member, MemberOutcome::kConfirmed);
+          ReportMember(copy, member, MemberOutcome::kConfirmed);
         }
       } else if (const auto* stop = std::get_if<StopGang>(&action)) {
         const auto found = running_.find(stop->job);
@@ -149,12 +154,13 @@
         const GrantGang copy = found->second;
         running_.erase(found);
         for (const GangMember& member : copy.members) {
-          Result(copy, member, MemberOutcome::kGone);
+          ReportMember(copy, member, MemberOutcome::kGone);
         }
-      } else if (const auto* save = std::get_if<CheckpointGang>(&action)) {
-        const CheckpointGang copy = *save;
-        Time("saved", [&](JobScheduler& one, auto now) {
-          return one.CheckpointDone(copy.job, copy.gang_id, now);
+      } else if (const auto* checkpoint =
+                     std::get_if<CheckpointGang>(&action)) {
+        const CheckpointGang copy = *checkpoint;
+        Time("saved", [&](JobScheduler& scheduler, auto now) {
+          return scheduler.CheckpointDone(copy.job, copy.gang_id, now);
         });
       }
     }
@@ -163,12 +169,12 @@
   JobScheduler scheduler_;
   thornplank::Time now_;
   std::map<std::string, GrantGang> running_;
-  std::queue<std::string> order_;
+  std::queue<std::string> start_order_;
   std::map<std::string, std::vector<double>> micros_;
   bool recording_ = false;
 };
 
-struct SizeCase {
+struct ClusterSize {
   const char* name;
   int workers;
   int accelerators;
@@ -178,11 +184,11 @@
   int large_members;
 };
 
-void MeasureDecisions(const SizeCase& one) {
+void MeasureDecisions(const ClusterSize& size) {
   const int64_t heap_before = HeapBytes();
   TimedScheduler timed(
-      MakeWorkers(one.workers, one.accelerators, one.doubled, 24),
-      MakeAccounts(one.guaranteed, one.guaranteed_count));
+      MakeWorkers(size.workers, size.accelerators, size.doubled, 24),
+      MakeAccounts(size.guaranteed, size.guaranteed_count));
   std::mt19937_64 random(7);
   constexpr int kTasks = 11000;
   int number = 0;
@@ -193,24 +199,25 @@
     job.submitted_order = number;
     job.declared_run_time = seconds(30 + random() % 600);
     const int members =
-        number % 40 == 0 ? one.large_members : 1 << (random() % 4);
+        number % 40 == 0 ? size.large_members : 1 << (random() % 4);
     job.shape = {members, 1, Adjacency::kAnywhere};
-    if (number % 10 == 0) job.shape = one.guaranteed;
+    if (number % 10 == 0) job.shape = size.guaranteed;
     return job;
   };
   for (int i = 0; i < kTasks; ++i) {
     timed.Submit(next_job());
-    // Two thirds of them are done before the measured part.
-    if (i % 3 != 0) timed.EndOne();
+    // Finishes one job for two of three submitted ones, so that the rest is
+    // running or waiting when the recording starts.
+    if (i % 3 != 0) timed.FinishOldest();
   }
   const int64_t heap = HeapBytes() - heap_before;
   timed.StartRecording();
   for (int i = 0; i < 400; ++i) {
     timed.Submit(next_job());
-    timed.EndOne();
+    timed.FinishOldest();
     timed.Advance(milliseconds(500));
   }
-  std::printf("%-12s heap %.1f MB, %d accelerators free\n", one.name,
+  std::printf("%-12s heap %.1f MB, %d accelerators free\n", size.name,
               static_cast<double>(heap) / 1e6,
               timed.scheduler().free_accelerators());
   for (const auto& [kind, micros] : timed.micros()) {
@@ -225,12 +232,12 @@
 void MeasureAllDecisions() {
   const Shape whole{1, 8, Adjacency::kAnywhere};
   const Shape rack_four{4, 1, Adjacency::kRack};
-  for (const SizeCase& one :
-       {SizeCase{"50x8", 50, 8, 0, whole, 1, 128},
-        SizeCase{"275 (300)", 275, 1, 25, rack_four, 2, 32},
-        SizeCase{"550 (600)", 550, 1, 50, rack_four, 4, 64},
-        SizeCase{"1100 (1200)", 1100, 1, 100, rack_four, 8, 128}}) {
-    MeasureDecisions(one);
+  for (const ClusterSize& size :
+       {ClusterSize{"50x8", 50, 8, 0, whole, 1, 128},
+        ClusterSize{"275 (300)", 275, 1, 25, rack_four, 2, 32},
+        ClusterSize{"550 (600)", 550, 1, 50, rack_four, 4, 64},
+        ClusterSize{"1100 (1200)", 1100, 1, 100, rack_four, 8, 128}}) {
+    MeasureDecisions(size);
   }
 }
 
@@ -238,10 +245,10 @@
 }  // namespace thornplank
 
 int main(int argc, char** argv) {
-  const std::string what = argc > 1 ? argv[1] : "decisions";
-  if (what == "decisions") {
+  const std::string mode = argc > 1 ? argv[1] : "decisions";
+  if (mode == "decisions") {
     thornplank::MeasureAllDecisions();
-  } else if (what == "policies") {
+  } else if (mode == "policies") {
     thornplank::ComparePolicies(argc > 2 ? std::atoi(argv[2]) : 5);
   } else {
     std::fprintf(stderr, "usage: bench_scheduling decisions | policies [n]\n");
--- a/benchmarks/bench_settings.cc
+++ b/benchmarks/bench_settings.cc
@@ -1,10 +1,10 @@
-// Time from the acceptance of a change of settings until it is in force on
-// every entry, and from the stop or the death of the coordinator until the
-// next epoch, on real processes.
+// Measures on real processes the time from the acceptance of a settings change
+// until it is in force on all entries, and from a stop or kill of the
+// coordinator until the next epoch.
 //
-// A change is timed from the answer to its PUT. Each entry is asked for its
-// folded offset by a thread of its own over a kept connection, so the times
-// hold one call more than the change itself takes.
+// A change is timed from the answer to its PUT. One thread per entry polls the
+// offset that the entry has applied, over a persistent connection, so a time
+// includes up to one call more than the change itself takes.
 #include <gflags/gflags.h>
 
 #include <algorithm>
@@ -19,20 +19,21 @@
 #include "test_cluster.h"
 
 DEFINE_int32(entries, 8, "entries");
-DEFINE_int32(changes, 100, "changes measured, quiet and under load each");
-DEFINE_int32(callers, 16, "callers that send requests one after the other");
-DEFINE_int32(takeovers, 5, "stops and kills of the coordinator each");
+DEFINE_int32(changes, 100,
+             "changes measured without load, and again under load");
+DEFINE_int32(callers, 16, "callers, each sending one request at a time");
+DEFINE_int32(takeovers, 5, "stops, and again kills, of the coordinator");
 
 namespace thornplank {
 namespace {
 
-constexpr Milliseconds kPoll{1};
-constexpr std::chrono::seconds kLimit{20};
+constexpr Milliseconds kPollInterval{1};
+constexpr std::chrono::seconds kWaitLimit{20};
 constexpr char kAccount[] = "north";
 
 using Clock = std::chrono::steady_clock;
 
-double Since(Time begin) {
+double MsSince(Time begin) {
   return std::chrono::duration<double, std::milli>(Clock::now() - begin)
       .count();
 }
@@ -44,36 +45,37 @@
   return values[static_cast<size_t>(share * last + 0.5)];
 }
 
-int64_t Offset(TestCluster& cluster, int entry) {
+int64_t AppliedOffset(TestCluster& cluster, int entry) {
   const Json status = cluster.CallJson(entry, "GET", "/v1/status");
   const Json* offsets = ObjectField(status, "offsets");
   return offsets == nullptr ? -1 : IntField(*offsets, "settings").value_or(-1);
 }
 
-// Milliseconds until every entry has folded `offset`; below 0 when not.
+// Milliseconds from `begin` until every entry has applied `offset`; below 0 if
+// it takes longer than kWaitLimit.
 double AwaitInForce(TestCluster& cluster, int64_t offset, Time begin) {
-  std::atomic<bool> all{true};
+  std::atomic<bool> all_applied{true};
   std::vector<std::thread> readers;
   readers.reserve(static_cast<size_t>(FLAGS_entries));
   for (int entry = 0; entry < FLAGS_entries; ++entry) {
     readers.emplace_back([&, entry] {
-      while (Offset(cluster, entry) < offset) {
-        if (Clock::now() - begin > kLimit) {
-          all = false;
+      while (AppliedOffset(cluster, entry) < offset) {
+        if (Clock::now() - begin > kWaitLimit) {
+          all_applied = false;
           return;
         }
-        std::this_thread::sleep_for(kPoll);
+        std::this_thread::sleep_for(kPollInterval);
       }
     });
   }
   for (std::thread& reader : readers) reader.join();
-  return all ? Since(begin) : -1;
+  return all_applied ? MsSince(begin) : -1;
 }
 
 struct ChangeTimes {
-  // From sending the PUT to its answer.
+  // Milliseconds from sending the PUT to its answer.
   std::vector<double> accepted;
-  // From there until all have it.
+  // Milliseconds from the answer until the change is in force on all entries.
   std::vector<double> in_force;
   int failed = 0;
 };
@@ -97,15 +99,15 @@
                           ? ParseJson(response->body).value_or(Json::object())
                           : Json::object();
     const std::optional<int64_t> offset = IntField(body, "offset");
-    const double all =
+    const double in_force_ms =
         offset.has_value() ? AwaitInForce(cluster, *offset, answered) : -1;
-    if (all < 0) {
+    if (in_force_ms < 0) {
       ++times.failed;
       continue;
     }
     times.accepted.push_back(
         std::chrono::duration<double, std::milli>(answered - sent).count());
-    times.in_force.push_back(all);
+    times.in_force.push_back(in_force_ms);
   }
   return times;
 }
@@ -120,7 +122,8 @@
             << std::endl;
 }
 
-// Sends requests to all entries in turn until `*stop`.
+// Starts threads that send requests to all entries in turn until `*stop` is
+// set.
 std::vector<std::thread> StartLoad(TestCluster& cluster,
                                    std::atomic<bool>* stop,
                                    std::atomic<int64_t>* answered) {
@@ -140,12 +143,13 @@
   return callers;
 }
 
-// The newest epoch that any running entry but `left_out` has folded, and its
-// holder.
-std::pair<int64_t, std::string> Newest(TestCluster& cluster, int left_out) {
+// The highest epoch that an entry other than `excluded` has applied, and the
+// coordinator of that epoch. An `excluded` of -1 excludes none.
+std::pair<int64_t, std::string> NewestEpoch(TestCluster& cluster,
+                                            int excluded) {
   std::pair<int64_t, std::string> newest{0, ""};
   for (int entry = 0; entry < FLAGS_entries; ++entry) {
-    if (entry == left_out) continue;
+    if (entry == excluded) continue;
     const Json status = cluster.CallJson(entry, "GET", "/v1/status");
     const int64_t epoch = IntField(status, "epoch").value_or(0);
     if (epoch < newest.first) continue;
@@ -154,26 +158,28 @@
   return newest;
 }
 
-// Milliseconds from the signal to a new epoch; below 0 when there was none.
-double Takeover(TestCluster& cluster, int signal) {
+// Sends `signal` to the coordinator. Returns the milliseconds until a new
+// epoch; below 0 if there is none in time.
+double TimeTakeover(TestCluster& cluster, int signal) {
   std::pair<int64_t, std::string> before;
   const bool held = TestCluster::Eventually([&] {
-    before = Newest(cluster, -1);
+    before = NewestEpoch(cluster, -1);
     return before.first > 0 && !before.second.empty();
   });
   if (!held) return -1;
   const int coordinator =
       std::stoi(before.second.substr(std::string("entry").size()));
-  // Past the tenure within which a new epoch is left alone.
+  // Waits longer than the time for which the other entries do not replace a new
+  // coordinator.
   std::this_thread::sleep_for(std::chrono::seconds(4));
   const Time begin = Clock::now();
   cluster.entry(coordinator).Signal(signal);
   double took = -1;
-  while (took < 0 && Clock::now() - begin < kLimit) {
-    const auto now = Newest(cluster, coordinator);
-    if (now.first > before.first && !now.second.empty()) took = Since(begin);
+  while (took < 0 && Clock::now() - begin < kWaitLimit) {
+    const auto now = NewestEpoch(cluster, coordinator);
+    if (now.first > before.first && !now.second.empty()) took = MsSince(begin);
   }
-  cluster.entry(coordinator).Wait(kLimit);
+  cluster.entry(coordinator).Wait(kWaitLimit);
   cluster.StartEntry(coordinator);
   return cluster.WaitReady(coordinator) ? took : -1;
 }
@@ -183,7 +189,7 @@
   std::vector<double> times;
   int failed = 0;
   for (int i = 0; i < FLAGS_takeovers; ++i) {
-    const double took = Takeover(cluster, signal);
+    const double took = TimeTakeover(cluster, signal);
     if (took < 0) {
       ++failed;
     } else {
@@ -213,7 +219,7 @@
   std::vector<std::thread> callers = StartLoad(cluster, &stop, &answered);
   const ChangeTimes loaded = MeasureChanges(cluster);
   stop = true;
-  const double seconds = Since(begin) / 1000;
+  const double seconds = MsSince(begin) / 1000;
   for (std::thread& caller : callers) caller.join();
   PrintChanges("under " +
                    std::to_string(static_cast<int>(
--- a/benchmarks/load_figures.cc
+++ b/benchmarks/load_statistics.cc
@@ -1,5 +1,5 @@
-// Selection, counting and sorting of history records, and tables.
-#include "load_figures.h"
+// Computes the statistics of a load from its history, and prints tables.
+#include "load_statistics.h"
 
 #include <algorithm>
 #include <chrono>
@@ -17,7 +17,7 @@
   return at >= window.begin && at < window.end;
 }
 
-bool IsOf(const HistoryRecord& record, const std::string& account) {
+bool IsOfAccount(const HistoryRecord& record, const std::string& account) {
   return account.empty() || record.account == account;
 }
 
@@ -35,7 +35,7 @@
                         const std::string& account) {
   size_t answers = 0;
   for (const HistoryRecord& record : history) {
-    if (record.outcome != Outcome::kAnswered || !IsOf(record, account)) {
+    if (record.outcome != Outcome::kAnswered || !IsOfAccount(record, account)) {
       continue;
     }
     if (Microseconds(record.latency_us) > deadline) continue;
@@ -45,8 +45,8 @@
   return static_cast<double>(answers) / length.count();
 }
 
-double ShareOf(const std::vector<HistoryRecord>& history,
-               const LoadWindow& window, Outcome outcome) {
+double OutcomeShare(const std::vector<HistoryRecord>& history,
+                    const LoadWindow& window, Outcome outcome) {
   size_t sent = 0;
   size_t matching = 0;
   for (const HistoryRecord& record : history) {
@@ -63,7 +63,7 @@
                        double quantile, const std::string& account) {
   std::vector<double> latencies;
   for (const HistoryRecord& record : history) {
-    if (record.outcome != outcome || !IsOf(record, account)) continue;
+    if (record.outcome != outcome || !IsOfAccount(record, account)) continue;
     if (!IsWithin(record.sent_us, window)) continue;
     latencies.push_back(static_cast<double>(record.latency_us));
   }
--- a/benchmarks/scheduling_policies.h
+++ b/benchmarks/scheduling_policies.h
@@ -1,5 +1,5 @@
-// The jobs and the policies that bench_scheduling compares: the job scheduler,
-// and simple ones that place by first fit or best fit in arrival order.
+// Scheduling policies that bench_scheduling compares: the job scheduler, and
+// simple policies that place jobs by first fit or best fit in arrival order.
 #ifndef THORNPLANK_BENCHMARKS_SCHEDULING_POLICIES_H_
 #define THORNPLANK_BENCHMARKS_SCHEDULING_POLICIES_H_
 
@@ -15,35 +15,41 @@
 namespace thornplank {
 
 constexpr int kRacks = 8;
-constexpr int kPerRack = 6;
-constexpr int kSize = 8;
+constexpr int kWorkersPerRack = 6;
+constexpr int kAcceleratorsPerWorker = 8;
 
+// A job of the trace that all policies run. Times are in seconds.
 struct TraceJob {
   JobSpec spec;
-  double submit = 0;  // seconds
-  double run = 0;     // seconds
+  double submit_time = 0;
+  double run_time = 0;
   bool large = false;
 };
 
+// Decides when and where jobs start. Each function reports an event and returns
+// the actions that follow from it.
 class Policy {
  public:
   virtual ~Policy() = default;
-  // A start on the given workers, or with none an order to save and stop.
+  // Starts the job with one member on each of `workers`. If there are none, the
+  // running job must be checkpointed and stopped.
   struct Start {
     std::string job;
     std::vector<std::string> workers;
   };
   virtual std::vector<Start> Submit(const TraceJob& job, Time now) = 0;
   virtual std::vector<Start> Finished(const std::string& job, Time now) = 0;
-  virtual std::vector<Start> Saved(const std::string&, Time) { return {}; }
+  virtual std::vector<Start> Checkpointed(const std::string&, Time) {
+    return {};
+  }
   virtual std::vector<Start> Tick(Time) { return {}; }
 };
 
-// Waiting jobs in the order of their arrival, placed by first fit or best fit;
-// `skips` lets later jobs pass one that does not fit.
-class ArrivalOrder : public Policy {
+// Places waiting jobs in the order of their arrival, by first fit or best fit.
+// If `skips` is set, jobs may overtake a job that does not fit.
+class ArrivalOrderPolicy : public Policy {
  public:
-  ArrivalOrder(std::vector<WorkerInfo> workers, bool best_fit, bool skips)
+  ArrivalOrderPolicy(std::vector<WorkerInfo> workers, bool best_fit, bool skips)
       : best_fit_(best_fit), skips_(skips) {
     cluster_.SetWorkers(workers);
   }
@@ -114,9 +120,11 @@
   std::map<std::string, std::vector<std::pair<WorkerIndex, int>>> held_;
 };
 
-class Scheduled : public Policy {
+// Runs the job scheduler. Members are confirmed and leases released at once.
+class SchedulerPolicy : public Policy {
  public:
-  Scheduled(const std::vector<WorkerInfo>& workers, double fragmentation_weight)
+  SchedulerPolicy(const std::vector<WorkerInfo>& workers,
+                  double fragmentation_weight)
       : scheduler_(Options()) {
     std::vector<AccountGuarantee> accounts;
     for (int i = 0; i < 6; ++i) {
@@ -130,42 +138,43 @@
     scheduler_.Tick(Time());
   }
   std::vector<Start> Submit(const TraceJob& job, Time now) override {
-    return Answer(scheduler_.Submit(job.spec, now), now);
+    return ApplyActions(scheduler_.Submit(job.spec, now), now);
   }
   std::vector<Start> Finished(const std::string& job, Time now) override {
-    return AnswerAll(job, MemberOutcome::kFinished, now);
+    return ReportMembers(job, MemberOutcome::kFinished, now);
   }
-  std::vector<Start> Saved(const std::string& job, Time now) override {
-    return Answer(scheduler_.CheckpointDone(job, grants_[job].gang_id, now),
-                  now);
+  std::vector<Start> Checkpointed(const std::string& job, Time now) override {
+    return ApplyActions(
+        scheduler_.CheckpointDone(job, grants_[job].gang_id, now), now);
   }
   std::vector<Start> Tick(Time now) override {
-    return Answer(scheduler_.Tick(now), now);
+    return ApplyActions(scheduler_.Tick(now), now);
   }
 
  private:
   static SchedulerOptions Options() {
     SchedulerOptions options;
-    // The jobs are shortened, and so is the bound.
+    // Shortened like the run times of the jobs.
     options.large_job_wait_bound = std::chrono::seconds(5);
-    options.large_job_share = 16.0 / (kRacks * kPerRack * kSize);
+    options.large_job_share =
+        16.0 / (kRacks * kWorkersPerRack * kAcceleratorsPerWorker);
     return options;
   }
-  std::vector<Start> AnswerAll(const std::string& job, MemberOutcome outcome,
-                               Time now) {
+  std::vector<Start> ReportMembers(const std::string& job,
+                                   MemberOutcome outcome, Time now) {
     std::vector<Start> starts;
     const GrantGang grant = grants_[job];
     for (const GangMember& member : grant.members) {
-      for (Start& start :
-           Answer(scheduler_.MemberResult(job, grant.gang_id, member.lease_id,
-                                          outcome, "", now),
-                  now)) {
+      for (Start& start : ApplyActions(
+               scheduler_.MemberResult(job, grant.gang_id, member.lease_id,
+                                       outcome, "", now),
+               now)) {
         starts.push_back(std::move(start));
       }
     }
     return starts;
   }
-  std::vector<Start> Answer(const SchedulerActions& actions, Time now) {
+  std::vector<Start> ApplyActions(const SchedulerActions& actions, Time now) {
     std::vector<Start> starts;
     const auto add = [&starts](std::vector<Start> more) {
       starts.insert(starts.end(), more.begin(), more.end());
@@ -178,11 +187,12 @@
           start.workers.push_back(member.worker);
         }
         starts.push_back(std::move(start));
-        add(AnswerAll(grant->job, MemberOutcome::kConfirmed, now));
+        add(ReportMembers(grant->job, MemberOutcome::kConfirmed, now));
       } else if (const auto* stop = std::get_if<StopGang>(&action)) {
-        add(AnswerAll(stop->job, MemberOutcome::kGone, now));
-      } else if (const auto* save = std::get_if<CheckpointGang>(&action)) {
-        starts.push_back({save->job, {}});
+        add(ReportMembers(stop->job, MemberOutcome::kGone, now));
+      } else if (const auto* checkpoint =
+                     std::get_if<CheckpointGang>(&action)) {
+        starts.push_back({checkpoint->job, {}});
       }
     }
     return starts;
--- a/benchmarks/scheduling_workload.h
+++ b/benchmarks/scheduling_workload.h
@@ -1,4 +1,4 @@
-// What the parts of bench_scheduling share.
+// Functions that the source files of bench_scheduling share.
 #ifndef THORNPLANK_BENCHMARKS_SCHEDULING_WORKLOAD_H_
 #define THORNPLANK_BENCHMARKS_SCHEDULING_WORKLOAD_H_
 
@@ -8,15 +8,16 @@
 
 namespace thornplank {
 
-// `count` workers in racks of `per_rack`; the first `doubled` have twice the
-// accelerators.
+// Makes `count` workers in racks of `per_rack`, each with `accelerators`; the
+// first `doubled` workers have twice as many.
 std::vector<WorkerInfo> MakeWorkers(int count, int accelerators, int doubled,
                                     int per_rack);
 
-// The value below which the share `q` of `values` lies; 0 for none.
+// The quantile `q` of `values`; 0 if there are none.
 double Quantile(std::vector<double> values, double q);
 
-// Runs the policies on the same jobs for `seeds` seeds and prints medians.
+// Runs all policies on the same jobs, for `seeds` seeds, and prints the
+// medians.
 void ComparePolicies(int seeds);
 
 }  // namespace thornplank
