--- a/benchmarks/bench_heartbeat.cc
+++ b/benchmarks/bench_heartbeat.cc
@@ -42,11 +42,11 @@
                  "domain",
                  {Milliseconds(FLAGS_interval_ms)},
                  Milliseconds(5000)}) {
-    members.SetOffsets([] {
+    members.SetOffsetsProducer([] {
       return Json{{"settings", 1200}, {"jobs", 1500000}, {"claims", 9000000}};
     });
     if (FLAGS_section_bytes <= 0) return;
-    members.AddSection(
+    members.AddHeartbeatSection(
         "shares", [] { return Json(std::string(FLAGS_section_bytes, 'x')); },
         nullptr);
   }
@@ -85,7 +85,7 @@
 bool WaitForAll(const Entries& entries) {
   const Time end = std::chrono::steady_clock::now() + kJoinTimeout;
   for (const auto& entry : entries) {
-    while (entry->members.alive().size() != entries.size()) {
+    while (entry->members.alive_members().size() != entries.size()) {
       if (std::chrono::steady_clock::now() > end) return false;
       std::this_thread::sleep_for(Milliseconds(10));
     }
