--- a/src/app/thornplank_entry/main.cc
+++ b/src/app/thornplank_entry/main.cc
@@ -55,8 +55,8 @@
 
 int RunWithEventLog(const EntrySettings& settings) {
   Error error;
-  if (!OpenEventLog(settings.name, settings.log.level, LogWriter::kOwnThread,
-                    settings.log.file, &error)) {
+  if (!OpenEventLog(settings.name, settings.log.level,
+                    LogWriter::kBackgroundThread, settings.log.file, &error)) {
     std::cerr << FLAGS_settings << ": " << error.ToString() << "\n";
     return kExitUnusableSettings;
   }
--- a/src/app/thornplank_hosted/main.cc
+++ b/src/app/thornplank_hosted/main.cc
@@ -75,7 +75,7 @@
 
 int RunWithEventLog(const HostedSettings& settings) {
   // Writes to standard output, so opening cannot fail.
-  OpenEventLog(settings.name, settings.log_level, LogWriter::kCaller, "",
+  OpenEventLog(settings.name, settings.log_level, LogWriter::kCallingThread, "",
                nullptr);
   const int code = RunEntry(settings);
   CloseEventLog();
--- a/src/app/thornplankctl/log_commands.cc
+++ b/src/app/thornplankctl/log_commands.cc
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "command.h"
-#include "logging/log_story.h"
 #include "logging/log_summary.h"
+#include "logging/log_timeline.h"
 
 namespace thornplank {
 namespace {
@@ -16,9 +16,9 @@
   return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
-void PrintLine(const StoryLine& line, WallTime begin) {
+void PrintLine(const TimelineEvent& line, WallTime begin) {
   constexpr int kTimeWidth = 8;
-  std::cout << (line.own ? "  " : "~ ") << std::setw(kTimeWidth)
+  std::cout << (line.names_id ? "  " : "~ ") << std::setw(kTimeWidth)
             << ToMilliseconds(line.time - begin) << " ms  " << line.instance
             << "  " << line.event << " " << line.name;
   for (const auto& [field, value] : line.fields.items()) {
@@ -27,7 +27,7 @@
   std::cout << "\n";
 }
 
-void PrintGap(const std::vector<StoryLine>& lines, const StoryGap& gap) {
+void PrintGap(const std::vector<TimelineEvent>& lines, const TimelineGap& gap) {
   std::cout << "\nlongest wait: " << ToMilliseconds(gap.length) << " ms, from "
             << lines[gap.from].name << " to " << lines[gap.to].name << "\n";
   for (size_t i = gap.from + 1; i < gap.to; ++i) {
@@ -61,18 +61,18 @@
 
 int Explain(const CommandContext& context) {
   const std::vector<std::string>& arguments = context.arguments;
-  LogStory story(arguments[0]);
-  if (!ReadFiles(arguments, 1, &story)) return kExitUsage;
-  const std::vector<StoryLine> lines = story.Lines();
+  LogTimeline timeline(arguments[0]);
+  if (!ReadFiles(arguments, 1, &timeline)) return kExitUsage;
+  const std::vector<TimelineEvent> lines = timeline.Events();
   if (lines.empty()) {
     std::cerr << "thornplankctl: no line names " << arguments[0]
               << ": no entry whose log is here took or refused it\n";
     return kExitRefused;
   }
-  for (const StoryLine& line : lines) {
+  for (const TimelineEvent& line : lines) {
     PrintLine(line, lines.front().time);
   }
-  const std::optional<StoryGap> gap = LogStory::LongestGap(lines);
+  const std::optional<TimelineGap> gap = LogTimeline::LongestGap(lines);
   if (gap) PrintGap(lines, *gap);
   return kExitOk;
 }
@@ -98,24 +98,24 @@
     jobs.push_back({{"job", job.job},
                     {"priority", job.priority ? Json(*job.priority) : Json()},
                     {"state", job.state},
-                    {"lasted_ms", ToMilliseconds(job.lasted)},
+                    {"lasted_ms", ToMilliseconds(job.duration)},
                     {"waits_ms", ToJson(job.waits)}});
   }
   Json discarded = Json::array();
-  for (const DiscardedRuns& runs : report.discarded) {
+  for (const DiscardedRuns& runs : report.discarded_runs) {
     discarded.push_back(
         {{"cause", runs.cause},
          {"priority", runs.priority},
          {"runs", runs.runs},
-         {"accelerator_ms", ToMilliseconds(runs.accelerator_time)},
-         {"kept_accelerator_ms", ToMilliseconds(runs.kept)}});
+         {"accelerator_ms", ToMilliseconds(runs.lost_accelerator_time)},
+         {"kept_accelerator_ms", ToMilliseconds(runs.kept_accelerator_time)}});
   }
   Json late = Json::array();
-  for (const LateByCause& jobs_late : report.late) {
+  for (const LateJobsByCause& jobs_late : report.late_jobs) {
     late.push_back({{"cause", jobs_late.cause},
                     {"priority", jobs_late.priority},
                     {"jobs", jobs_late.jobs},
-                    {"late_ms", ToMilliseconds(jobs_late.late)},
+                    {"late_ms", ToMilliseconds(jobs_late.total_lateness)},
                     {"accounts", jobs_late.accounts},
                     {"entries", jobs_late.entries}});
   }
@@ -153,21 +153,21 @@
 
 void PrintLate(const LogSummaryReport& report) {
   std::cout << "\nlate jobs  by s, together  priority  first cause\n";
-  for (const LateByCause& jobs : report.late) {
+  for (const LateJobsByCause& jobs : report.late_jobs) {
     std::cout << std::setw(9) << jobs.jobs << std::setw(16)
-              << ToSeconds(jobs.late) << std::setw(10) << jobs.priority << "  "
-              << jobs.cause << "\n";
+              << ToSeconds(jobs.total_lateness) << std::setw(10)
+              << jobs.priority << "  " << jobs.cause << "\n";
   }
 }
 
 void PrintDiscarded(const LogSummaryReport& report) {
   std::cout
       << "\nthrown away, accelerator s       kept   runs  priority  cause\n";
-  for (const DiscardedRuns& runs : report.discarded) {
-    std::cout << std::setw(26) << ToSeconds(runs.accelerator_time)
-              << std::setw(11) << ToSeconds(runs.kept) << std::setw(7)
-              << runs.runs << std::setw(10) << runs.priority << "  "
-              << runs.cause << "\n";
+  for (const DiscardedRuns& runs : report.discarded_runs) {
+    std::cout << std::setw(26) << ToSeconds(runs.lost_accelerator_time)
+              << std::setw(11) << ToSeconds(runs.kept_accelerator_time)
+              << std::setw(7) << runs.runs << std::setw(10) << runs.priority
+              << "  " << runs.cause << "\n";
   }
 }
 
@@ -178,7 +178,7 @@
     if (job.completed() && ++completed > kMaxSlowestJobs) break;
     std::cout << job.job << "  "
               << (job.state.empty() ? "state not known" : job.state)
-              << "  lasted " << ToSeconds(job.lasted) << " s";
+              << "  lasted " << ToSeconds(job.duration) << " s";
     for (const auto& [cause, length] : job.waits) {
       std::cout << "; " << ToSeconds(length) << " s " << cause;
     }
--- a/src/libs/jobs/coordinator.cc
+++ b/src/libs/jobs/coordinator.cc
@@ -398,7 +398,7 @@
 }
 
 void Coordinator::ExecuteAction(const LiftThrottle& action, Time) {
-  LogEvent(events::kGangLifted,
+  LogEvent(events::kGangThrottleLifted,
            {{"job", action.job}, {"gang", action.gang_id}});
   executor_.LiftThrottle(action.gang_id);
 }
@@ -451,7 +451,7 @@
 void Coordinator::ExecuteAction(const WorkerQuarantineChanged& action, Time) {
   static constexpr const char* kVerdicts[] = {"quarantined", "probed",
                                               "released"};
-  LogEvent(events::kWorkerJudged,
+  LogEvent(events::kWorkerQuarantineChanged,
            {{"worker", action.worker},
             {"verdict", kVerdicts[static_cast<int>(action.verdict)]},
             {"reason", action.reason}});
