--- a/src/app/thornplank_entry/entry_process.cc
+++ b/src/app/thornplank_entry/entry_process.cc
@@ -161,20 +161,21 @@
  private:
   // Who tells whom.
   void Connect() {
-    mesh_.HandleNameClash(
+    mesh_.SetNameClashHandler(
         [this](const std::string& where) { OnNameClash(where); });
     tree_.AddReview(&review_);
-    tree_.HandleChange([this](const SettingsTree& tree) { OnTree(tree); });
-    tree_.SetFetchSnapshot([this](SettingsManager::SnapshotsCallback done) {
+    tree_.AddChangeHandler([this](const SettingsTree& tree) { OnTree(tree); });
+    tree_.SetSnapshotFetcher([this](SettingsManager::SnapshotsCallback done) {
       FetchSettings(std::move(done));
     });
-    members_.AddSnapshot(kSettingsSnapshot,
-                         [this] { return tree_.Snapshot().value_or(Json()); });
-    members_.AddSnapshot(kJobsSnapshot,
-                         [this] { return jobs_.ProduceSnapshot(); });
-    members_.HandleChange(
+    members_.AddSnapshotProducer(kSettingsSnapshot, [this] {
+      return tree_.Snapshot().value_or(Json());
+    });
+    members_.AddSnapshotProducer(kJobsSnapshot,
+                                 [this] { return jobs_.ProduceSnapshot(); });
+    members_.AddChangeHandler(
         [this](const MembershipChange&) { OnMembersChanged(); });
-    members_.SetOffsets([this] { return Offsets(); });
+    members_.SetOffsetsProducer([this] { return Offsets(); });
   }
 
   // An entry that already serves stays; the one that begins gives way.
@@ -204,7 +205,7 @@
       if (instance.kind != InstanceKind::kEntry) continue;
       entries.push_back(instance.name);
     }
-    members_.SetListed(entries);
+    members_.SetListedNames(entries);
   }
 
   // A peer is asked while the log does not answer or has forgotten records
@@ -243,7 +244,7 @@
 
   void OnMembersChanged() {
     std::vector<std::string> names;
-    for (const MemberView& member : members_.alive()) {
+    for (const MemberView& member : members_.alive_members()) {
       names.push_back(member.name);
     }
     std::vector<ClaimHolder> reachable;
@@ -262,7 +263,7 @@
   }
 
   Json Offsets() const {
-    return {{"settings", tree_.offset()},
+    return {{"settings", tree_.next_offset()},
             {"jobs", jobs_.jobs_offset()},
             {"claims", requests_.next_claims_offset()}};
   }
@@ -302,17 +303,17 @@
     admin_.AddRoutes(router_);
     requests_.RegisterRoutes(router_);
     jobs_.RegisterRoutes(router_);
-    router_.AddOpen("GET", "/healthz", Answer([](const HttpRequest&) {
+    router_.AddPublic("GET", "/healthz", Answer([](const HttpRequest&) {
                       return JsonResponse(200, "{\"status\":\"up\"}\n");
                     }));
-    router_.AddOpen("GET", "/readyz", Answer([this](const HttpRequest&) {
+    router_.AddPublic("GET", "/readyz", Answer([this](const HttpRequest&) {
                       const std::string reason = NotReadyReason();
                       if (reason.empty()) {
                         return JsonResponse(200, "{\"ready\":true}\n");
                       }
                       return ProblemResponse(503, "not ready", reason);
                     }));
-    router_.AddOpen("GET", "/metrics", Answer([this](const HttpRequest&) {
+    router_.AddPublic("GET", "/metrics", Answer([this](const HttpRequest&) {
                       HttpResponse response;
                       response.headers.Set("Content-Type",
                                            "text/plain; version=0.0.4");
--- a/src/libs/admin/settings_manager.h
+++ b/src/libs/admin/settings_manager.h
@@ -20,8 +20,8 @@
 #include "platform/stream_writer.h"
 #include "settings/settings_history.h"
 #include "settings/settings_review.h"
+#include "settings/settings_snapshot_schedule.h"
 #include "settings/settings_tree.h"
-#include "settings/snapshot_schedule.h"
 
 namespace boost::asio {
 class io_context;
@@ -35,7 +35,7 @@
   std::string stream = "settings";
   StreamFollowerSettings follower;
   StreamWriterSettings writer;
-  SnapshotScheduleSettings snapshots;
+  SettingsSnapshotLimits snapshots;
   // How long a change is sent again before it is withdrawn.
   Milliseconds append_timeout{3000};
   // From the end of the append until the caller is told that the outcome is
@@ -81,7 +81,7 @@
   using ChangeHandler = std::function<void(const SettingsTree&)>;
   // The snapshots of all peers that answered in time; the newest is taken.
   using SnapshotsCallback = std::function<void(std::vector<Json>)>;
-  using FetchSnapshot = std::function<void(SnapshotsCallback)>;
+  using SnapshotFetcher = std::function<void(SnapshotsCallback)>;
 
   SettingsManager(boost::asio::io_context& io, LogClient& log,
                   SettingsManagerOptions options);
@@ -92,9 +92,9 @@
   void AddReview(const SettingsReview* review);
   // Called in order, one at a time, after each folded batch that changed
   // something, and once when the settings become ready; never before that.
-  void HandleChange(ChangeHandler handler);
+  void AddChangeHandler(ChangeHandler handler);
   // Asked when the log gives no complete state.
-  void SetFetchSnapshot(FetchSnapshot fetch);
+  void SetSnapshotFetcher(SnapshotFetcher fetch);
 
   void Start();
   // Answers what is pending and waits for a handler that is running; after it
@@ -117,7 +117,7 @@
   // Newest first.
   std::vector<HistoryEntry> history(const std::string& path) const;
   // All records of the stream before it are folded and in force here.
-  int64_t offset() const;
+  int64_t next_offset() const;
   // False until the whole stream or a peer's snapshot is folded, and while
   // records are missing. Never true on defaults alone.
   bool ready() const;
--- a/src/libs/coordination/filler_pace_controller.cc
+++ b/src/libs/coordination/filler_pace_controller.cc
@@ -23,8 +23,8 @@
   bool serves = false;
   bool fills = false;
   for (const auto& [task, run] : tracker.runs()) {
-    serves = serves || run.profile.tail_target.count() > 0;
-    fills = fills || run.profile.fills;
+    serves = serves || run.profile.tail_latency_target.count() > 0;
+    fills = fills || run.profile.is_filler;
   }
   return serves && fills;
 }
@@ -33,10 +33,11 @@
   std::vector<ServingTail> serving;
   bool fills = false;
   for (const auto& [task, run] : tracker->runs()) {
-    fills = fills || run.profile.fills;
+    fills = fills || run.profile.is_filler;
     if (run.stage != RunStage::kRunning) continue;
-    if (run.profile.tail_target.count() == 0) continue;
-    serving.push_back({Milliseconds(run.load), run.profile.tail_target});
+    if (run.profile.tail_latency_target.count() == 0) continue;
+    serving.push_back(
+        {Milliseconds(run.load), run.profile.tail_latency_target});
   }
   if (!fills) return Forget(tracker->id());
   PaceControl& control = pace_controls_[tracker->id()];
@@ -49,7 +50,7 @@
                                     {"serving", serving.size()}});
   }
   for (auto& [task, run] : tracker->runs()) {
-    const bool due = run.profile.fills && run.stage == RunStage::kRunning &&
+    const bool due = run.profile.is_filler && run.stage == RunStage::kRunning &&
                      !run.stop_wanted && !run.pace_sending &&
                      run.pace != control.pace();
     if (due) Send(tracker, &run, control.pace());
--- a/tests/auto/admin/tst_settings_manager.cc
+++ b/tests/auto/admin/tst_settings_manager.cc
@@ -38,7 +38,7 @@
   SettingsFixture fixture;
   std::atomic<int64_t> told_last{0};
   const auto entry = fixture.MakeEntry(FastOptions("one"));
-  entry->manager().HandleChange([&told_last](const SettingsTree& tree) {
+  entry->manager().AddChangeHandler([&told_last](const SettingsTree& tree) {
     std::this_thread::sleep_for(Milliseconds(20));
     told_last = tree.revision();
   });
@@ -95,7 +95,7 @@
   CHECK(entry->Put("north", 1, Weight(5)).get().outcome ==
         WriteOutcome::kApplied);
   REQUIRE(WaitUntil([&] {
-    return entry->manager().offset() == fixture.log().next_offset();
+    return entry->manager().next_offset() == fixture.log().next_offset();
   }));
   CHECK(entry->weight("north") == 5);
   CHECK(entry->manager().tree()->revision() == 2);
@@ -117,8 +117,8 @@
   CHECK(result.retry_after.count() > 0);
   fixture.log().ReleaseHeld();
   REQUIRE(WaitUntil([&] {
-    return slow->manager().offset() == fixture.log().next_offset() &&
-           entry->manager().offset() == fixture.log().next_offset();
+    return slow->manager().next_offset() == fixture.log().next_offset() &&
+           entry->manager().next_offset() == fixture.log().next_offset();
   }));
   CHECK(slow->manager().tree()->own("north") == nullptr);
   CHECK(entry->manager().tree()->own("north") == nullptr);
@@ -151,7 +151,7 @@
   fixture.log().SetDown(true);
   const auto entry = fixture.MakeEntry(FastOptions("one"));
   std::atomic<int> asked{0};
-  entry->manager().SetFetchSnapshot(
+  entry->manager().SetSnapshotFetcher(
       [&asked](const SettingsManager::SnapshotsCallback& callback) {
         ++asked;
         callback({});
@@ -177,7 +177,7 @@
   const Json new_snapshot = *peer->manager().Snapshot();
   fixture.log().SetDown(true);
   const auto entry = fixture.MakeEntry(FastOptions("new"));
-  entry->manager().SetFetchSnapshot(
+  entry->manager().SetSnapshotFetcher(
       [&](const SettingsManager::SnapshotsCallback& callback) {
         callback({old_snapshot, new_snapshot, old_snapshot});
       });
@@ -261,7 +261,7 @@
   const auto entry = fixture.MakeEntry(FastOptions("one"));
   std::atomic<bool> peers_answer{false};
   std::atomic<int> asked{0};
-  entry->manager().SetFetchSnapshot(
+  entry->manager().SetSnapshotFetcher(
       [&](const SettingsManager::SnapshotsCallback& callback) {
         ++asked;
         callback(peers_answer ? std::vector<Json>{snapshot}
