--- a/src/libs/logging/bounded_output.cc
+++ b/src/libs/logging/bounded_output.cc
@@ -1,4 +1,5 @@
-// poll() before each write of at most PIPE_BUF bytes, which then never blocks.
+// Calls poll() before each write of at most PIPE_BUF bytes: a pipe that is
+// reported as writable takes that many bytes without blocking.
 #include "logging/bounded_output.h"
 
 #include <limits.h>
@@ -19,37 +20,38 @@
 
 }  // namespace
 
-BoundedOutput::BoundedOutput(int descriptor, Milliseconds patience)
+BoundedOutput::BoundedOutput(int descriptor, Milliseconds max_wait)
     : descriptor_(descriptor),
-      patience_(patience),
+      max_wait_(max_wait),
       may_be_full_(!IsRegularFile(descriptor)) {}
 
 void BoundedOutput::Write(std::string_view line) {
-  const Milliseconds patience = stalled_ ? Milliseconds(0) : patience_;
-  std::string_view rest = begun_;
-  if (!rest.empty() && WriteSome(&rest, patience) != Result::kWritten) {
-    begun_.assign(rest);
+  const Milliseconds max_wait = stalled_ ? Milliseconds(0) : max_wait_;
+  std::string_view remaining = unfinished_line_;
+  if (!remaining.empty() &&
+      WriteSome(&remaining, max_wait) != Result::kWritten) {
+    unfinished_line_.assign(remaining);
     stalled_ = true;
     ++dropped_lines_;
     return;
   }
-  begun_.clear();
-  rest = line;
-  const Result result = WriteSome(&rest, patience);
+  unfinished_line_.clear();
+  remaining = line;
+  const Result result = WriteSome(&remaining, max_wait);
   stalled_ = result != Result::kWritten;
-  if (rest.size() == line.size()) {
+  if (remaining.size() == line.size()) {
     ++dropped_lines_;
     return;
   }
-  if (result == Result::kFull) begun_.assign(rest);
+  if (result == Result::kFull) unfinished_line_.assign(remaining);
   ++written_lines_;
   written_bytes_ += line.size();
 }
 
 BoundedOutput::Result BoundedOutput::WriteSome(std::string_view* text,
-                                               Milliseconds patience) {
+                                               Milliseconds max_wait) {
   while (!text->empty()) {
-    if (may_be_full_ && !WaitForRoom(patience)) return Result::kFull;
+    if (may_be_full_ && !WaitUntilWritable(max_wait)) return Result::kFull;
     const size_t size = std::min<size_t>(text->size(), PIPE_BUF);
     const ssize_t written = ::write(descriptor_, text->data(), size);
     if (written >= 0) {
@@ -62,10 +64,10 @@
   return Result::kWritten;
 }
 
-bool BoundedOutput::WaitForRoom(Milliseconds patience) const {
+bool BoundedOutput::WaitUntilWritable(Milliseconds max_wait) const {
   pollfd entry{descriptor_, POLLOUT, 0};
-  const int ready = ::poll(&entry, 1, static_cast<int>(patience.count()));
-  // An error is for write() to tell.
+  const int ready = ::poll(&entry, 1, static_cast<int>(max_wait.count()));
+  // Also true after an error of poll(): write() then reports the fault.
   return ready != 0;
 }
 
--- a/src/libs/logging/bounded_output.h
+++ b/src/libs/logging/bounded_output.h
@@ -1,7 +1,8 @@
-// Writes lines to a descriptor that may be full, unread or closed.
+// Writes lines to a file descriptor whose reader may be slow, stuck or gone.
 //
-// A pipe that nobody reads blocks its writer. This one waits a bounded time
-// for room, once, and then drops whole lines until there is room again.
+// A pipe that nobody reads blocks its writer. This class waits once, for a
+// bounded time, until a full pipe is writable, and from then on drops whole
+// lines without waiting until the pipe is writable again.
 #ifndef THORNPLANK_LOGGING_BOUNDED_OUTPUT_H_
 #define THORNPLANK_LOGGING_BOUNDED_OUTPUT_H_
 
@@ -14,15 +15,17 @@
 
 namespace thornplank {
 
-// Lines come from one thread at a time; the counts may be read from any.
+// Write() must be called by one thread at a time; the counts may be read by any
+// thread.
 class BoundedOutput {
  public:
-  // Waits `patience` for room when a line before found some, else not at all.
+  // `max_wait` bounds the wait for a full descriptor. After a line that could
+  // not be written, Write() does not wait until a line is written again.
   // Does not own `descriptor`. The process must ignore SIGPIPE.
-  BoundedOutput(int descriptor, Milliseconds patience);
+  BoundedOutput(int descriptor, Milliseconds max_wait);
 
-  // `line` ends with a newline. It is written whole, now or with a later call,
-  // or not at all.
+  // Writes `line`, which ends with a newline, or drops it as a whole. The rest
+  // of a line that was written in part is written by a later call.
   void Write(std::string_view line);
 
   uint64_t written_lines() const { return written_lines_; }
@@ -32,17 +35,18 @@
  private:
   enum class Result { kWritten, kFull, kClosed };
 
-  // Writes as much of `text` as there is room for and takes it off.
-  Result WriteSome(std::string_view* text, Milliseconds patience);
-  bool WaitForRoom(Milliseconds patience) const;
+  // Writes as much of `text` as the descriptor takes and removes it from
+  // `text`.
+  Result WriteSome(std::string_view* text, Milliseconds max_wait);
+  bool WaitUntilWritable(Milliseconds max_wait) const;
 
   const int descriptor_;
-  const Milliseconds patience_;
-  // Files always have room, so that they are not asked.
+  const Milliseconds max_wait_;
+  // False for regular files, which are always writable and need no poll().
   const bool may_be_full_;
-  // The rest of a line that was begun.
-  std::string begun_;
-  // The last line found no room.
+  // What is left to write of a line that was written in part.
+  std::string unfinished_line_;
+  // The last line could not be written completely.
   bool stalled_ = false;
   std::atomic<uint64_t> written_lines_{0};
   std::atomic<uint64_t> written_bytes_{0};
--- a/src/libs/logging/event_log.cc
+++ b/src/libs/logging/event_log.cc
@@ -24,12 +24,13 @@
 namespace {
 
 constexpr char kLoggerName[] = "thornplank";
-// Lines waiting for the writer thread; the oldest goes when it is full.
-constexpr size_t kQueuedLines = 8192;
-constexpr size_t kUsualLineBytes = 384;
-// A reader that is scheduled late comes back within it; a stuck one costs the
-// writing thread no more than this, once.
-constexpr Milliseconds kReaderPatience{200};
+// Capacity of the queue to the writer thread; when it is full, the oldest line
+// is dropped.
+constexpr size_t kMaxQueuedLines = 8192;
+constexpr size_t kTypicalLineBytes = 384;
+// Long enough for a reader that is scheduled late. A stuck reader delays the
+// writer thread by no more than this, once.
+constexpr Milliseconds kMaxWriteWait{200};
 
 spdlog::level::level_enum ToLevel(Severity severity) {
   switch (severity) {
@@ -59,12 +60,12 @@
   return "info";
 }
 
-// Bytes that are not UTF-8 come from callers; they must not throw here.
+// Callers may pass bytes that are not UTF-8, on which dump() throws by default.
 std::string ToText(const Json& value) {
   return value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-// Names of fields are literals that need no escapes.
+// `name` is a literal that needs no escaping.
 void AppendField(std::string_view name, const Json& value, std::string* text) {
   *text += ",\"";
   *text += name;
@@ -72,7 +73,7 @@
   *text += ToText(value);
 }
 
-// Hands lines on to a descriptor; the mutex of the base serialises them.
+// Writes lines to a BoundedOutput; the mutex of the base class serializes them.
 class OutputSink : public spdlog::sinks::base_sink<std::mutex> {
  public:
   explicit OutputSink(BoundedOutput& output) : output_(output) {}
@@ -89,18 +90,18 @@
   BoundedOutput& output_;
 };
 
-// A log that is open. Lock order: `mutex_` before the queue of spdlog.
+// The state of the open log. Lock order: `mutex_` before spdlog's queue.
 class OpenLog {
  public:
   OpenLog(std::string_view instance, Severity minimum, LogWriter writer,
           int descriptor)
       : instance_(instance),
         output_(descriptor, writer == LogWriter::kBackgroundThread
-                                ? kReaderPatience
+                                ? kMaxWriteWait
                                 : Milliseconds::zero()) {
     const auto sink = std::make_shared<OutputSink>(output_);
     if (writer == LogWriter::kBackgroundThread) {
-      spdlog::init_thread_pool(kQueuedLines, 1);
+      spdlog::init_thread_pool(kMaxQueuedLines, 1);
       logger_ = std::make_shared<spdlog::async_logger>(
           kLoggerName, sink, spdlog::thread_pool(),
           spdlog::async_overflow_policy::overrun_oldest);
@@ -112,11 +113,12 @@
   }
 
   ~OpenLog() {
-    for (const LinesLeftOut& left_out : budget_.TakeAllLeftOut()) {
-      TellLeftOut(left_out);
+    for (const SuppressedLines& suppressed : budget_.TakeAllSuppressed()) {
+      LogSuppressed(suppressed);
     }
     logger_.reset();
-    // Joins the writer thread, which has a bounded time for what is queued.
+    // Joins the writer thread, which writes or drops the queued lines within a
+    // bounded time.
     spdlog::shutdown();
   }
 
@@ -127,14 +129,14 @@
     if (!logger_->should_log(ToLevel(event.severity))) return;
     const Time now = std::chrono::steady_clock::now();
     bool admitted = false;
-    std::vector<LinesLeftOut> left_out;
+    std::vector<SuppressedLines> suppressed;
     {
       const std::lock_guard<std::mutex> lock(mutex_);
-      left_out = budget_.TakeLeftOut(now);
+      suppressed = budget_.TakeSuppressed(now);
       admitted = budget_.Admits(event.number, now);
     }
-    for (const LinesLeftOut& entry : left_out) {
-      TellLeftOut(entry);
+    for (const SuppressedLines& entry : suppressed) {
+      LogSuppressed(entry);
     }
     if (!admitted) return;
     const size_t bytes = WriteLine(event, error, fields);
@@ -151,20 +153,20 @@
       totals.dropped += pool->overrun_counter();
     }
     const std::lock_guard<std::mutex> lock(mutex_);
-    totals.over_budget = budget_.left_out_total();
+    totals.over_budget = budget_.suppressed_total();
     return totals;
   }
 
  private:
-  void TellLeftOut(const LinesLeftOut& left_out) {
-    WriteLine(events::kLogLinesLeftOut, nullptr,
-              {{"of_event", left_out.event}, {"lines", left_out.lines}});
+  void LogSuppressed(const SuppressedLines& suppressed) {
+    WriteLine(events::kLogLinesSuppressed, nullptr,
+              {{"of_event", suppressed.event}, {"lines", suppressed.lines}});
   }
 
   size_t WriteLine(const Event& event, const Error* error,
                    std::initializer_list<EventField> fields) {
     std::string text;
-    text.reserve(kUsualLineBytes);
+    text.reserve(kTypicalLineBytes);
     text += "{\"time_ms\":";
     text +=
         std::to_string(ToUnixMilliseconds(std::chrono::system_clock::now()));
@@ -193,12 +195,13 @@
   const std::string instance_;
   BoundedOutput output_;
   std::shared_ptr<spdlog::logger> logger_;
-  // Guards budget_.
+  // Guards `budget_`.
   mutable std::mutex mutex_;
   LineBudget budget_{LineBudgetSettings()};
 };
 
-// Opened and closed by the main thread while no other runs; others use it.
+// Opened and closed by the main thread while no other thread runs, so other
+// threads use it without a lock.
 std::unique_ptr<OpenLog>& CurrentLog() {
   static std::unique_ptr<OpenLog> log;
   return log;
@@ -212,7 +215,8 @@
   std::signal(SIGPIPE, SIG_IGN);
   int descriptor = STDOUT_FILENO;
   if (!path.empty()) {
-    // Never closed: a process has one such file, and lines may be on their way.
+    // Never closed: a process has one such file, and lines may still be queued
+    // for it.
     descriptor =
         ::open(path.c_str(), O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0644);
     if (descriptor < 0) {
--- a/src/libs/logging/event_log.h
+++ b/src/libs/logging/event_log.h
@@ -1,5 +1,5 @@
-// Structured logs: one JSON object a line, through spdlog, each a numbered
-// event of the catalogue in docs/EVENTS.md.
+// Structured log: one JSON object per line, written through spdlog. Each line
+// is a numbered event of the catalogue in docs/EVENTS.md.
 //
 // Numbers by area: 100 process, 200 settings, 300 routing, 400 claims on
 // non-idempotent requests, 500 jobs, 600 membership, 700 platform, 800
@@ -23,53 +23,54 @@
 enum class Severity { kDebug, kInfo, kWarning, kError };
 
 struct Event {
-  // Unique for ever; a number is not used again for something else.
+  // Unique; the number of a removed event is never reused.
   int number;
-  // Kebab case, as in the catalogue.
+  // In kebab case, as in the catalogue.
   std::string_view name;
   Severity severity;
 };
 
 using EventField = std::pair<std::string_view, Json>;
 
-// Which thread writes lines.
+// Which thread writes the lines.
 enum class LogWriter {
-  // One of its own, behind a bounded queue that drops the oldest line rather
-  // than block a caller: for processes with a pool of workers.
+  // A dedicated thread behind a bounded queue, which drops its oldest line
+  // rather than block a caller. For processes with a thread pool.
   kBackgroundThread,
-  // The one that logs, as far as there is room without waiting: saves a
-  // process with one thread the hand-over, 6 % of a busy leader's time.
+  // The thread that logs; lines that cannot be written without waiting are
+  // dropped. Saves a single-threaded process the hand-over to another thread,
+  // which takes 6 % of a busy leader's time.
   kCallingThread,
 };
 
-// Opens the log on standard output (or on the file `path`), dropping events
-// below `minimum`. Each event has a budget of lines and bytes a second. Every
-// line carries `instance`. From then on the process ignores SIGPIPE: a reader
-// of the log that goes away must not end it. False when the file cannot be
-// opened; nothing is logged then.
+// Opens the log on the file `path`, or on standard output if `path` is empty.
+// Events below `minimum` are dropped. Each event has a budget of lines and
+// bytes per second. Every line carries `instance`. From then on the process
+// ignores SIGPIPE, so that it survives a reader that closes the pipe. Returns
+// false if the file cannot be opened; nothing is logged then.
 bool OpenEventLog(std::string_view instance, Severity minimum, LogWriter writer,
                   const std::string& path, Error* error);
 // Drops events below `minimum` from now on.
 void SetLogSeverity(Severity minimum);
 void CloseEventLog();
 
-// Since the log was opened first.
+// Totals since the log was opened.
 struct LogTotals {
   uint64_t lines = 0;
   uint64_t bytes = 0;
-  // Beyond the budget of their event.
+  // Suppressed lines, beyond the budget of their event.
   uint64_t over_budget = 0;
-  // The queue was full, or the reader did not read.
+  // Lines dropped because the queue was full or the reader did not read.
   uint64_t dropped = 0;
 };
 LogTotals log_totals();
 
-// nullopt when `name` is none of debug, info, warning, error.
+// Returns nullopt unless `name` is debug, info, warning or error.
 std::optional<Severity> ParseSeverity(std::string_view name);
 
-// Writes one line; before OpenEventLog it does nothing. Never pass secrets.
+// Writes one line; does nothing while no log is open. Never pass secrets.
 void LogEvent(const Event& event, std::initializer_list<EventField> fields);
-// The same with the error's step, peer and reason as fields.
+// As above, with the step, peer and reason of `error` as further fields.
 void LogEvent(const Event& event, const Error& error,
               std::initializer_list<EventField> fields = {});
 
--- a/src/libs/logging/events/claims_events.h
+++ b/src/libs/logging/events/claims_events.h
@@ -1,4 +1,4 @@
-// Events 400-499: requests refused at the door, and claims on non-idempotent
+// Events 400-499: requests rejected on arrival, and claims on non-idempotent
 // requests.
 #ifndef THORNPLANK_LOGGING_EVENTS_CLAIMS_EVENTS_H_
 #define THORNPLANK_LOGGING_EVENTS_CLAIMS_EVENTS_H_
--- a/src/libs/logging/events/coordination_events.h
+++ b/src/libs/logging/events/coordination_events.h
@@ -1,4 +1,5 @@
-// Events of the scheduler that leads through the platform's store.
+// Events 900-999: the scheduler whose leader is elected through the platform's
+// store.
 #ifndef THORNPLANK_LOGGING_EVENTS_COORDINATION_EVENTS_H_
 #define THORNPLANK_LOGGING_EVENTS_COORDINATION_EVENTS_H_
 
--- a/src/libs/logging/events/membership_events.h
+++ b/src/libs/logging/events/membership_events.h
@@ -1,4 +1,4 @@
-// Events 600-699: membership and the inner protocol.
+// Events 600-699: membership and the peer protocol.
 #ifndef THORNPLANK_LOGGING_EVENTS_MEMBERSHIP_EVENTS_H_
 #define THORNPLANK_LOGGING_EVENTS_MEMBERSHIP_EVENTS_H_
 
--- a/src/libs/logging/events/process_events.h
+++ b/src/libs/logging/events/process_events.h
@@ -1,4 +1,5 @@
-// Events 100-199: the life of a process.
+// Events 100-199: start, readiness, reload and shutdown of a process, and its
+// log.
 #ifndef THORNPLANK_LOGGING_EVENTS_PROCESS_EVENTS_H_
 #define THORNPLANK_LOGGING_EVENTS_PROCESS_EVENTS_H_
 
@@ -16,8 +17,8 @@
                                          Severity::kInfo};
 inline constexpr Event kSettingsNotReloaded{106, "settings-not-reloaded",
                                             Severity::kError};
-inline constexpr Event kLogLinesLeftOut{107, "log-lines-left-out",
-                                        Severity::kWarning};
+inline constexpr Event kLogLinesSuppressed{107, "log-lines-left-out",
+                                           Severity::kWarning};
 
 }  // namespace thornplank::events
 
--- a/src/libs/logging/events/routing_events.h
+++ b/src/libs/logging/events/routing_events.h
@@ -1,4 +1,4 @@
-// Events 300-399: which executor gets which request, and why.
+// Events 300-399: routing of requests to executors, and ejected executors.
 #ifndef THORNPLANK_LOGGING_EVENTS_ROUTING_EVENTS_H_
 #define THORNPLANK_LOGGING_EVENTS_ROUTING_EVENTS_H_
 
--- a/src/libs/logging/late_jobs.cc
+++ b/src/libs/logging/late_jobs.cc
@@ -1,4 +1,4 @@
-// Delays of each job, and the first of them that counts.
+// Collects the delays of each job and finds the first significant one.
 #include "logging/late_jobs.h"
 
 #include <algorithm>
@@ -6,82 +6,86 @@
 namespace thornplank {
 namespace {
 
-// A delay counts from this share of the job's objective on.
-constexpr int kTellingShare = 10;
+// A delay is significant from this fraction (1/10) of the job's objective on.
+constexpr int kSignificantDelayDivisor = 10;
 constexpr char kGangBroken[] = "gang-broken";
-constexpr char kRanLong[] = "ran longer than estimated";
+constexpr char kRanLongerThanEstimated[] = "ran longer than estimated";
 
 }  // namespace
 
 void LateJobs::OnRefused(const std::string& job, const std::string& cause,
                          WallTime time) {
-  Story& story = stories_[job];
-  if (story.first_try) return;
-  story.first_try = time;
-  story.refused_for = cause;
+  Job& tracked = jobs_[job];
+  if (tracked.first_submission) return;
+  tracked.first_submission = time;
+  tracked.refusal_cause = cause;
 }
 
 void LateJobs::OnAccepted(const std::string& job, const std::string& account,
                           const std::string& entry, Milliseconds objective,
                           WallTime time) {
-  Story& story = stories_[job];
-  if (story.accepted) return;
-  story.accepted = true;
-  story.account = account;
-  story.entry = entry;
-  story.objective = objective;
-  if (!story.first_try) {
-    story.first_try = time;
+  Job& tracked = jobs_[job];
+  if (tracked.accepted) return;
+  tracked.accepted = true;
+  tracked.account = account;
+  tracked.entry = entry;
+  tracked.objective = objective;
+  if (!tracked.first_submission) {
+    tracked.first_submission = time;
     return;
   }
-  story.delays.insert(story.delays.begin(), {"refused: " + story.refused_for,
-                                             time - *story.first_try});
+  tracked.delays.insert(
+      tracked.delays.begin(),
+      {"refused: " + tracked.refusal_cause, time - *tracked.first_submission});
 }
 
 void LateJobs::OnDelay(const std::string& job, const std::string& cause,
                        Duration length) {
-  stories_[job].delays.push_back({cause, length});
+  jobs_[job].delays.push_back({cause, length});
 }
 
-// Members of a gang tell only that another one ended; that one tells why.
+// The members of a gang end with the cause kGangBroken when another member
+// ends; only the line of that member has the actual cause.
 void LateJobs::OnRunLost(const std::string& job, const std::string& step,
-                         int64_t run, const std::string& cause, Duration lost) {
-  Story& story = stories_[job];
-  const auto [known, first] =
-      story.lost_runs.try_emplace({step, run}, story.delays.size());
-  if (first) {
-    story.delays.push_back({cause, lost});
+                         int64_t run, const std::string& cause,
+                         Duration lost_time) {
+  Job& tracked = jobs_[job];
+  const auto [lost_run, inserted] =
+      tracked.lost_runs.try_emplace({step, run}, tracked.delays.size());
+  if (inserted) {
+    tracked.delays.push_back({cause, lost_time});
     return;
   }
-  Delay& delay = story.delays[known->second];
-  delay.length = std::max(delay.length, lost);
+  Delay& delay = tracked.delays[lost_run->second];
+  delay.length = std::max(delay.length, lost_time);
   if (delay.cause == kGangBroken) delay.cause = cause;
 }
 
 void LateJobs::OnCompleted(const std::string& job, int64_t priority,
                            WallTime time) {
-  const auto found = stories_.find(job);
-  if (found == stories_.end()) return;
-  const Story& story = found->second;
-  if (!story.accepted || story.objective <= Milliseconds::zero()) return;
-  const Duration late = time - *story.first_try - story.objective;
-  if (late <= Duration::zero()) return;
-  const std::string cause = FirstCause(story);
+  const auto found = jobs_.find(job);
+  if (found == jobs_.end()) return;
+  const Job& tracked = found->second;
+  if (!tracked.accepted || tracked.objective <= Milliseconds::zero()) return;
+  const Duration lateness =
+      time - *tracked.first_submission - tracked.objective;
+  if (lateness <= Duration::zero()) return;
+  const std::string cause = FirstSignificantCause(tracked);
   LateJobsByCause& sum = causes_[{priority, cause}];
   sum.cause = cause;
   sum.priority = priority;
   ++sum.jobs;
-  sum.total_lateness += late;
-  ++sum.accounts[story.account];
-  ++sum.entries[story.entry];
+  sum.total_lateness += lateness;
+  ++sum.accounts[tracked.account];
+  ++sum.entries[tracked.entry];
 }
 
-std::string LateJobs::FirstCause(const Story& story) {
-  for (const Delay& delay : story.delays) {
-    if (delay.length * kTellingShare < story.objective) continue;
+std::string LateJobs::FirstSignificantCause(const Job& tracked) {
+  for (const Delay& delay : tracked.delays) {
+    if (delay.length * kSignificantDelayDivisor < tracked.objective) continue;
     return delay.cause;
   }
-  return kRanLong;
+  return kRanLongerThanEstimated;
 }
 
 std::vector<LateJobsByCause> LateJobs::Report() const {
--- a/src/libs/logging/late_jobs.h
+++ b/src/libs/logging/late_jobs.h
@@ -1,4 +1,4 @@
-// Which jobs were late, each at the first thing that made it so.
+// Attributes each job that missed its objective to the first significant delay.
 #ifndef THORNPLANK_LOGGING_LATE_JOBS_H_
 #define THORNPLANK_LOGGING_LATE_JOBS_H_
 
@@ -13,37 +13,38 @@
 
 namespace thornplank {
 
-// Jobs that were late for one cause.
+// The late jobs of one cause and priority.
 struct LateJobsByCause {
   std::string cause;
   int64_t priority = 0;
   int64_t jobs = 0;
-  // By how much, together.
+  // Sum over the jobs of the time by which each missed its objective.
   Duration total_lateness{};
-  // By client account and by the entry that took the job.
+  // Number of late jobs by client account and by the entry that accepted them.
   std::map<std::string, int64_t> accounts;
   std::map<std::string, int64_t> entries;
 };
 
-// Told of a job's life in order of time. A job is late when more time than its
-// objective goes from the caller's first try until its end is published.
+// The On... functions must be called in order of time. A job is late if the
+// time from its first submission until its end is published exceeds its
+// objective.
 class LateJobs {
  public:
-  // The caller was refused, and will come again.
+  // The submission was refused; the caller is expected to retry.
   void OnRefused(const std::string& job, const std::string& cause,
                  WallTime time);
   void OnAccepted(const std::string& job, const std::string& account,
                   const std::string& entry, Milliseconds objective,
                   WallTime time);
-  // It waited so long for something.
+  // The job waited for `length` because of `cause`.
   void OnDelay(const std::string& job, const std::string& cause,
                Duration length);
-  // A run of a step ended without a result; `lost` of its time was in vain.
+  // A run of a task of `step` ended without a result, which wasted `lost_time`.
   void OnRunLost(const std::string& job, const std::string& step, int64_t run,
-                 const std::string& cause, Duration lost);
+                 const std::string& cause, Duration lost_time);
   void OnCompleted(const std::string& job, int64_t priority, WallTime time);
 
-  // The most jobs first.
+  // Sorted by the number of jobs, largest first.
   std::vector<LateJobsByCause> Report() const;
 
  private:
@@ -51,22 +52,22 @@
     std::string cause;
     Duration length{};
   };
-  struct Story {
-    std::optional<WallTime> first_try;
-    std::string refused_for;
+  struct Job {
+    std::optional<WallTime> first_submission;
+    std::string refusal_cause;
     bool accepted = false;
     std::string account;
     std::string entry;
     Milliseconds objective{0};
-    // In the order in which they began.
+    // In the order in which they were reported; a refusal comes first.
     std::vector<Delay> delays;
-    // Of runs that were lost: where they are in `delays`, by step and run.
+    // Indices in `delays` of the lost runs, by step and run.
     std::map<std::pair<std::string, int64_t>, size_t> lost_runs;
   };
 
-  static std::string FirstCause(const Story& story);
+  static std::string FirstSignificantCause(const Job& tracked);
 
-  std::map<std::string, Story> stories_;
+  std::map<std::string, Job> jobs_;
   std::map<std::pair<int64_t, std::string>, LateJobsByCause> causes_;
 };
 
--- a/src/libs/logging/line_budget.cc
+++ b/src/libs/logging/line_budget.cc
@@ -1,4 +1,4 @@
-// Counts by event in windows of a second.
+// Counts lines and bytes by event in windows of one second.
 #include "logging/line_budget.h"
 
 namespace thornplank {
@@ -8,47 +8,48 @@
 
 }  // namespace
 
-bool LineBudget::IsOver(const Use& use, Time now) const {
-  return now - use.since >= kWindow;
+bool LineBudget::IsWindowOver(const Usage& usage, Time now) const {
+  return now - usage.window_start >= kWindow;
 }
 
-void LineBudget::Renew(Use* use, Time now) const {
-  if (!IsOver(*use, now)) return;
-  use->since = now;
-  use->lines = 0;
-  use->bytes = 0;
+void LineBudget::StartWindowIfDue(Usage* usage, Time now) const {
+  if (!IsWindowOver(*usage, now)) return;
+  usage->window_start = now;
+  usage->lines = 0;
+  usage->bytes = 0;
 }
 
 bool LineBudget::Admits(int event, Time now) {
-  Use& use = uses_[event];
-  Renew(&use, now);
-  if (use.lines < settings_.lines && use.bytes < settings_.bytes) return true;
-  if (use.left_out == 0) ++untold_;
-  ++use.left_out;
-  ++left_out_total_;
+  Usage& usage = usages_[event];
+  StartWindowIfDue(&usage, now);
+  if (usage.lines < settings_.lines && usage.bytes < settings_.bytes)
+    return true;
+  if (usage.suppressed == 0) ++unreported_events_;
+  ++usage.suppressed;
+  ++suppressed_total_;
   return false;
 }
 
 void LineBudget::Charge(int event, size_t bytes) {
-  Use& use = uses_[event];
-  ++use.lines;
-  use.bytes += bytes;
+  Usage& usage = usages_[event];
+  ++usage.lines;
+  usage.bytes += bytes;
 }
 
-std::vector<LinesLeftOut> LineBudget::TakeLeftOut(Time now) {
-  std::vector<LinesLeftOut> told;
-  if (untold_ == 0) return told;
-  for (auto& [event, use] : uses_) {
-    if (use.left_out == 0 || !IsOver(use, now)) continue;
-    told.push_back({event, use.left_out});
-    use.left_out = 0;
-    --untold_;
+std::vector<SuppressedLines> LineBudget::TakeSuppressed(Time now) {
+  std::vector<SuppressedLines> report;
+  if (unreported_events_ == 0) return report;
+  for (auto& [event, usage] : usages_) {
+    if (usage.suppressed == 0 || !IsWindowOver(usage, now)) continue;
+    report.push_back({event, usage.suppressed});
+    usage.suppressed = 0;
+    --unreported_events_;
   }
-  return told;
+  return report;
 }
 
-std::vector<LinesLeftOut> LineBudget::TakeAllLeftOut() {
-  return TakeLeftOut(Time::max());
+std::vector<SuppressedLines> LineBudget::TakeAllSuppressed() {
+  return TakeSuppressed(Time::max());
 }
 
 }  // namespace thornplank
--- a/src/libs/logging/line_budget.h
+++ b/src/libs/logging/line_budget.h
@@ -1,7 +1,8 @@
-// How many lines and bytes a second each event may take of the log.
+// Limits the lines and bytes that each event may add to the log per second.
 //
-// A storm of one event must neither drown the others nor grow without bound.
-// What is left out is counted and told in a summary once a second.
+// An event that is logged at a high rate must neither crowd out the others nor
+// make the log grow without bound. Suppressed lines are counted, and the counts
+// are reported once per second.
 #ifndef THORNPLANK_LOGGING_LINE_BUDGET_H_
 #define THORNPLANK_LOGGING_LINE_BUDGET_H_
 
@@ -15,14 +16,14 @@
 namespace thornplank {
 
 struct LineBudgetSettings {
-  // Of each event and second. The busiest second seen of a leader of 350
-  // workers under load had 466 lines and 113 kB of one event.
+  // Per event and second. A leader of 350 workers under load has logged up to
+  // 466 lines and 113 kB of one event in a second.
   uint64_t lines = 600;
   uint64_t bytes = 160 * 1024;
 };
 
-// Lines of one event that were left out in one second.
-struct LinesLeftOut {
+// Number of lines of one event that were suppressed in one second.
+struct SuppressedLines {
   int event = 0;
   uint64_t lines = 0;
 };
@@ -32,38 +33,38 @@
  public:
   explicit LineBudget(LineBudgetSettings settings) : settings_(settings) {}
 
-  // Whether a line of the event may be written now; counts it as left out if
-  // not.
+  // Returns whether a line of the event may be written now; otherwise counts it
+  // as suppressed.
   bool Admits(int event, Time now);
-  // A line that was admitted took this much.
+  // Counts an admitted line of this size against the budget of the event.
   void Charge(int event, size_t bytes);
-  // What was left out in seconds that are over; each is told once.
-  std::vector<LinesLeftOut> TakeLeftOut(Time now);
-  // The same with the running second, for the end of the process.
-  std::vector<LinesLeftOut> TakeAllLeftOut();
+  // Returns the counts of all windows that are over, each count once.
+  std::vector<SuppressedLines> TakeSuppressed(Time now);
+  // As above, including the current windows; for the end of the process.
+  std::vector<SuppressedLines> TakeAllSuppressed();
 
-  uint64_t left_out_total() const { return left_out_total_; }
+  uint64_t suppressed_total() const { return suppressed_total_; }
 
  private:
-  struct Use {
-    // Begin of the second that the counts belong to.
-    Time since{};
+  struct Usage {
+    // Start of the second in which `lines` and `bytes` were counted.
+    Time window_start{};
     uint64_t lines = 0;
     uint64_t bytes = 0;
-    // Not yet told.
-    uint64_t left_out = 0;
+    // Suppressed lines that are not yet reported.
+    uint64_t suppressed = 0;
   };
 
-  // Lets a new second begin when the old one is over.
-  void Renew(Use* use, Time now) const;
-  bool IsOver(const Use& use, Time now) const;
+  // Starts a new window if the current one is over.
+  void StartWindowIfDue(Usage* usage, Time now) const;
+  bool IsWindowOver(const Usage& usage, Time now) const;
 
   const LineBudgetSettings settings_;
-  std::map<int, Use> uses_;
-  // Invariant: the sum of left_out in uses_ and of all that was told.
-  uint64_t left_out_total_ = 0;
-  // Invariant: the number of uses_ with something left out.
-  size_t untold_ = 0;
+  std::map<int, Usage> usages_;
+  // Invariant: the sum of all `suppressed` counts and of all reported ones.
+  uint64_t suppressed_total_ = 0;
+  // Invariant: the number of events whose `suppressed` count is not zero.
+  size_t unreported_events_ = 0;
 };
 
 }  // namespace thornplank
--- a/src/libs/logging/log_line.cc
+++ b/src/libs/logging/log_line.cc
@@ -1,4 +1,4 @@
-// What every line has is told apart from the rest.
+// Separates the fields that every line has from those of its event.
 #include "logging/log_line.h"
 
 #include <array>
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-std::optional<LogLine> ReadLogLine(std::string_view text) {
+std::optional<LogLine> ParseLogLine(std::string_view text) {
   const size_t brace = text.find('{');
   if (brace == std::string_view::npos) return std::nullopt;
   text.remove_prefix(brace);
--- a/src/libs/logging/log_line.h
+++ b/src/libs/logging/log_line.h
@@ -1,4 +1,4 @@
-// One line of a log, read back.
+// Parses one line of a log into its fields.
 #ifndef THORNPLANK_LOGGING_LOG_LINE_H_
 #define THORNPLANK_LOGGING_LOG_LINE_H_
 
@@ -20,9 +20,9 @@
   Json fields;
 };
 
-// Anything before the first brace is skipped, as log collectors put their own
-// words there. nullopt when the rest is not a line of a log.
-std::optional<LogLine> ReadLogLine(std::string_view text);
+// Skips anything before the first brace, where log collectors put their own
+// prefix. Returns nullopt if the remaining text is not a line of an event log.
+std::optional<LogLine> ParseLogLine(std::string_view text);
 
 }  // namespace thornplank
 
--- a/src/libs/logging/log_summary.cc
+++ b/src/libs/logging/log_summary.cc
@@ -1,4 +1,4 @@
-// Follows each job through the lines, in order of time.
+// Replays the lines in order of time and tracks the waits of each job.
 #include "logging/log_summary.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace thornplank {
 namespace {
 
-constexpr std::array<const Event*, 12> kWanted = {
+constexpr std::array<const Event*, 12> kRelevantEvents = {
     &events::kLeadershipAcquired, &events::kLeadershipLost,
     &events::kLeadershipReleased, &events::kJobAccepted,
     &events::kJobCancelled,       &events::kJobState,
@@ -18,50 +18,52 @@
     &events::kRunEnded,           &events::kStepWaits,
     &events::kJobRefused,         &events::kJobUndecided};
 
-// Causes that no line names.
-constexpr char kNotDecided[] = "not yet decided";
+// Causes of waits that no line states.
+constexpr char kNotYetDecided[] = "not yet decided";
 constexpr char kNoLeader[] = "no leader";
 
-// Reasons name the step that gets the room; the cause is the same for all.
+// The reason of a preemption ends with the step that gets the room; the cause
+// omits it, so that all preemptions are summed up.
 std::string CauseOf(const std::string& reason) {
-  constexpr std::string_view kForUrgent = "gives way to urgent";
-  if (reason.compare(0, kForUrgent.size(), kForUrgent) != 0) return reason;
-  return std::string(kForUrgent);
+  constexpr std::string_view kPreemption = "gives way to urgent";
+  if (reason.compare(0, kPreemption.size(), kPreemption) != 0) return reason;
+  return std::string(kPreemption);
 }
 
-std::string TextOf(const LogLine& line, const char* field) {
+std::string TextField(const LogLine& line, const char* field) {
   return StringField(line.fields, field).value_or("");
 }
 
-// JOB of JOB.K.STEP or JOB.K.STEP.TASK.
+// Returns JOB of an id JOB.K.STEP or JOB.K.STEP.TASK.
 std::string JobOf(const std::string& id) { return id.substr(0, id.find('.')); }
 
+// Returns JOB.K.STEP of an id JOB.K.STEP.TASK.
 std::string StepOf(const std::string& task) {
   return task.substr(0, task.rfind('.'));
 }
 
-class Fold {
+class SummaryBuilder {
  public:
   void Apply(const LogLine& line) {
     const int event = line.event;
     if (event == events::kLeadershipAcquired.number)
-      return OnLead(line.time, true);
+      return OnLeadershipChange(line.time, true);
     if (event == events::kLeadershipLost.number ||
         event == events::kLeadershipReleased.number) {
-      return OnLead(line.time, false);
+      return OnLeadershipChange(line.time, false);
     }
     if (event == events::kStepWaits.number) return OnStepWaits(line);
     if (event == events::kTasksPlaced.number) return OnTasksPlaced(line);
     if (event == events::kStopOrdered.number) return OnStopOrdered(line);
     if (event == events::kRunEnded.number) return OnRunEnded(line);
-    const std::string job = TextOf(line, "job");
+    const std::string job = TextField(line, "job");
     if (event == events::kJobRefused.number ||
         event == events::kJobUndecided.number) {
       return OnRefused(job, line);
     }
     if (event == events::kJobAccepted.number) return OnAccepted(job, line);
     if (event == events::kJobState.number) {
-      return OnState(job, TextOf(line, "state"), line.time);
+      return OnState(job, TextField(line, "state"), line.time);
     }
     OnState(job, "cancelled", line.time);
   }
@@ -69,9 +71,9 @@
   LogSummaryReport Report() {
     LogSummaryReport report;
     for (auto& [id, job] : jobs_) {
-      job.summary.duration = job.last - job.accepted;
-      for (const auto& [step, wait] : job.waits) {
-        Count(&job, wait, job.last);
+      job.summary.duration = job.last_seen - job.first_seen;
+      for (const auto& [step, wait] : job.open_waits) {
+        AddWait(&job, wait, job.last_seen);
       }
       report.jobs.push_back(std::move(job.summary));
     }
@@ -87,7 +89,7 @@
                      [](const DiscardedRuns& a, const DiscardedRuns& b) {
                        return a.lost_accelerator_time > b.lost_accelerator_time;
                      });
-    report.late_jobs = late_.Report();
+    report.late_jobs = late_jobs_.Report();
     return report;
   }
 
@@ -96,152 +98,157 @@
     WallTime since{};
     std::string cause;
   };
-  struct JobStory {
+  struct JobState {
     JobSummary summary;
-    WallTime accepted{};
-    WallTime last{};
+    WallTime first_seen{};
+    WallTime last_seen{};
     bool ended = false;
-    // By step; "" until one of them is named.
-    std::map<std::string, Wait> waits;
+    // Waits that have not ended, by step; the key is "" until a line names a
+    // step of the job.
+    std::map<std::string, Wait> open_waits;
   };
-  struct StepNeed {
+  struct StepDemand {
     int64_t priority = 0;
     int64_t accelerators = 0;
   };
 
-  // The job, from the first line that accepts or places it. A leader may place
-  // it just before the entry that took it tells so. Null after its end.
-  JobStory* Begin(const std::string& id, WallTime time) {
-    const auto [found, first] = jobs_.try_emplace(id);
-    if (first) {
+  // Returns the job, which is added if it is new, or null after its end. The
+  // first line of a job may be its acceptance or its placement: a leader may
+  // place a job just before the entry logs that it has accepted it.
+  JobState* FindOrAddJob(const std::string& id, WallTime time) {
+    const auto [found, inserted] = jobs_.try_emplace(id);
+    if (inserted) {
       found->second.summary.job = id;
-      found->second.accepted = time;
+      found->second.first_seen = time;
     }
-    return Open(id, time);
+    return FindActiveJob(id, time);
   }
 
-  // The job, if its begin is in the logs and its end is not yet.
-  JobStory* Open(const std::string& id, WallTime time) {
+  // Returns the job, or null if no line has added it yet or it has ended.
+  JobState* FindActiveJob(const std::string& id, WallTime time) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || found->second.ended) return nullptr;
-    found->second.last = time;
+    found->second.last_seen = time;
     return &found->second;
   }
 
-  void Count(JobStory* job, const Wait& wait, WallTime until) {
+  void AddWait(JobState* job, const Wait& wait, WallTime until) {
     if (until <= wait.since) return;
     job->summary.waits[wait.cause] += until - wait.since;
-    late_.OnDelay(job->summary.job, wait.cause, until - wait.since);
+    late_jobs_.OnDelay(job->summary.job, wait.cause, until - wait.since);
   }
 
-  void EndWait(JobStory* job, const std::string& step, WallTime time) {
+  void EndWait(JobState* job, const std::string& step, WallTime time) {
     for (const std::string& key : {std::string(), step}) {
-      const auto wait = job->waits.find(key);
-      if (wait == job->waits.end()) continue;
-      Count(job, wait->second, time);
-      job->waits.erase(wait);
+      const auto wait = job->open_waits.find(key);
+      if (wait == job->open_waits.end()) continue;
+      AddWait(job, wait->second, time);
+      job->open_waits.erase(wait);
     }
   }
 
   void OnRefused(const std::string& id, const LogLine& line) {
-    if (TextOf(line, "method") != "POST") return;
-    late_.OnRefused(id, TextOf(line, "cause"), line.time);
+    if (TextField(line, "method") != "POST") return;
+    late_jobs_.OnRefused(id, TextField(line, "cause"), line.time);
   }
 
   void OnAccepted(const std::string& id, const LogLine& line) {
     const Milliseconds objective(
         IntField(line.fields, "objective_ms").value_or(0));
-    late_.OnAccepted(id, TextOf(line, "account"), line.instance, objective,
-                     line.time);
+    late_jobs_.OnAccepted(id, TextField(line, "account"), line.instance,
+                          objective, line.time);
     if (jobs_.count(id) > 0) return;
-    Begin(id, line.time)->waits[""] = {line.time,
-                                       leaderless_ ? kNoLeader : kNotDecided};
+    FindOrAddJob(id, line.time)->open_waits[""] = {
+        line.time, has_no_leader_ ? kNoLeader : kNotYetDecided};
   }
 
   void OnState(const std::string& id, const std::string& state, WallTime time) {
-    JobStory* job = Open(id, time);
+    JobState* job = FindActiveJob(id, time);
     if (job == nullptr) return;
     job->summary.state = state;
     if (state == "queued" || state == "running") return;
-    for (const auto& [step, wait] : job->waits) {
-      Count(job, wait, time);
+    for (const auto& [step, wait] : job->open_waits) {
+      AddWait(job, wait, time);
     }
-    job->waits.clear();
+    job->open_waits.clear();
     job->ended = true;
     if (!job->summary.completed()) return;
-    late_.OnCompleted(id, job->summary.priority.value_or(0), time);
+    late_jobs_.OnCompleted(id, job->summary.priority.value_or(0), time);
   }
 
-  // Who waits while nobody leads waits for that, whatever was told before. A
-  // leader that was killed does not say so: then just those that nothing was
-  // told of are known to have waited for the next one.
-  void OnLead(WallTime time, bool taken) {
-    leaderless_ = !taken;
+  // While there is no leader, every wait is attributed to that, whatever cause
+  // was logged before. A leader that is killed does not log the loss of
+  // leadership: then only the waits without a logged cause are known to have
+  // been waits for the next leader.
+  void OnLeadershipChange(WallTime time, bool acquired) {
+    has_no_leader_ = !acquired;
     for (auto& [id, job] : jobs_) {
-      for (auto& [step, wait] : job.waits) {
-        if (taken && wait.cause == kNotDecided) wait.cause = kNoLeader;
-        Count(&job, wait, time);
-        wait = {time, taken ? kNotDecided : kNoLeader};
+      for (auto& [step, wait] : job.open_waits) {
+        if (acquired && wait.cause == kNotYetDecided) wait.cause = kNoLeader;
+        AddWait(&job, wait, time);
+        wait = {time, acquired ? kNotYetDecided : kNoLeader};
       }
     }
   }
 
   void OnStepWaits(const LogLine& line) {
-    const std::string step = TextOf(line, "step");
-    JobStory* job = Begin(JobOf(step), line.time);
+    const std::string step = TextField(line, "step");
+    JobState* job = FindOrAddJob(JobOf(step), line.time);
     if (job == nullptr) return;
     job->summary.priority = IntField(line.fields, "priority");
     EndWait(job, step, line.time);
-    job->waits[step] = {line.time, TextOf(line, "reason")};
+    job->open_waits[step] = {line.time, TextField(line, "reason")};
   }
 
   void OnTasksPlaced(const LogLine& line) {
-    const std::string step = TextOf(line, "step");
-    needs_[step] = {IntField(line.fields, "priority").value_or(0),
-                    IntField(line.fields, "accelerators").value_or(0)};
-    JobStory* job = Begin(JobOf(step), line.time);
+    const std::string step = TextField(line, "step");
+    demands_[step] = {IntField(line.fields, "priority").value_or(0),
+                      IntField(line.fields, "accelerators").value_or(0)};
+    JobState* job = FindOrAddJob(JobOf(step), line.time);
     if (job == nullptr) return;
-    job->summary.priority = needs_[step].priority;
+    job->summary.priority = demands_[step].priority;
     EndWait(job, step, line.time);
   }
 
   void OnStopOrdered(const LogLine& line) {
-    stops_[{TextOf(line, "task"), IntField(line.fields, "run").value_or(0)}] =
-        CauseOf(TextOf(line, "reason"));
+    stop_causes_[{TextField(line, "task"),
+                  IntField(line.fields, "run").value_or(0)}] =
+        CauseOf(TextField(line, "reason"));
   }
 
   void OnRunEnded(const LogLine& line) {
     if (!BoolField(line.fields, "in_force").value_or(false)) return;
-    const std::string task = TextOf(line, "task");
-    std::string cause = TextOf(line, "end");
+    const std::string task = TextField(line, "task");
+    std::string cause = TextField(line, "end");
     if (cause == "done") return;
     const auto stop =
-        stops_.find({task, IntField(line.fields, "run").value_or(0)});
-    if (cause == "stopped" && stop != stops_.end()) cause = stop->second;
+        stop_causes_.find({task, IntField(line.fields, "run").value_or(0)});
+    if (cause == "stopped" && stop != stop_causes_.end()) cause = stop->second;
     const std::string step = StepOf(task);
-    const StepNeed need = needs_[step];
-    DiscardedRuns& runs = discarded_[{need.priority, cause}];
+    const StepDemand demand = demands_[step];
+    DiscardedRuns& runs = discarded_[{demand.priority, cause}];
     runs.cause = cause;
-    runs.priority = need.priority;
+    runs.priority = demand.priority;
     ++runs.runs;
     const int64_t lasted = IntField(line.fields, "lasted_ms").value_or(0);
     const int64_t kept = IntField(line.fields, "kept_ms").value_or(0);
     runs.lost_accelerator_time +=
-        Milliseconds(lasted - kept) * need.accelerators;
-    runs.kept_accelerator_time += Milliseconds(kept) * need.accelerators;
-    JobStory* job = Open(JobOf(task), line.time);
+        Milliseconds(lasted - kept) * demand.accelerators;
+    runs.kept_accelerator_time += Milliseconds(kept) * demand.accelerators;
+    JobState* job = FindActiveJob(JobOf(task), line.time);
     if (job == nullptr) return;
-    late_.OnRunLost(JobOf(task), step, IntField(line.fields, "run").value_or(0),
-                    cause, Milliseconds(lasted - kept));
-    job->waits.insert({step, {line.time, "again: " + cause}});
+    late_jobs_.OnRunLost(JobOf(task), step,
+                         IntField(line.fields, "run").value_or(0), cause,
+                         Milliseconds(lasted - kept));
+    job->open_waits.insert({step, {line.time, "again: " + cause}});
   }
 
-  bool leaderless_ = false;
-  LateJobs late_;
-  std::map<std::string, JobStory> jobs_;
-  std::map<std::string, StepNeed> needs_;
-  // Why a run was told to stop, by task and run.
-  std::map<std::pair<std::string, int64_t>, std::string> stops_;
+  bool has_no_leader_ = false;
+  LateJobs late_jobs_;
+  std::map<std::string, JobState> jobs_;
+  std::map<std::string, StepDemand> demands_;
+  // Causes of the orders to stop a run, by task and run.
+  std::map<std::pair<std::string, int64_t>, std::string> stop_causes_;
   std::map<std::pair<int64_t, std::string>, DiscardedRuns> discarded_;
 };
 
@@ -256,10 +263,10 @@
 }
 
 bool LogSummary::Add(std::string_view text) {
-  std::optional<LogLine> line = ReadLogLine(text);
+  std::optional<LogLine> line = ParseLogLine(text);
   if (!line) return false;
   const bool wanted = std::any_of(
-      kWanted.begin(), kWanted.end(),
+      kRelevantEvents.begin(), kRelevantEvents.end(),
       [&line](const Event* event) { return event->number == line->event; });
   if (wanted) lines_.push_back(std::move(*line));
   return true;
@@ -273,11 +280,11 @@
   std::stable_sort(
       ordered.begin(), ordered.end(),
       [](const LogLine* a, const LogLine* b) { return a->time < b->time; });
-  Fold fold;
+  SummaryBuilder builder;
   for (const LogLine* line : ordered) {
-    fold.Apply(*line);
+    builder.Apply(*line);
   }
-  return fold.Report();
+  return builder.Report();
 }
 
 }  // namespace thornplank
--- a/src/libs/logging/log_summary.h
+++ b/src/libs/logging/log_summary.h
@@ -1,5 +1,5 @@
-// What held up the jobs of a time, and which work was thrown away, from the
-// logs of all entries.
+// Summarizes the logs of all entries: what delayed the jobs, which of them were
+// late, and which work was discarded.
 #ifndef THORNPLANK_LOGGING_LOG_SUMMARY_H_
 #define THORNPLANK_LOGGING_LOG_SUMMARY_H_
 
@@ -18,16 +18,17 @@
 
 namespace thornplank {
 
-// How long steps have waited, by cause. Steps of a job that wait at once count
-// each.
+// How long steps have waited, by cause. Steps of a job that wait at the same
+// time are counted separately.
 using WaitsByCause = std::map<std::string, Duration>;
 
 struct JobSummary {
   std::string job;
   std::optional<int64_t> priority;
-  // As last published; empty if that is not in the logs.
+  // The last state in the logs; empty if they contain none.
   std::string state;
-  // From its acceptance until its end, or until the last line that names it.
+  // From the first line about the job, usually its acceptance, until its end or
+  // the last line about it.
   Duration duration{};
   WaitsByCause waits;
 
@@ -35,29 +36,29 @@
   Duration waited() const;
 };
 
-// Runs that ended without a result, of one cause and priority.
+// Runs of one cause and priority that ended without a result.
 struct DiscardedRuns {
   std::string cause;
   int64_t priority = 0;
   int64_t runs = 0;
-  // Times the accelerators that they held, without what checkpoints kept.
+  // Run time that no checkpoint preserved, multiplied by the accelerators held.
   Duration lost_accelerator_time{};
-  // What checkpoints kept of their time, times the accelerators.
+  // Run time that checkpoints preserved, multiplied by the accelerators held.
   Duration kept_accelerator_time{};
 };
 
 struct LogSummaryReport {
-  // Those that are not completed first, then by the time that they waited.
+  // Jobs that are not completed first, then by the time waited, longest first.
   std::vector<JobSummary> jobs;
-  // The most accelerator time first.
+  // Sorted by lost accelerator time, largest first.
   std::vector<DiscardedRuns> discarded_runs;
-  // The most jobs first.
+  // Sorted by the number of jobs, largest first.
   std::vector<LateJobsByCause> late_jobs;
 };
 
 class LogSummary {
  public:
-  // One line of a log; false when it cannot be read.
+  // Adds one line of a log. Returns false if it cannot be parsed.
   bool Add(std::string_view text);
   LogSummaryReport Report() const;
 
--- a/src/libs/logging/log_timeline.cc
+++ b/src/libs/logging/log_timeline.cc
@@ -1,4 +1,4 @@
-// Selection and order of lines.
+// Selects the events of a timeline and sorts them by time.
 #include "logging/log_timeline.h"
 
 #include <algorithm>
@@ -11,18 +11,18 @@
 namespace thornplank {
 namespace {
 
-// What may hold up any job, whichever entry it happens at.
-constexpr std::array<const Event*, 4> kOfEveryone = {
+// May delay any job, on whichever instance they are logged.
+constexpr std::array<const Event*, 4> kSystemWideEvents = {
     &events::kLeadershipAcquired, &events::kLeadershipLost,
     &events::kLeadershipReleased, &events::kStoreLost};
 
-// What matters at the entries that had to do with the id.
-constexpr std::array<const Event*, 5> kOfInvolved = {
+// Matter only on the instances that have logged something about the id.
+constexpr std::array<const Event*, 5> kInstanceEvents = {
     &events::kProcessStarted, &events::kShutdownBegun, &events::kStoreBack,
-    &events::kConfigurationInForce, &events::kLogLinesLeftOut};
+    &events::kConfigurationInForce, &events::kLogLinesSuppressed};
 
-// What becomes of a worker.
-constexpr std::array<const Event*, 6> kOfWorkers = {
+// Changes in the state of a worker; matter only for the workers of the id.
+constexpr std::array<const Event*, 6> kWorkerEvents = {
     &events::kWorkerSeen, &events::kWorkerSilent,  &events::kWorkerBack,
     &events::kWorkerGone, &events::kWorkerLeaving, &events::kRunStalled};
 
@@ -39,28 +39,28 @@
 }  // namespace
 
 bool LogTimeline::Add(std::string_view text) {
-  std::optional<LogLine> read = ReadLogLine(text);
-  if (!read) return false;
-  const bool own = text.find(id_) != std::string_view::npos;
-  TimelineEvent line{std::move(*read), own};
-  if (own) {
-    NoteWorkers(line.fields);
-    instances_.insert(line.instance);
-    own_.push_back(std::move(line));
+  std::optional<LogLine> parsed = ParseLogLine(text);
+  if (!parsed) return false;
+  const bool names_id = text.find(id_) != std::string_view::npos;
+  TimelineEvent event{std::move(*parsed), names_id};
+  if (names_id) {
+    CollectWorkers(event.fields);
+    instances_.insert(event.instance);
+    id_events_.push_back(std::move(event));
     return true;
   }
-  const bool may_surround = IsOneOf(line.event, kOfEveryone) ||
-                            IsOneOf(line.event, kOfInvolved) ||
-                            IsOneOf(line.event, kOfWorkers);
-  if (may_surround) others_.push_back(std::move(line));
+  const bool may_be_context = IsOneOf(event.event, kSystemWideEvents) ||
+                              IsOneOf(event.event, kInstanceEvents) ||
+                              IsOneOf(event.event, kWorkerEvents);
+  if (may_be_context) context_candidates_.push_back(std::move(event));
   return true;
 }
 
-void LogTimeline::NoteWorkers(const Json& fields) {
+void LogTimeline::CollectWorkers(const Json& fields) {
   if (const auto worker = StringField(fields, "worker")) {
     workers_.insert(*worker);
   }
-  // Rows of index and worker.
+  // An array of pairs [index of the task, worker].
   const Json* tasks = ArrayField(fields, "tasks");
   if (tasks == nullptr) return;
   for (const Json& row : *tasks) {
@@ -69,40 +69,40 @@
   }
 }
 
-bool LogTimeline::Surrounds(const TimelineEvent& line) const {
-  if (IsOneOf(line.event, kOfEveryone)) return true;
-  if (IsOneOf(line.event, kOfInvolved)) {
-    return instances_.count(line.instance) > 0;
+bool LogTimeline::IsContext(const TimelineEvent& event) const {
+  if (IsOneOf(event.event, kSystemWideEvents)) return true;
+  if (IsOneOf(event.event, kInstanceEvents)) {
+    return instances_.count(event.instance) > 0;
   }
-  const auto worker = StringField(line.fields, "worker");
+  const auto worker = StringField(event.fields, "worker");
   return worker && workers_.count(*worker) > 0;
 }
 
 std::vector<TimelineEvent> LogTimeline::Events() const {
-  std::vector<TimelineEvent> lines = own_;
-  if (lines.empty()) return lines;
-  std::stable_sort(lines.begin(), lines.end(), IsBefore);
-  const WallTime first = lines.front().time;
-  const WallTime last = lines.back().time;
-  for (const TimelineEvent& line : others_) {
-    if (line.time < first || line.time > last || !Surrounds(line)) continue;
-    lines.push_back(line);
+  std::vector<TimelineEvent> events = id_events_;
+  if (events.empty()) return events;
+  std::stable_sort(events.begin(), events.end(), IsBefore);
+  const WallTime first = events.front().time;
+  const WallTime last = events.back().time;
+  for (const TimelineEvent& event : context_candidates_) {
+    if (event.time < first || event.time > last || !IsContext(event)) continue;
+    events.push_back(event);
   }
-  std::stable_sort(lines.begin(), lines.end(), IsBefore);
-  return lines;
+  std::stable_sort(events.begin(), events.end(), IsBefore);
+  return events;
 }
 
 std::optional<TimelineGap> LogTimeline::LongestGap(
-    const std::vector<TimelineEvent>& lines) {
+    const std::vector<TimelineEvent>& events) {
   std::optional<TimelineGap> longest;
   std::optional<size_t> last;
-  for (size_t i = 0; i < lines.size(); ++i) {
-    if (!lines[i].names_id) continue;
-    const std::optional<size_t> before = std::exchange(last, i);
-    if (!before) continue;
-    const Duration length = lines[i].time - lines[*before].time;
+  for (size_t i = 0; i < events.size(); ++i) {
+    if (!events[i].names_id) continue;
+    const std::optional<size_t> previous = std::exchange(last, i);
+    if (!previous) continue;
+    const Duration length = events[i].time - events[*previous].time;
     if (longest && length <= longest->length) continue;
-    longest = TimelineGap{length, *before, i};
+    longest = TimelineGap{length, *previous, i};
   }
   return longest;
 }
--- a/src/libs/logging/log_timeline.h
+++ b/src/libs/logging/log_timeline.h
@@ -1,8 +1,9 @@
-// The story of one job or request, from the logs of all entries.
+// The timeline of one job or request, from the logs of all entries.
 //
-// Takes lines of any number of logs and keeps those that name the id, and those
-// that explain a wait: changes of the lead, losses of the store, and what
-// became of the workers that the job was on.
+// Takes the lines of any number of logs and keeps those that name the id, and
+// as context those that may explain a delay: changes of leadership, losses of
+// the store, and changes in the state of the workers that the job was placed
+// on.
 #ifndef THORNPLANK_LOGGING_LOG_TIMELINE_H_
 #define THORNPLANK_LOGGING_LOG_TIMELINE_H_
 
@@ -20,14 +21,14 @@
 namespace thornplank {
 
 struct TimelineEvent : LogLine {
-  // Names the id itself; else it is what went on around it.
+  // The line contains the id; otherwise it is context.
   bool names_id = false;
 };
 
-// The longest time in which nothing is told of the id.
+// A time in which no line names the id.
 struct TimelineGap {
   Duration length{};
-  // The lines before and after it.
+  // Indices of the events that begin and end the gap.
   size_t from = 0;
   size_t to = 0;
 };
@@ -36,26 +37,31 @@
  public:
   explicit LogTimeline(std::string id) : id_(std::move(id)) {}
 
-  // One line of a log; false when it cannot be read.
+  // Adds one line of a log. Returns false if it cannot be parsed.
   bool Add(std::string_view line);
 
-  // In order of time, from the first to the last that names the id.
+  // Sorted by time, from the first event that names the id to the last.
   std::vector<TimelineEvent> Events() const;
-  // Between two lines of the id itself; nullopt with less than two.
+  // The longest gap between two events that name the id; nullopt if fewer than
+  // two do.
   static std::optional<TimelineGap> LongestGap(
-      const std::vector<TimelineEvent>& lines);
+      const std::vector<TimelineEvent>& events);
 
  private:
-  void NoteWorkers(const Json& fields);
-  // Whether a line that does not name the id belongs to its surroundings.
-  bool Surrounds(const TimelineEvent& line) const;
+  // Adds the workers that the fields of an event name to `workers_`.
+  void CollectWorkers(const Json& fields);
+  // Whether an event that does not name the id is part of its context.
+  bool IsContext(const TimelineEvent& event) const;
 
   const std::string id_;
-  std::vector<TimelineEvent> own_;
-  std::vector<TimelineEvent> others_;
-  // Workers that the id's tasks were placed on.
+  // Events that name the id.
+  std::vector<TimelineEvent> id_events_;
+  // Other events, which are context if IsContext() holds once all lines are
+  // added.
+  std::vector<TimelineEvent> context_candidates_;
+  // Workers named by the events of the id.
   std::set<std::string> workers_;
-  // Instances with lines of the id's.
+  // Instances that logged events of the id.
   std::set<std::string> instances_;
 };
 
--- a/tests/auto/logging/tst_bounded_output.cc
+++ b/tests/auto/logging/tst_bounded_output.cc
@@ -1,4 +1,4 @@
-// Lines to a pipe that is read, full, or closed.
+// Writing lines to a pipe that is read, full or closed.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <unistd.h>
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-// A pipe whose reader never blocks.
+// A pipe whose read end is non-blocking.
 class Pipe {
  public:
   Pipe() {
@@ -63,7 +63,7 @@
   CHECK(output.dropped_lines() == 0);
 }
 
-TEST_CASE("a full pipe costs lines, never the writer, and no line is torn") {
+TEST_CASE("a full pipe drops lines, does not block the writer, tears no line") {
   for (const size_t size : {100, 5000, 200000}) {
     CAPTURE(size);
     Pipe pipe;
@@ -74,7 +74,8 @@
     }
     CHECK(output.written_lines() + output.dropped_lines() == kLines);
     CHECK(output.dropped_lines() > 0);
-    // Read again: what was begun is finished, and new lines come through.
+    // Once the pipe is read, the unfinished line is completed, and new lines
+    // are written.
     std::string text = pipe.ReadAll();
     for (size_t i = 0; i < 10; ++i) {
       output.Write("after\n");
@@ -93,7 +94,7 @@
   }
 }
 
-TEST_CASE("a reader that went away costs lines only") {
+TEST_CASE("a closed read end drops lines and does not end the process") {
   Pipe pipe;
   BoundedOutput output(pipe.writer(), milliseconds(20));
   output.Write("one\n");
--- a/tests/auto/logging/tst_event_catalogue.cc
+++ b/tests/auto/logging/tst_event_catalogue.cc
@@ -1,4 +1,4 @@
-// The catalogue in docs/EVENTS.md and the events in the code are the same.
+// Compares the catalogue in docs/EVENTS.md with the events in the code.
 #include <doctest/doctest.h>
 
 #include <filesystem>
@@ -11,7 +11,7 @@
 namespace thornplank {
 namespace {
 
-// "name level" by number.
+// Name and level of each event, separated by a space, by its number.
 using Catalogue = std::map<int, std::string>;
 
 std::string ReadFile(const std::filesystem::path& path) {
@@ -22,7 +22,7 @@
 }
 
 void Add(int number, const std::string& entry, Catalogue* catalogue) {
-  INFO("event " << number << " stands twice");
+  INFO("event " << number << " is defined twice");
   CHECK(catalogue->count(number) == 0);
   (*catalogue)[number] = entry;
 }
@@ -43,7 +43,7 @@
   return catalogue;
 }
 
-Catalogue EventsInPage(const std::filesystem::path& page) {
+Catalogue EventsInDocument(const std::filesystem::path& page) {
   static const std::regex kRow(R"(\| (\d+) \| ([a-z0-9-]+) \| ([a-z]+) \| \S)");
   Catalogue catalogue;
   const std::string text = ReadFile(page);
@@ -54,10 +54,10 @@
   return catalogue;
 }
 
-TEST_CASE("code and catalogue hold the same events") {
+TEST_CASE("code and catalogue contain the same events") {
   const std::filesystem::path root = THORNPLANK_SOURCE_DIR;
   const Catalogue code = EventsInCode(root / "src/libs/logging/events");
-  const Catalogue page = EventsInPage(root / "docs/EVENTS.md");
+  const Catalogue page = EventsInDocument(root / "docs/EVENTS.md");
   CHECK(code.size() > 4);
   for (const auto& row : code) {
     // Not a structured binding: INFO and CHECK capture the names in lambdas.
--- a/tests/auto/logging/tst_event_log.cc
+++ b/tests/auto/logging/tst_event_log.cc
@@ -1,5 +1,5 @@
-// What reaches the file of a log, and what becomes of one that cannot be
-// opened.
+// The lines that are written to the file of a log, and the error if that file
+// cannot be opened.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -26,7 +26,8 @@
   return lines;
 }
 
-TEST_CASE("each line is one object, whoever writes it and whatever it holds") {
+TEST_CASE(
+    "each line is one JSON object with both writers and any field values") {
   for (const LogWriter writer :
        {LogWriter::kBackgroundThread, LogWriter::kCallingThread}) {
     std::remove(kPath);
@@ -53,7 +54,7 @@
   std::remove(kPath);
 }
 
-TEST_CASE("a storm of one event is cut, told and counted") {
+TEST_CASE("lines beyond the budget of an event are dropped and counted") {
   constexpr int kLines = 5000;
   std::remove(kPath);
   Error error;
@@ -67,17 +68,17 @@
   CHECK(totals.lines + totals.over_budget >= kLines);
   CHECK(totals.over_budget > 0);
   const std::vector<Json> lines = ReadLines();
-  uint64_t told = 0;
+  uint64_t reported_lines = 0;
   for (const Json& line : lines) {
-    if (line["event"] != events::kLogLinesLeftOut.number) continue;
+    if (line["event"] != events::kLogLinesSuppressed.number) continue;
     CHECK(line["of_event"] == events::kProcessReady.number);
-    told += line["lines"].get<uint64_t>();
+    reported_lines += line["lines"].get<uint64_t>();
   }
-  CHECK(told == totals.over_budget);
+  CHECK(reported_lines == totals.over_budget);
   std::remove(kPath);
 }
 
-TEST_CASE("a file that cannot be opened is told, and logging does nothing") {
+TEST_CASE("a file that cannot be opened is an error, and nothing is logged") {
   Error error;
   CHECK_FALSE(OpenEventLog("e1", Severity::kInfo, LogWriter::kCallingThread,
                            "no/such/folder/log", &error));
--- a/tests/auto/logging/tst_late_jobs.cc
+++ b/tests/auto/logging/tst_late_jobs.cc
@@ -1,4 +1,4 @@
-// What a late job is put down to, from the lines of its life.
+// The cause to which a late job is attributed, from the log lines of the job.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -19,7 +19,7 @@
   return Line(time, 911,
               R"("job":"a","cause":"store_away","method":")" + method + "\"");
 }
-// To be done within a second.
+// A job with an objective of one second.
 std::string Accepted(int time) {
   return Line(time, 910, R"("job":"a","account":"north","objective_ms":1000)");
 }
@@ -40,52 +40,52 @@
   return Line(time, 914, R"("job":"a","state":")" + state + "\"");
 }
 
-TEST_CASE("a late job is put down to the first thing that made it late") {
+TEST_CASE("a late job is attributed to its first significant delay") {
   struct Row {
     const char* name;
     std::vector<std::string> lines;
-    // "" when it was in time.
+    // "" if the job was in time.
     std::string cause;
     int64_t late_ms = 0;
   };
   const std::vector<Row> rows = {
       {"in time", {Accepted(0), Placed(10), State(1000, "completed")}, ""},
-      {"its run took long",
+      {"the run took longer than the objective",
        {Accepted(0), Placed(10), State(1500, "completed")},
        "ran longer than estimated",
        500},
-      {"it was cancelled",
+      {"a cancelled job is not late",
        {Accepted(0), Placed(10), State(1500, "cancelled")},
        ""},
-      {"its caller was refused",
+      {"the first submission was refused",
        {Refused(0), Accepted(900), Placed(910), State(1500, "completed")},
        "refused: store_away",
        500},
-      {"it was refused a moment only, and waited for room",
+      {"a short refusal before a long wait for room",
        {Refused(0), Accepted(50), Waiting(60, "no room"), Placed(900),
         State(1500, "completed")},
        "no room",
        500},
-      {"only its state was refused",
+      {"a refused query of the state is no delay",
        {Accepted(0), Placed(10), Refused(20, "GET"), State(1500, "completed")},
        "ran longer than estimated",
        500},
-      {"nobody led",
+      {"no leader",
        {Accepted(0), Line(800, 901, R"("epoch":2)"), Placed(810),
         State(1500, "completed")},
        "no leader",
        500},
-      {"the member that failed, not those that ended with it",
+      {"a gang counts the member that failed, not those that ended with it",
        {Accepted(0), Placed(10), Ended(500, 1, "gang-broken", 490),
         Ended(510, 0, "failed", 480), Placed(520), State(1600, "completed")},
        "failed",
        600},
-      {"what came first counts, not what took longest",
+      {"the first significant delay, not the longest",
        {Accepted(0), Waiting(10, "no room"), Placed(150),
         Ended(900, 0, "failed", 700), Placed(910), State(1900, "completed")},
        "no room",
        900},
-      {"a run that was hardly begun is no cause",
+      {"a lost run of negligible length is no cause",
        {Accepted(0), Placed(10), Ended(60, 0, "lost", 0), Placed(70),
         State(1500, "completed")},
        "ran longer than estimated",
@@ -109,8 +109,8 @@
   }
 }
 
-// Entries of an earlier version don't say by when a job should be done.
-TEST_CASE("a job without an objective is not judged") {
+// Entries of earlier versions do not log the objective of a job.
+TEST_CASE("a job without an objective is never late") {
   LogSummary summary;
   CHECK(summary.Add(Line(0, 910, R"("job":"a","account":"north")")));
   CHECK(summary.Add(Placed(10)));
--- a/tests/auto/logging/tst_log_summary.cc
+++ b/tests/auto/logging/tst_log_summary.cc
@@ -1,4 +1,4 @@
-// Which cause a wait is put down to, and which work counts as thrown away.
+// The causes to which waits are attributed, and which work counts as discarded.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace thornplank {
 namespace {
 
-using Waits = std::map<std::string, int64_t>;
+using WaitMilliseconds = std::map<std::string, int64_t>;
 
 std::string Line(int time, int event, const std::string& fields) {
   return R"({"time_ms":)" + std::to_string(time) +
@@ -31,16 +31,16 @@
   return Line(time, 915,
               R"("step":")" + step + R"(","priority":1,"accelerators":2)");
 }
-std::string Stop(int time, const std::string& reason) {
+std::string StopOrdered(int time, const std::string& reason) {
   return Line(time, 916,
               R"("task":"a.0.0.3","run":1,"reason":")" + reason + "\"");
 }
-std::string Ended(int time, const std::string& end, bool in_force = true) {
+std::string RunEnded(int time, const std::string& end, bool in_force = true) {
   return Line(time, 917,
               R"("task":"a.0.0.3","run":1,"lasted_ms":400,"end":")" + end +
                   R"(","in_force":)" + (in_force ? "true" : "false"));
 }
-std::string Lead(int time, int event) {
+std::string LeadershipChange(int time, int event) {
   return Line(time, event, R"("epoch":2)");
 }
 
@@ -52,27 +52,27 @@
   return summary.Report();
 }
 
-Waits ToCounts(const WaitsByCause& waits) {
-  Waits counts;
+WaitMilliseconds ToMilliseconds(const WaitsByCause& waits) {
+  WaitMilliseconds result;
   for (const auto& [cause, length] : waits) {
-    counts[cause] = std::chrono::duration_cast<Milliseconds>(length).count();
+    result[cause] = std::chrono::duration_cast<Milliseconds>(length).count();
   }
-  return counts;
+  return result;
 }
 
-TEST_CASE("each part of a wait is put down to its cause") {
+TEST_CASE("each part of a wait is attributed to its cause") {
   struct Row {
     const char* name;
     std::vector<std::string> lines;
-    Waits waits;
-    int64_t lasted_ms;
+    WaitMilliseconds waits;
+    int64_t duration_ms;
   };
   const std::vector<Row> rows = {
       {"placed in the first round",
        {Accepted(100), Placed(110), State(900, "completed")},
        {{"not yet decided", 10}},
        800},
-      {"placed before its acceptance was told",
+      {"placed before its acceptance was logged",
        {Placed(99), Accepted(100), State(900, "completed")},
        {},
        801},
@@ -80,7 +80,7 @@
        {Waiting(100, "no room"), Placed(400), State(900, "completed")},
        {{"no room", 300}},
        800},
-      {"reasons follow one another",
+      {"two reasons in sequence",
        {Accepted(100), Waiting(110, "no room"), Waiting(150, "no rack"),
         Placed(400), State(900, "completed")},
        {{"not yet decided", 10}, {"no room", 40}, {"no rack", 250}},
@@ -90,17 +90,18 @@
         Accepted(100)},
        {{"not yet decided", 10}, {"no room", 290}},
        800},
-      {"the lead was vacant, and nothing was told",
-       {Accepted(100), Lead(700, 901), Placed(710), State(900, "completed")},
+      {"no leader, and no reason was logged",
+       {Accepted(100), LeadershipChange(700, 901), Placed(710),
+        State(900, "completed")},
        {{"no leader", 600}, {"not yet decided", 10}},
        800},
-      {"the lead was given back meanwhile",
-       {Accepted(100), Waiting(110, "no room"), Lead(200, 903), Lead(700, 901),
-        Placed(710), State(900, "completed")},
+      {"leadership was released while the job waited",
+       {Accepted(100), Waiting(110, "no room"), LeadershipChange(200, 903),
+        LeadershipChange(700, 901), Placed(710), State(900, "completed")},
        {{"not yet decided", 20}, {"no room", 90}, {"no leader", 500}},
        800},
       {"a run was lost",
-       {Accepted(100), Placed(100), Ended(500, "lost"), Placed(800),
+       {Accepted(100), Placed(100), RunEnded(500, "lost"), Placed(800),
         State(900, "completed")},
        {{"again: lost", 300}},
        800},
@@ -108,9 +109,9 @@
        {Accepted(100), Waiting(100, "no room"), Waiting(600, "no rack")},
        {{"no room", 500}},
        500},
-      {"nothing counts after the end",
+      {"lines after the end of the job are ignored",
        {Accepted(100), Placed(100), State(900, "completed"),
-        Ended(950, "stopped")},
+        RunEnded(950, "stopped")},
        {},
        800},
   };
@@ -118,8 +119,8 @@
     CAPTURE(row.name);
     const LogSummaryReport report = ReportOf(row.lines);
     REQUIRE(report.jobs.size() == 1);
-    CHECK(ToCounts(report.jobs[0].waits) == row.waits);
-    CHECK(report.jobs[0].duration == Milliseconds(row.lasted_ms));
+    CHECK(ToMilliseconds(report.jobs[0].waits) == row.waits);
+    CHECK(report.jobs[0].duration == Milliseconds(row.duration_ms));
   }
 }
 
@@ -130,17 +131,18 @@
     std::vector<std::string> causes;
   };
   const std::vector<Row> rows = {
-      {"a result", {Ended(500, "done")}, {}},
-      {"nothing waited for it", {Ended(500, "lost", false)}, {}},
-      {"by itself", {Ended(500, "failed")}, {"failed"}},
-      {"whom it gave way to does not matter",
-       {Stop(300, "gives way to urgent b.0.0"), Ended(500, "stopped")},
+      {"a result", {RunEnded(500, "done")}, {}},
+      {"the run was no longer in force", {RunEnded(500, "lost", false)}, {}},
+      {"the run failed", {RunEnded(500, "failed")}, {"failed"}},
+      {"all preemptions have one cause",
+       {StopOrdered(300, "gives way to urgent b.0.0"),
+        RunEnded(500, "stopped")},
        {"gives way to urgent"}},
-      {"another stop",
-       {Stop(300, "worker leaves"), Ended(500, "stopped")},
+      {"stopped for another reason",
+       {StopOrdered(300, "worker leaves"), RunEnded(500, "stopped")},
        {"worker leaves"}},
-      {"it ended otherwise before the stop came",
-       {Stop(300, "worker leaves"), Ended(500, "failed")},
+      {"the run failed before it was stopped",
+       {StopOrdered(300, "worker leaves"), RunEnded(500, "failed")},
        {"failed"}},
   };
   for (const Row& row : rows) {
@@ -159,7 +161,7 @@
   }
 }
 
-TEST_CASE("what a checkpoint kept is not thrown away") {
+TEST_CASE("work that a checkpoint preserved is not lost") {
   const std::string ended = Line(
       500, 917,
       R"("task":"a.0.0.3","run":1,"lasted_ms":400,"kept_ms":300,"end":"lost",)"
--- a/tests/auto/logging/tst_log_timeline.cc
+++ b/tests/auto/logging/tst_log_timeline.cc
@@ -1,4 +1,4 @@
-// Which lines make up a story, and in which order.
+// Which lines are part of a timeline, and their order.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -11,12 +11,12 @@
 
 constexpr char kId[] = "5c0e7a21d94b36f8";
 
-std::string Line(int time, int event, const std::string& rest,
+std::string Line(int time, int event, const std::string& fields,
                  const std::string& instance = "e1") {
   return R"({"time_ms":)" + std::to_string(time) +
          R"(,"level":"info","instance":")" + instance + R"(","event":)" +
          std::to_string(event) + R"(,"name":"n)" + std::to_string(event) +
-         "\"" + (rest.empty() ? "" : "," + rest) + "}";
+         "\"" + (fields.empty() ? "" : "," + fields) + "}";
 }
 
 std::string Job() { return std::string(R"("job":")") + kId + "\""; }
@@ -29,27 +29,31 @@
   return events;
 }
 
-TEST_CASE("a story holds the id's lines and what explains its waits") {
+TEST_CASE("a timeline contains the events of the id and their context") {
   struct Row {
     std::string name;
     std::string line;
-    bool told;
+    bool in_timeline;
   };
   const std::vector<Row> rows = {
-      {"a change of the lead", Line(150, 901, ""), true},
-      {"a loss of the store", Line(150, 905, ""), true},
-      {"a configuration", Line(150, 907, R"("version":3)"), true},
-      {"a configuration of an entry that had no part",
+      {"a change of leadership", Line(150, 901, ""), true},
+      {"loss of the store", Line(150, 905, ""), true},
+      {"a configuration of an instance that logged the id",
+       Line(150, 907, R"("version":3)"), true},
+      {"a configuration of another instance",
        Line(150, 907, R"("version":3)", "e7"), false},
-      {"its worker falls silent", Line(150, 922, R"("worker":"w1")"), true},
-      {"another worker falls silent", Line(150, 922, R"("worker":"w9")"),
+      {"a worker of the id becomes silent", Line(150, 922, R"("worker":"w1")"),
+       true},
+      {"another worker becomes silent", Line(150, 922, R"("worker":"w9")"),
        false},
       {"another job", Line(150, 910, R"("job":"0000000000000000")"), false},
-      {"the lead, before its time", Line(50, 901, ""), false},
-      {"the lead, after its time", Line(500, 901, ""), false},
-      {"a task of it is given up",
+      {"a change of leadership before the first event of the id",
+       Line(50, 901, ""), false},
+      {"a change of leadership after the last event of the id",
+       Line(500, 901, ""), false},
+      {"a task of the job is abandoned",
        Line(150, 939, std::string(R"("task":")") + kId + R"(.0.0.3")"), true},
-      {"a task of it",
+      {"a run of a task of the job ends",
        Line(150, 917, std::string(R"("task":")") + kId + R"(.0.0.3")"), true},
   };
   for (const Row& row : rows) {
@@ -59,14 +63,14 @@
     CHECK(timeline.Add(Line(300, 914, Job())));
     CHECK(timeline.Add(Line(100, 910, Job())));
     CHECK(timeline.Add(Line(200, 915, Job() + R"(,"tasks":[[0,"w1"]])")));
-    const std::vector<int> events = Events(story);
-    CHECK(events.size() == (row.told ? 4 : 3));
+    const std::vector<int> events = Events(timeline);
+    CHECK(events.size() == (row.in_timeline ? 4 : 3));
     CHECK(events.front() == 910);
     CHECK(events.back() == 914);
   }
 }
 
-TEST_CASE("words before the line are skipped, other text is not a line") {
+TEST_CASE("a prefix is skipped, and other text is not a line") {
   LogTimeline timeline(kId);
   CHECK(timeline.Add("  0.93 edge-1 " + Line(100, 910, Job())));
   CHECK_FALSE(timeline.Add("no line at all"));
@@ -75,7 +79,7 @@
   CHECK(timeline.Events().size() == 1);
 }
 
-TEST_CASE("the longest wait lies between two lines of the id itself") {
+TEST_CASE("the longest gap is between two events that name the id") {
   LogTimeline timeline(kId);
   timeline.Add(Line(100, 910, Job()));
   timeline.Add(Line(150, 915, Job()));
