--- a/src/libs/metrics/call_meter.cc
+++ b/src/libs/metrics/call_meter.cc
@@ -1,4 +1,4 @@
-// Keeps the metrics that were looked up.
+// Looks up each counter and histogram once and keeps a pointer to it.
 #include "metrics/call_meter.h"
 
 namespace thornplank {
@@ -7,7 +7,7 @@
                      MetricsRegistry& metrics)
     : name_(std::move(name)), help_(std::move(help)), metrics_(metrics) {}
 
-void CallMeter::Record(const char* call, const char* outcome, Time begun) {
+void CallMeter::Record(const char* call, const char* outcome, Time start_time) {
   Counter*& counter = counters_[{call, outcome}];
   if (counter == nullptr) {
     counter = &metrics_.counter(name_ + "_calls_total", help_,
@@ -19,7 +19,7 @@
     histogram =
         &metrics_.histogram(name_ + "_call_seconds", help_, {{"call", call}});
   }
-  histogram->Observe(std::chrono::steady_clock::now() - begun);
+  histogram->Observe(std::chrono::steady_clock::now() - start_time);
 }
 
 }  // namespace thornplank
--- a/src/libs/metrics/call_meter.h
+++ b/src/libs/metrics/call_meter.h
@@ -14,19 +14,20 @@
 // Not thread-safe.
 class CallMeter {
  public:
-  // Makes `name`_calls_total and `name`_call_seconds. `metrics` outlives this
-  // object.
+  // Adds `name`_calls_total and `name`_call_seconds to `metrics`, which must
+  // outlive this object.
   CallMeter(std::string name, std::string help, MetricsRegistry& metrics);
 
-  // A call that was begun at `begun` has its answer. Both texts are literals.
-  void Record(const char* call, const char* outcome, Time begun);
+  // Records a call that began at `start_time` and has now been answered. `call`
+  // and `outcome` must be string literals.
+  void Record(const char* call, const char* outcome, Time start_time);
 
  private:
   const std::string name_;
   const std::string help_;
   MetricsRegistry& metrics_;
-  // Found by the literals' addresses: a leader makes hundreds of calls a
-  // second, and a look-up by labels costs microseconds.
+  // Keyed by the addresses of the literals: a leader makes hundreds of calls
+  // per second, and a look-up by labels takes microseconds.
   std::map<std::pair<const char*, const char*>, Counter*> counters_;
   std::map<const char*, Histogram*> histograms_;
 };
--- a/src/libs/metrics/log_metrics.cc
+++ b/src/libs/metrics/log_metrics.cc
@@ -1,4 +1,4 @@
-// Reads the totals of the event log.
+// Adds counters that read the totals of the event log.
 #include "metrics/log_metrics.h"
 
 #include <string>
--- a/src/libs/metrics/log_metrics.h
+++ b/src/libs/metrics/log_metrics.h
@@ -1,4 +1,5 @@
-// What the log of this process takes, and what of it was left out.
+// Metrics of the event log of this process: what was written, and what was
+// lost.
 #ifndef THORNPLANK_METRICS_LOG_METRICS_H_
 #define THORNPLANK_METRICS_LOG_METRICS_H_
 
--- a/src/libs/metrics/metrics_registry.cc
+++ b/src/libs/metrics/metrics_registry.cc
@@ -1,5 +1,5 @@
-// The registry, with summaries on Boost.Accumulators and histograms on
-// Boost.Histogram.
+// The registry and its text form. Summaries use Boost.Accumulators, histograms
+// use Boost.Histogram.
 #include "metrics/metrics_registry.h"
 
 #include <array>
@@ -24,13 +24,13 @@
 
 constexpr std::array<double, 3> kQuantiles = {0.5, 0.9, 0.99};
 
-// Upper bounds of the buckets, in seconds: the steps of 1, 2 and 5 over the
-// range of what is measured, from one call of the store to a long task.
+// Upper bounds of the buckets in seconds: a 1-2-5 series over the durations
+// that are measured, from one call of the store to a long task.
 constexpr std::array<double, 15> kBucketBounds = {
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20, 60};
 
-// Bin i of the axis holds what is above bound i - 1 and at most bound i; the
-// axis counts a value on a bound to the next bin, so values are negated.
+// A bucket includes its upper bound, but the axis counts a value that equals an
+// edge in the bin above it. Values and edges are therefore negated.
 using BucketAxis = boost::histogram::axis::variable<double>;
 
 std::vector<double> NegatedBounds() {
@@ -41,8 +41,8 @@
   return edges;
 }
 
-// One per quantile: extended_p_square_quantile, which would hold all three,
-// reads an uninitialised member (Boost 1.74).
+// One accumulator per quantile: extended_p_square_quantile, which handles
+// several quantiles, reads an uninitialized member (Boost 1.74).
 using QuantileAccumulator = accumulators::accumulator_set<
     double, accumulators::stats<accumulators::tag::p_square_quantile>>;
 
@@ -63,7 +63,7 @@
   return escaped;
 }
 
-std::string LabelText(const MetricLabels& labels) {
+std::string FormatLabels(const MetricLabels& labels) {
   if (labels.empty()) return "";
   std::string text = "{";
   for (const auto& [name, value] : labels) {
@@ -73,19 +73,20 @@
   return text + "}";
 }
 
-// All digits of whole numbers, as counters and bytes need them.
-std::string NumberText(double value) {
+// Prints whole numbers with all their digits, as counters and byte counts need.
+std::string FormatNumber(double value) {
   std::ostringstream text;
   text << std::setprecision(std::numeric_limits<double>::max_digits10) << value;
   return text.str();
 }
 
-std::string Labelled(MetricLabels labels, const std::string& name,
-                     double value) {
+// Formats `labels` with the label `name` added.
+std::string FormatLabelsWith(MetricLabels labels, const std::string& name,
+                             double value) {
   std::ostringstream text;
   text << value;
   labels[name] = text.str();
-  return LabelText(labels);
+  return FormatLabels(labels);
 }
 
 double ToSeconds(Duration duration) {
@@ -135,7 +136,7 @@
   }
 
  private:
-  // Guards all that follows.
+  // Guards the members below.
   mutable std::mutex mutex_;
   // In the order of kQuantiles.
   std::array<QuantileAccumulator, kQuantiles.size()> quantiles_ = {
@@ -169,19 +170,20 @@
   std::vector<Bucket> buckets() const {
     const std::lock_guard<std::mutex> lock(mutex_);
     std::vector<Bucket> buckets;
-    uint64_t below = 0;
-    // The overflow bin holds the smallest durations.
+    uint64_t cumulative_count = 0;
+    // As values are negated, the last bin, the overflow bin, holds the smallest
+    // durations.
     const auto bins = static_cast<int>(kBucketBounds.size());
     for (int i = 0; i < bins; ++i) {
-      below += static_cast<uint64_t>(bins_.at(bins - 1 - i));
-      buckets.push_back(
-          {FromSeconds(kBucketBounds[static_cast<size_t>(i)]), below});
+      cumulative_count += static_cast<uint64_t>(bins_.at(bins - 1 - i));
+      buckets.push_back({FromSeconds(kBucketBounds[static_cast<size_t>(i)]),
+                         cumulative_count});
     }
     return buckets;
   }
 
  private:
-  // Guards all that follows.
+  // Guards the members below.
   mutable std::mutex mutex_;
   decltype(boost::histogram::make_histogram(
       BucketAxis(NegatedBounds()))) bins_ =
@@ -202,14 +204,15 @@
 
 void WriteSumAndCount(const std::string& name, const MetricLabels& labels,
                       Duration sum, uint64_t count, std::ostream& text) {
-  text << name << "_sum" << LabelText(labels) << ' ' << ToSeconds(sum) << '\n';
-  text << name << "_count" << LabelText(labels) << ' ' << count << '\n';
+  text << name << "_sum" << FormatLabels(labels) << ' ' << ToSeconds(sum)
+       << '\n';
+  text << name << "_count" << FormatLabels(labels) << ' ' << count << '\n';
 }
 
 void WriteSummary(const std::string& name, const MetricLabels& labels,
                   const Summary& summary, std::ostream& text) {
   for (const double probability : kQuantiles) {
-    text << name << Labelled(labels, "quantile", probability) << ' '
+    text << name << FormatLabelsWith(labels, "quantile", probability) << ' '
          << ToSeconds(summary.quantile(probability)) << '\n';
   }
   WriteSumAndCount(name, labels, summary.sum(), summary.count(), text);
@@ -218,12 +221,13 @@
 void WriteHistogram(const std::string& name, const MetricLabels& labels,
                     const Histogram& histogram, std::ostream& text) {
   for (const Histogram::Bucket& bucket : histogram.buckets()) {
-    text << name << "_bucket" << Labelled(labels, "le", ToSeconds(bucket.bound))
-         << ' ' << bucket.count << '\n';
+    text << name << "_bucket"
+         << FormatLabelsWith(labels, "le", ToSeconds(bucket.bound)) << ' '
+         << bucket.count << '\n';
   }
   MetricLabels all = labels;
   all["le"] = "+Inf";
-  text << name << "_bucket" << LabelText(all) << ' ' << histogram.count()
+  text << name << "_bucket" << FormatLabels(all) << ' ' << histogram.count()
        << '\n';
   WriteSumAndCount(name, labels, histogram.sum(), histogram.count(), text);
 }
@@ -232,16 +236,18 @@
 
 class MetricsRegistry::Impl {
  public:
-  // One metric name with all its label sets. Exactly one of the maps is used,
-  // the one that `type` names; counters kept elsewhere are in `gauges`.
+  // One metric name with all its label sets. `type` is the type in the text
+  // form and tells which maps are used: "counter" for `counters` and
+  // `callbacks`, "summary" for `summaries`, "histogram" for `histograms`, and
+  // "gauge" for `callbacks` and `read_samples`.
   struct Family {
     std::string help;
     std::string type;
     std::map<MetricLabels, std::unique_ptr<Counter>> counters;
     std::map<MetricLabels, std::unique_ptr<Summary>> summaries;
     std::map<MetricLabels, std::unique_ptr<Histogram>> histograms;
-    std::map<MetricLabels, std::function<double()>> gauges;
-    std::function<std::vector<GaugeSample>()> gauge_rows;
+    std::map<MetricLabels, std::function<double()>> callbacks;
+    std::function<std::vector<GaugeSample>()> read_samples;
   };
 
   Family& family(const std::string& name, const std::string& help,
@@ -254,7 +260,8 @@
     return family;
   }
 
-  // Guards `families`; gauges run under it and must not use the registry.
+  // Guards `families`. The callbacks of gauges and counters run while it
+  // is locked and must not use the registry.
   mutable std::mutex mutex;
   std::map<std::string, Family> families;
 };
@@ -284,14 +291,14 @@
                                const MetricLabels& labels,
                                std::function<double()> read) {
   const std::lock_guard<std::mutex> lock(impl_->mutex);
-  impl_->family(name, help, "gauge").gauges[labels] = std::move(read);
+  impl_->family(name, help, "gauge").callbacks[labels] = std::move(read);
 }
 
 void MetricsRegistry::AddGauges(
     const std::string& name, const std::string& help,
     std::function<std::vector<GaugeSample>()> read) {
   const std::lock_guard<std::mutex> lock(impl_->mutex);
-  impl_->family(name, help, "gauge").gauge_rows = std::move(read);
+  impl_->family(name, help, "gauge").read_samples = std::move(read);
 }
 
 Histogram& MetricsRegistry::histogram(const std::string& name,
@@ -308,7 +315,7 @@
                                  const MetricLabels& labels,
                                  std::function<double()> read) {
   const std::lock_guard<std::mutex> lock(impl_->mutex);
-  impl_->family(name, help, "counter").gauges[labels] = std::move(read);
+  impl_->family(name, help, "counter").callbacks[labels] = std::move(read);
 }
 
 std::string MetricsRegistry::ToText() const {
@@ -318,15 +325,16 @@
     text << "# HELP " << name << ' ' << family.help << '\n';
     text << "# TYPE " << name << ' ' << family.type << '\n';
     for (const auto& [labels, counter] : family.counters) {
-      text << name << LabelText(labels) << ' ' << counter->value() << '\n';
+      text << name << FormatLabels(labels) << ' ' << counter->value() << '\n';
     }
-    for (const auto& [labels, read] : family.gauges) {
-      text << name << LabelText(labels) << ' ' << NumberText(read()) << '\n';
+    for (const auto& [labels, read] : family.callbacks) {
+      text << name << FormatLabels(labels) << ' ' << FormatNumber(read())
+           << '\n';
     }
-    if (family.gauge_rows) {
-      for (const GaugeSample& row : family.gauge_rows()) {
-        text << name << LabelText(row.labels) << ' ' << NumberText(row.value)
-             << '\n';
+    if (family.read_samples) {
+      for (const GaugeSample& sample : family.read_samples()) {
+        text << name << FormatLabels(sample.labels) << ' '
+             << FormatNumber(sample.value) << '\n';
       }
     }
     for (const auto& [labels, summary] : family.summaries) {
--- a/src/libs/metrics/metrics_registry.h
+++ b/src/libs/metrics/metrics_registry.h
@@ -1,9 +1,9 @@
-// Counters, gauges, summaries and histograms, shown in the Prometheus text
-// format 0.0.4.
+// Counters, gauges, summaries and histograms, and their export in the
+// Prometheus text format 0.0.4.
 //
-// Summaries use Boost.Accumulators (P-square quantiles), histograms
-// Boost.Histogram. Quantiles of one process are read from a summary;
-// histograms can be added up over processes.
+// Summaries estimate quantiles by the P-square algorithm (Boost.Accumulators)
+// for a single process. Histograms (Boost.Histogram) can be added up over
+// processes.
 #ifndef THORNPLANK_METRICS_METRICS_REGISTRY_H_
 #define THORNPLANK_METRICS_METRICS_REGISTRY_H_
 
@@ -30,15 +30,16 @@
   std::atomic<uint64_t> value_{0};
 };
 
-// Distribution of durations, in seconds in the text form: count, sum and the
-// quantiles 0.5, 0.9, 0.99.
+// Distribution of durations: count, sum and the quantiles 0.5, 0.9 and 0.99, in
+// seconds in the text form.
 class Summary {
  public:
   Summary();
   ~Summary();
   void Observe(Duration value);
   uint64_t count() const;
-  // The kept quantile next above `probability`; zero without observations.
+  // The smallest of these quantiles that is not below `probability`, or the
+  // largest one if all are; zero without observations.
   Duration quantile(double probability) const;
   Duration sum() const;
 
@@ -56,12 +57,12 @@
   uint64_t count() const;
   Duration sum() const;
 
-  // An upper bound and how many observations were at most that.
+  // An inclusive upper bound and the number of observations up to it.
   struct Bucket {
     Duration bound{};
     uint64_t count = 0;
   };
-  // Cumulative, without the one that holds all.
+  // Cumulative buckets, without the one for +Inf.
   std::vector<Bucket> buckets() const;
 
  private:
@@ -76,31 +77,33 @@
   MetricsRegistry();
   ~MetricsRegistry();
 
-  // The metric of that name and labels, made at the first call. References
-  // stay valid as long as the registry. Thread-safe.
+  // Return the metric of that name and labels, which the first call creates.
+  // References stay valid as long as the registry. Thread-safe.
   Counter& counter(const std::string& name, const std::string& help,
                    const MetricLabels& labels = {});
   Summary& summary(const std::string& name, const std::string& help,
                    const MetricLabels& labels = {});
   Histogram& histogram(const std::string& name, const std::string& help,
                        const MetricLabels& labels = {});
-  // A gauge is read when the text is made.
+  // Adds a gauge whose value is `read()` at the time of ToText().
   void AddGauge(const std::string& name, const std::string& help,
                 const MetricLabels& labels, std::function<double()> read);
 
-  // Gauges whose labels are known only when the text is made.
+  // One value of a gauge whose labels are known only at the time of ToText().
   struct GaugeSample {
     MetricLabels labels;
     double value = 0;
   };
+  // Adds a gauge whose values and labels are `read()` at the time of ToText().
   void AddGauges(const std::string& name, const std::string& help,
                  std::function<std::vector<GaugeSample>()> read);
 
-  // A counter that is kept elsewhere, read when the text is made.
+  // Adds a counter whose value is kept elsewhere and is `read()` at the time of
+  // ToText().
   void AddCounter(const std::string& name, const std::string& help,
                   const MetricLabels& labels, std::function<double()> read);
 
-  // The whole registry in text format, sorted by name.
+  // The whole registry in the text format, sorted by metric name.
   std::string ToText() const;
 
  private:
--- a/src/libs/metrics/process_metrics.h
+++ b/src/libs/metrics/process_metrics.h
@@ -1,4 +1,4 @@
-// What the process itself costs: memory, processor time, bytes.
+// Metrics of the process itself: resident memory and processor time.
 #ifndef THORNPLANK_METRICS_PROCESS_METRICS_H_
 #define THORNPLANK_METRICS_PROCESS_METRICS_H_
 
--- a/tests/auto/metrics/tst_metrics_registry.cc
+++ b/tests/auto/metrics/tst_metrics_registry.cc
@@ -1,4 +1,4 @@
-// The text form of counters, gauges, summaries and histograms.
+// Values and text form of counters, gauges, summaries and histograms.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -33,7 +33,7 @@
         std::string::npos);
 }
 
-TEST_CASE("gauges whose labels change are made anew for each text") {
+TEST_CASE("gauges with changing labels are read anew for each text") {
   MetricsRegistry registry;
   std::vector<MetricsRegistry::GaugeSample> rows;
   registry.AddGauges("workers", "Workers.", [&rows] { return rows; });
@@ -57,10 +57,11 @@
   CHECK(summary.quantile(0.99) > milliseconds(960));
 }
 
-TEST_CASE("a value on a bound counts to the bucket of that bound") {
+TEST_CASE(
+    "a value that equals a bound is counted in the bucket of that bound") {
   struct Row {
     milliseconds value;
-    // The first bucket that holds it; zero for none.
+    // Bound of the first bucket that contains the value; zero if none does.
     milliseconds bound;
   };
   const std::vector<Row> rows = {
@@ -87,7 +88,7 @@
   }
 }
 
-TEST_CASE("a histogram shows rising buckets, the sum and the count") {
+TEST_CASE("a histogram exports cumulative buckets, the sum and the count") {
   MetricsRegistry registry;
   Histogram& histogram =
       registry.histogram("wait_seconds", "Wait.", {{"kind", "gang"}});
@@ -107,7 +108,7 @@
   }
 }
 
-TEST_CASE("counters kept elsewhere show all their digits") {
+TEST_CASE("counters read by a callback are printed with all their digits") {
   MetricsRegistry registry;
   registry.AddCounter("bytes_total", "Bytes.", {}, [] { return 123456789.0; });
   CHECK(registry.ToText() ==
