--- a/src/libs/history/history_checker.cc
+++ b/src/libs/history/history_checker.cc
@@ -1,4 +1,5 @@
-// The comparison of what callers were told with what ran.
+// Compares the outcomes that callers received with the runs that executors
+// recorded.
 #include "history/history_checker.h"
 
 #include <unordered_map>
@@ -11,8 +12,8 @@
   explicit Checker(const std::vector<RunRecord>& runs) {
     verdict_.runs = runs.size();
     for (const RunRecord& run : runs) {
-      ++runs_of_body_[run.digest];
-      if (!run.key.empty()) ++runs_of_key_[run.key];
+      ++runs_by_digest_[run.digest];
+      if (!run.key.empty()) ++runs_by_key_[run.key];
     }
   }
 
@@ -42,11 +43,11 @@
 
   HistoryVerdict Finish() {
     for (const auto& [key, may_have_run] : key_may_have_run_) {
-      if (may_have_run || runs_of_key_.count(key) == 0) continue;
-      AddFault(&verdict_.false_not_run, "every attempt of key " + key +
-                                            " was told 'not run' but it ran");
+      if (may_have_run || runs_by_key_.count(key) == 0) continue;
+      AddFault(&verdict_.false_not_run, "every attempt with key " + key +
+                                            " got 'not run', but the key ran");
     }
-    for (const auto& [key, count] : runs_of_key_) {
+    for (const auto& [key, count] : runs_by_key_) {
       if (count <= 1) continue;
       AddFault(&verdict_.double_runs,
                "key " + key + " ran " + std::to_string(count) + " times");
@@ -58,26 +59,26 @@
   void CheckAnswered(const HistoryRecord& record) {
     if (!record.own_answer) {
       AddFault(&verdict_.wrong_answers,
-               "request " + record.id + " got an answer that is not its own");
+               "request " + record.id + " got the answer of another request");
     }
-    // A repeat of a key is answered by the run of the first attempt.
-    const bool ran = record.key.empty() ? RunsOfBody(record.digest) > 0
-                                        : runs_of_key_.count(record.key) > 0;
+    // A repeated request with the same key gets the answer of the first run.
+    const bool ran = record.key.empty() ? RunsWithDigest(record.digest) > 0
+                                        : runs_by_key_.count(record.key) > 0;
     if (ran) return;
     AddFault(&verdict_.answered_without_run,
              "request " + record.id + " was answered but never ran");
   }
 
   void CheckNotRun(const HistoryRecord& record) {
-    // Keys are judged in Finish, when all attempts are known.
-    if (!record.key.empty() || RunsOfBody(record.digest) == 0) return;
+    // Requests with a key are checked in Finish(), when all attempts are known.
+    if (!record.key.empty() || RunsWithDigest(record.digest) == 0) return;
     AddFault(&verdict_.false_not_run,
-             "request " + record.id + " was told 'not run' but ran");
+             "request " + record.id + " got 'not run' but ran");
   }
 
-  int RunsOfBody(const std::string& digest) const {
-    const auto it = runs_of_body_.find(digest);
-    return it == runs_of_body_.end() ? 0 : it->second;
+  int RunsWithDigest(const std::string& digest) const {
+    const auto it = runs_by_digest_.find(digest);
+    return it == runs_by_digest_.end() ? 0 : it->second;
   }
 
   void AddFault(size_t* counter, std::string text) {
@@ -87,10 +88,10 @@
   }
 
   HistoryVerdict verdict_;
-  std::unordered_map<std::string, int> runs_of_body_;
-  // Per key: some attempt was told something else than "not run".
+  std::unordered_map<std::string, int> runs_by_digest_;
+  // By key: whether any attempt had an outcome other than "not run".
   std::unordered_map<std::string, bool> key_may_have_run_;
-  std::unordered_map<std::string, int> runs_of_key_;
+  std::unordered_map<std::string, int> runs_by_key_;
 };
 
 }  // namespace
--- a/src/libs/history/history_checker.h
+++ b/src/libs/history/history_checker.h
@@ -1,9 +1,9 @@
 // Checks a history of requests against the executors' own records of runs.
 //
-// What must hold: an answered caller got its own answer, and its request ran;
-// a caller told "not run" has a request that never ran; a non-idempotent key
-// ran at most once. Several attempts may share a key: then its one run must
-// belong to an attempt that was told something else than "not run".
+// Invariants: the answer to a request belongs to that request, and the request
+// ran; a request with the outcome "not run" never ran; each idempotency key ran
+// at most once. Several attempts may share a key: if the key ran, at least one
+// of them must have an outcome other than "not run".
 #ifndef THORNPLANK_HISTORY_HISTORY_CHECKER_H_
 #define THORNPLANK_HISTORY_HISTORY_CHECKER_H_
 
@@ -23,12 +23,12 @@
   size_t no_answer = 0;
   size_t runs = 0;
 
-  // Faults; each also stands in `faults` with its ids.
+  // Numbers of faults by kind; `faults` describes them with their ids.
   size_t wrong_answers = 0;
   size_t answered_without_run = 0;
   size_t false_not_run = 0;
   size_t double_runs = 0;
-  // The first of them, readable, at most kMaxFaultTexts.
+  // Descriptions of the first faults, at most kMaxFaultTexts.
   std::vector<std::string> faults;
 
   bool ok() const {
--- a/src/libs/history/history_record.cc
+++ b/src/libs/history/history_record.cc
@@ -1,4 +1,4 @@
-// History lines to and from JSON.
+// Conversion of history records to and from JSON.
 #include "history/history_record.h"
 
 #include <xxhash.h>
@@ -89,7 +89,7 @@
     if (!record.has_value()) {
       SetError(error, "read history", path,
                "line " + std::to_string(records.size() + 1) +
-                   " is no history record");
+                   " is not a history record");
       return std::nullopt;
     }
     records.push_back(std::move(*record));
@@ -105,7 +105,8 @@
   const std::optional<Json> value = ParseJson(text.str());
   const Json* runs = value.has_value() ? ArrayField(*value, "runs") : nullptr;
   if (!file || runs == nullptr) {
-    SetError(error, "read runs", path, "is no JSON object with 'runs'");
+    SetError(error, "read runs", path,
+             "is not a JSON object with an array 'runs'");
     return std::nullopt;
   }
   std::vector<RunRecord> records;
--- a/src/libs/history/history_record.h
+++ b/src/libs/history/history_record.h
@@ -1,4 +1,5 @@
-// One line of a history: what a caller asked and what it was told.
+// Records of a history: the requests that callers sent with the outcomes that
+// they received, and the runs that executors recorded.
 #ifndef THORNPLANK_HISTORY_HISTORY_RECORD_H_
 #define THORNPLANK_HISTORY_HISTORY_RECORD_H_
 
@@ -12,12 +13,12 @@
 
 namespace thornplank {
 
-// What a caller was told of its request.
+// The outcome of a request as its caller received it.
 enum class Outcome {
   kAnswered,
   kNotRun,
   kUnknown,
-  // The connection ended without an answer; the caller knows nothing.
+  // The connection ended without an answer.
   kNoAnswer,
 };
 
@@ -25,17 +26,18 @@
 std::optional<Outcome> ParseOutcome(const std::string& name);
 
 struct HistoryRecord {
-  // Unique per request sent; part of its body.
+  // Unique per request and part of its body; repeats of a request share it.
   std::string id;
-  // Set for non-idempotent requests; attempts of one payment share it.
+  // Idempotency key, set for non-idempotent requests; all attempts of one
+  // payment share it.
   std::string key;
-  // BodyDigest of the request; the executors record the same of what they run.
+  // BodyDigest() of the request; executors record the same digest of each run.
   std::string digest;
   std::string account;
   std::string entry;
   Outcome outcome = Outcome::kNoAnswer;
   int status = 0;
-  // The `echo` of the answer held the request's own body.
+  // Whether the field `echo` of the answer contains the request's own body.
   bool own_answer = false;
   int64_t sent_us = 0;
   int64_t latency_us = 0;
@@ -44,20 +46,21 @@
 Json ToJson(const HistoryRecord& record);
 std::optional<HistoryRecord> ParseHistoryRecord(const Json& value);
 
-// One run as an executor recorded it.
+// One run of a request as an executor recorded it.
 struct RunRecord {
   std::string executor;
   std::string key;
   std::string digest;
 };
 
-// xxhash64 of a request body, seed 0, 16 hexadecimal digits.
+// Returns the XXH64 hash of a request body, with seed 0, as 16 hexadecimal
+// digits.
 std::string BodyDigest(const std::string& body);
 
-// Reads one JSON object a line.
+// Reads a file with one JSON object per line.
 std::optional<std::vector<HistoryRecord>> ReadHistory(const std::string& path,
                                                       Error* error);
-// Reads {"runs":[{"executor","key","digest"},...]}.
+// Reads a file of the form {"runs":[{"executor","key","digest"},...]}.
 std::optional<std::vector<RunRecord>> ReadRuns(const std::string& path,
                                                Error* error);
 
