--- a/src/libs/loadgen/job_load.cc
+++ b/src/libs/loadgen/job_load.cc
@@ -1,4 +1,4 @@
-// Submission and polling of jobs through the blocking client.
+// Submits and polls the jobs through the blocking client.
 #include "loadgen/job_load.h"
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 
 constexpr Milliseconds kPollInterval{50};
 
-struct FollowedJob {
+struct TrackedJob {
   JobHistoryRecord record;
-  Time give_up;
+  Time deadline;
 };
 
 bool IsFinalPhase(const std::string& phase) {
@@ -48,8 +48,8 @@
       while (std::chrono::steady_clock::now() < start + at) PollOnce();
       Submit();
     }
-    while (!open_.empty()) PollOnce();
-    return std::move(ended_);
+    while (!active_jobs_.empty()) PollOnce();
+    return std::move(ended_jobs_);
   }
 
  private:
@@ -76,32 +76,37 @@
     const auto response =
         api_.Send("POST", "/v1/jobs", job.dump(), HttpHeaders(), nullptr);
     if (response.has_value() && response->status == 202) {
-      open_.push_back({std::move(record),
-                       std::chrono::steady_clock::now() + settings_.deadline});
+      active_jobs_.push_back(
+          {std::move(record),
+           std::chrono::steady_clock::now() + settings_.deadline});
       return;
     }
     record.phase = response.has_value() ? "refused" : "no-answer";
-    ended_.push_back(std::move(record));
+    ended_jobs_.push_back(std::move(record));
   }
 
-  // Looks at the job that was looked at longest ago, then pauses.
+  // Polls the job that was polled least recently, then sleeps. The sleep is
+  // divided by the number of active jobs, so that each is polled about once per
+  // kPollInterval.
   void PollOnce() {
-    if (!open_.empty()) {
-      std::rotate(open_.begin(), open_.begin() + 1, open_.end());
-      Read(&open_.back());
-      const FollowedJob& job = open_.back();
+    if (!active_jobs_.empty()) {
+      std::rotate(active_jobs_.begin(), active_jobs_.begin() + 1,
+                  active_jobs_.end());
+      RefreshStatus(&active_jobs_.back());
+      const TrackedJob& job = active_jobs_.back();
       const bool over = IsFinalPhase(job.record.phase) ||
-                        std::chrono::steady_clock::now() > job.give_up;
+                        std::chrono::steady_clock::now() > job.deadline;
       if (over) {
-        ended_.push_back(job.record);
-        open_.pop_back();
+        ended_jobs_.push_back(job.record);
+        active_jobs_.pop_back();
       }
     }
     std::this_thread::sleep_for(
-        kPollInterval / std::max<int>(1, static_cast<int>(open_.size())));
+        kPollInterval /
+        std::max<int>(1, static_cast<int>(active_jobs_.size())));
   }
 
-  void Read(FollowedJob* job) {
+  void RefreshStatus(TrackedJob* job) {
     const auto response = api_.Send("GET", "/v1/jobs/" + job->record.id, "",
                                     HttpHeaders(), nullptr);
     if (!response.has_value() || response->status != 200) return;
@@ -115,8 +120,8 @@
   const JobLoadSettings settings_;
   ApiClient api_;
   int submitted_ = 0;
-  std::vector<FollowedJob> open_;
-  std::vector<JobHistoryRecord> ended_;
+  std::vector<TrackedJob> active_jobs_;
+  std::vector<JobHistoryRecord> ended_jobs_;
 };
 
 Json Distribution(std::vector<int64_t> values) {
--- a/src/libs/loadgen/job_load.h
+++ b/src/libs/loadgen/job_load.h
@@ -1,5 +1,5 @@
-// Open-loop load of jobs: submitted at their planned times, then followed to
-// their end.
+// Open-loop load of jobs: each is submitted at its planned time, whatever
+// became of earlier ones, and then polled until its end.
 #ifndef THORNPLANK_LOADGEN_JOB_LOAD_H_
 #define THORNPLANK_LOADGEN_JOB_LOAD_H_
 
@@ -15,7 +15,7 @@
   std::vector<std::string> entries;
   std::string token;
   std::string account;
-  // Jobs a second over `duration`, and `burst` more at `burst_at`.
+  // Jobs per second over `duration`, and `burst` more at `burst_at`.
   double rate = 1;
   Milliseconds duration{5000};
   int burst = 0;
@@ -25,29 +25,32 @@
   std::string adjacency = "none";
   std::string priority = "normal";
   Milliseconds run_time{500};
-  // From a job's submission until it is given up on.
+  // How long a job is polled after its submission before it is abandoned.
   Milliseconds deadline{60000};
   std::string name = "load";
 };
 
-// What became of one job.
+// The course of one job.
 struct JobHistoryRecord {
   std::string id;
-  // Last phase seen; "refused" or "no-answer" when it was not acknowledged.
+  // The last phase seen, or "refused" or "no-answer" if the submission was not
+  // acknowledged.
   std::string phase;
-  // By the log's clock; 0 when not reached.
+  // Times by the clock of the log service; 0 for a phase that was not reached.
   int64_t submitted_ms = 0;
   int64_t running_ms = 0;
   int64_t ended_ms = 0;
 };
 
-// Runs the load and waits for every job's end or deadline. One thread.
+// Runs the load in the calling thread and returns when every job has ended or
+// reached its deadline.
 std::vector<JobHistoryRecord> RunJobLoad(const JobLoadSettings& settings);
 
 Json ToJson(const JobHistoryRecord& record);
 
-// Counts per phase; wait (submitted to running) and completion (submitted to
-// ended) in milliseconds at p50, p90, p99 and max, of finished jobs.
+// Returns the number of jobs by phase and, for finished jobs, the distributions
+// of the wait (submitted to running) and the completion time (submitted to
+// ended) in milliseconds: p50, p90, p99 and max.
 Json SummarizeJobs(const std::vector<JobHistoryRecord>& history);
 
 }  // namespace thornplank
--- a/src/libs/loadgen/load_generator.cc
+++ b/src/libs/loadgen/load_generator.cc
@@ -1,4 +1,4 @@
-// Planning of the requests, sending, and recording of outcomes.
+// Plans and sends the requests and records their outcomes.
 #include "loadgen/load_generator.h"
 
 #include <algorithm>
@@ -16,8 +16,9 @@
 namespace thornplank {
 namespace {
 
-// Answers are awaited this much longer than the deadline that the entry gets.
-constexpr Milliseconds kAnswerGrace{1000};
+// The client waits for an answer this much longer than the deadline that the
+// entry gets.
+constexpr Milliseconds kTimeoutMargin{1000};
 
 struct PlannedRequest {
   Duration at;
@@ -27,7 +28,8 @@
   std::string key;
 };
 
-size_t Pick(const std::vector<double>& weights, std::mt19937_64& random) {
+size_t PickWeighted(const std::vector<double>& weights,
+                    std::mt19937_64& random) {
   std::discrete_distribution<size_t> distribution(weights.begin(),
                                                   weights.end());
   return distribution(random);
@@ -48,8 +50,8 @@
       .value_or(Outcome::kNoAnswer);
 }
 
-// True when the answer echoes the request that carried `id`, or, for a
-// non-idempotent request, the one that ran under its key.
+// Returns whether the answer echoes the id of the request. Attempts that share
+// an idempotency key have the same id, so the answer to any of them qualifies.
 bool IsOwnAnswer(const HttpResponse& response, const PlannedRequest& request) {
   const std::optional<Json> answer = ParseJson(response.body);
   if (!answer.has_value()) return false;
@@ -119,8 +121,8 @@
     }
     PlannedRequest request;
     request.at = at;
-    request.account = Pick(account_weights, random_);
-    request.entry = Pick(settings_.entry_weights, random_);
+    request.account = PickWeighted(account_weights, random_);
+    request.entry = PickWeighted(settings_.entry_weights, random_);
     request.id = settings_.name + "-" + std::to_string(settings_.seed) + "-" +
                  std::to_string(plan->size());
     if (share(random_) < settings_.non_idempotent_share) {
@@ -128,7 +130,7 @@
     }
     plan->push_back(request);
     if (request.key.empty() || share(random_) >= settings_.repeat_share) return;
-    // The same payment, with the same body, at another entry.
+    // The same payment, with the same key and body, to another entry.
     request.entry = (request.entry + 1) % settings_.entries.size();
     plan->push_back(request);
   }
@@ -160,7 +162,7 @@
 
   void Send(const PlannedRequest& planned, Time start) {
     HttpSendOptions options;
-    options.timeout = settings_.deadline + kAnswerGrace;
+    options.timeout = settings_.deadline + kTimeoutMargin;
     const Time sent = std::chrono::steady_clock::now();
     HistoryRecord record;
     record.id = planned.id;
@@ -174,12 +176,12 @@
     http_.Send(record.entry, MakeRequest(planned), options,
                [this, planned, record, sent](
                    std::optional<HttpResponse> response, const HttpFailure&) {
-                 Finish(planned, record, sent, std::move(response));
+                 RecordOutcome(planned, record, sent, std::move(response));
                });
   }
 
-  void Finish(const PlannedRequest& planned, HistoryRecord record, Time sent,
-              const std::optional<HttpResponse>& response) {
+  void RecordOutcome(const PlannedRequest& planned, HistoryRecord record,
+                     Time sent, const std::optional<HttpResponse>& response) {
     record.latency_us = std::chrono::duration_cast<std::chrono::microseconds>(
                             std::chrono::steady_clock::now() - sent)
                             .count();
@@ -197,7 +199,7 @@
   LoadSettings settings_;
   std::mt19937_64 random_;
   HttpClient http_;
-  // Guards history_.
+  // Guards `history_`.
   std::mutex mutex_;
   std::condition_variable all_done_;
   std::vector<HistoryRecord> history_;
--- a/src/libs/loadgen/load_generator.h
+++ b/src/libs/loadgen/load_generator.h
@@ -1,5 +1,5 @@
-// Open-loop load: requests leave at their planned times, whether or not
-// earlier ones were answered.
+// Open-loop load of requests: each is sent at its planned time, whether or not
+// earlier ones have been answered.
 #ifndef THORNPLANK_LOADGEN_LOAD_GENERATOR_H_
 #define THORNPLANK_LOADGEN_LOAD_GENERATOR_H_
 
@@ -16,7 +16,7 @@
 class HttpClient;
 class IoPool;
 
-// One client account that sends.
+// A client account that sends requests.
 struct LoadAccount {
   std::string account;
   std::string token;
@@ -26,27 +26,29 @@
 
 struct LoadSettings {
   std::vector<std::string> entries;
-  // One per entry, relative; empty means even.
+  // Relative share of the requests, one per entry; empty for equal shares.
   std::vector<double> entry_weights;
   std::vector<LoadAccount> accounts;
   std::string service = "claims";
-  // Sends to the entries as if they were executors: no account, no outcome.
+  // Sends to `entries` as executors: without the service path, and an answer
+  // carries no outcome, which is derived from its status.
   bool direct = false;
-  // Requests a second, evenly spread.
+  // Requests per second, evenly spaced over `duration`.
   double rate = 100;
   Milliseconds duration{5000};
-  // This many more at once, at `burst_at`.
+  // Number of additional requests that are all sent at `burst_at`.
   int burst = 0;
   Milliseconds burst_at{1000};
   double non_idempotent_share = 0;
   // Share of the non-idempotent requests that are sent to two entries at the
-  // same moment, under one key.
+  // same time, with the same key.
   double repeat_share = 0;
   Milliseconds deadline{2000};
   size_t body_bytes = 200;
   size_t max_connections_per_entry = 512;
   uint64_t seed = 1;
-  // Part of every id, so that histories of several tools can be joined.
+  // Part of every request id, so that the histories of several load generators
+  // can be merged.
   std::string name = "load";
 };
 
@@ -55,7 +57,8 @@
   LoadGenerator(IoPool& pool, LoadSettings settings);
   ~LoadGenerator();
 
-  // Runs the whole load and waits for every answer or its deadline.
+  // Sends the whole load and waits until every request is answered or times
+  // out.
   std::vector<HistoryRecord> Run();
 
  private:
--- a/src/libs/loadgen/load_report.cc
+++ b/src/libs/loadgen/load_report.cc
@@ -1,4 +1,4 @@
-// Sorting of latencies and counting of outcomes.
+// Groups latencies by outcome and account and computes their percentiles.
 #include "loadgen/load_report.h"
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 namespace thornplank {
 namespace {
 
-int64_t Percentile(const std::vector<int64_t>& sorted, double share) {
+int64_t Percentile(const std::vector<int64_t>& sorted, double quantile) {
   if (sorted.empty()) return 0;
   const auto rank =
-      static_cast<size_t>(share * static_cast<double>(sorted.size() - 1));
+      static_cast<size_t>(quantile * static_cast<double>(sorted.size() - 1));
   return sorted[rank];
 }
 
@@ -25,9 +25,9 @@
 }
 
 // Latencies by outcome name.
-using ByOutcome = std::map<std::string, std::vector<int64_t>>;
+using LatenciesByOutcome = std::map<std::string, std::vector<int64_t>>;
 
-Json ToJson(const ByOutcome& outcomes) {
+Json ToJson(const LatenciesByOutcome& outcomes) {
   Json result = Json::object();
   for (const auto& [name, values] : outcomes) result[name] = Latencies(values);
   return result;
@@ -36,8 +36,8 @@
 }  // namespace
 
 Json SummarizeHistory(const std::vector<HistoryRecord>& history) {
-  ByOutcome all;
-  std::map<std::string, ByOutcome> by_account;
+  LatenciesByOutcome all;
+  std::map<std::string, LatenciesByOutcome> by_account;
   int64_t end_us = 0;
   size_t answered = 0;
   for (const HistoryRecord& record : history) {
--- a/src/libs/loadgen/load_report.h
+++ b/src/libs/loadgen/load_report.h
@@ -1,4 +1,4 @@
-// Rates, percentiles and outcomes of a history.
+// Summary of a history of requests.
 #ifndef THORNPLANK_LOADGEN_LOAD_REPORT_H_
 #define THORNPLANK_LOADGEN_LOAD_REPORT_H_
 
@@ -9,9 +9,9 @@
 
 namespace thornplank {
 
-// Counts per outcome, goodput per second of the whole run, and latencies in
-// microseconds at p50, p90, p99 and max: over all answered, over all not-run,
-// and per account.
+// Returns the goodput (answered requests per second of the whole run) and, for
+// each outcome, in total and by account, the number of requests and their
+// latencies in microseconds: p50, p90, p99 and max.
 Json SummarizeHistory(const std::vector<HistoryRecord>& history);
 
 }  // namespace thornplank
