--- a/src/libs/logging/line_budget.cc
+++ b/src/libs/logging/line_budget.cc
@@ -22,8 +22,9 @@
 bool LineBudget::Admits(int event, Time now) {
   Usage& usage = usages_[event];
   StartWindowIfDue(&usage, now);
-  if (usage.lines < settings_.lines && usage.bytes < settings_.bytes)
+  if (usage.lines < settings_.lines && usage.bytes < settings_.bytes) {
     return true;
+  }
   if (usage.suppressed == 0) ++unreported_events_;
   ++usage.suppressed;
   ++suppressed_total_;
--- a/src/libs/logging/log_summary.cc
+++ b/src/libs/logging/log_summary.cc
@@ -46,8 +46,9 @@
  public:
   void Apply(const LogLine& line) {
     const int event = line.event;
-    if (event == events::kLeadershipAcquired.number)
+    if (event == events::kLeadershipAcquired.number) {
       return OnLeadershipChange(line.time, true);
+    }
     if (event == events::kLeadershipLost.number ||
         event == events::kLeadershipReleased.number) {
       return OnLeadershipChange(line.time, false);
