--- a/src/app/thornplankctl/log_commands.cc
+++ b/src/app/thornplankctl/log_commands.cc
@@ -20,7 +20,7 @@
   constexpr int kTimeWidth = 8;
   std::cout << (line.names_id ? "  " : "~ ") << std::setw(kTimeWidth)
             << ToMilliseconds(line.time - begin) << " ms  " << line.instance
-            << "  " << line.event << " " << line.name;
+            << "  " << line.event_number << " " << line.name;
   for (const auto& [field, value] : line.fields.items()) {
     std::cout << "  " << field << "=" << ToCell(value);
   }
--- a/src/libs/logging/log_line.cc
+++ b/src/libs/logging/log_line.cc
@@ -24,7 +24,7 @@
   LogLine line;
   line.time = FromUnixMilliseconds(*time);
   line.instance = StringField(*json, "instance").value_or("");
-  line.event = static_cast<int>(*event);
+  line.event_number = static_cast<int>(*event);
   line.name = StringField(*json, "name").value_or("");
   for (const char* field : kCommonFields) {
     json->erase(field);
--- a/src/libs/logging/log_line.h
+++ b/src/libs/logging/log_line.h
@@ -14,7 +14,7 @@
 struct LogLine {
   WallTime time{};
   std::string instance;
-  int event = 0;
+  int event_number = 0;
   std::string name;
   // All other fields of the line.
   Json fields;
--- a/src/libs/logging/log_summary.cc
+++ b/src/libs/logging/log_summary.cc
@@ -45,7 +45,7 @@
 class SummaryBuilder {
  public:
   void Apply(const LogLine& line) {
-    const int event = line.event;
+    const int event = line.event_number;
     if (event == events::kLeadershipAcquired.number) {
       return OnLeadershipChange(line.time, true);
     }
@@ -266,9 +266,11 @@
 bool LogSummary::Add(std::string_view text) {
   std::optional<LogLine> line = ParseLogLine(text);
   if (!line) return false;
-  const bool wanted = std::any_of(
-      kRelevantEvents.begin(), kRelevantEvents.end(),
-      [&line](const Event* event) { return event->number == line->event; });
+  const bool wanted =
+      std::any_of(kRelevantEvents.begin(), kRelevantEvents.end(),
+                  [&line](const Event* event) {
+                    return event->number == line->event_number;
+                  });
   if (wanted) lines_.push_back(std::move(*line));
   return true;
 }
--- a/src/libs/logging/log_timeline.cc
+++ b/src/libs/logging/log_timeline.cc
@@ -49,9 +49,9 @@
     id_events_.push_back(std::move(event));
     return true;
   }
-  const bool may_be_context = IsOneOf(event.event, kSystemWideEvents) ||
-                              IsOneOf(event.event, kInstanceEvents) ||
-                              IsOneOf(event.event, kWorkerEvents);
+  const bool may_be_context = IsOneOf(event.event_number, kSystemWideEvents) ||
+                              IsOneOf(event.event_number, kInstanceEvents) ||
+                              IsOneOf(event.event_number, kWorkerEvents);
   if (may_be_context) context_candidates_.push_back(std::move(event));
   return true;
 }
@@ -70,8 +70,8 @@
 }
 
 bool LogTimeline::IsContext(const TimelineEvent& event) const {
-  if (IsOneOf(event.event, kSystemWideEvents)) return true;
-  if (IsOneOf(event.event, kInstanceEvents)) {
+  if (IsOneOf(event.event_number, kSystemWideEvents)) return true;
+  if (IsOneOf(event.event_number, kInstanceEvents)) {
     return instances_.count(event.instance) > 0;
   }
   const auto worker = StringField(event.fields, "worker");
--- a/tests/auto/logging/tst_log_timeline.cc
+++ b/tests/auto/logging/tst_log_timeline.cc
@@ -24,7 +24,7 @@
 std::vector<int> Events(const LogTimeline& timeline) {
   std::vector<int> events;
   for (const TimelineEvent& line : timeline.Events()) {
-    events.push_back(line.event);
+    events.push_back(line.event_number);
   }
   return events;
 }
@@ -89,8 +89,8 @@
   const std::optional<TimelineGap> gap = LogTimeline::LongestGap(lines);
   REQUIRE(gap.has_value());
   CHECK(gap->length == std::chrono::milliseconds(1050));
-  CHECK(lines[gap->from].event == 915);
-  CHECK(lines[gap->to].event == 917);
+  CHECK(lines[gap->from].event_number == 915);
+  CHECK(lines[gap->to].event_number == 917);
   CHECK_FALSE(LogTimeline::LongestGap({lines.front()}).has_value());
 }
 
