--- a/src/libs/logging/bounded_output.h
+++ b/src/libs/logging/bounded_output.h
@@ -1,8 +1,8 @@
 // Writes lines to a file descriptor whose reader may be slow, stuck or gone.
 //
-// A pipe that nobody reads blocks its writer. This class waits once, for a
-// bounded time, until a full pipe is writable, and from then on drops whole
-// lines without waiting until the pipe is writable again.
+// A pipe that nobody reads blocks its writer. When a pipe is full, this class
+// waits for room once, for a bounded time. After that it drops whole lines
+// without waiting, for as long as the pipe stays full.
 #ifndef THORNPLANK_LOGGING_BOUNDED_OUTPUT_H_
 #define THORNPLANK_LOGGING_BOUNDED_OUTPUT_H_
 
@@ -19,9 +19,9 @@
 // thread.
 class BoundedOutput {
  public:
-  // `max_wait` bounds the wait for a full descriptor. After a line that could
-  // not be written, Write() does not wait until a line is written again.
-  // Does not own `descriptor`. The process must ignore SIGPIPE.
+  // `max_wait` bounds the wait for a full descriptor; while the descriptor stays
+  // full, further lines do not wait. Does not own `descriptor`. The process must
+  // ignore SIGPIPE.
   BoundedOutput(int descriptor, Milliseconds max_wait);
 
   // Writes `line`, which ends with a newline, or drops it as a whole. The rest
--- a/src/libs/logging/late_jobs.cc
+++ b/src/libs/logging/late_jobs.cc
@@ -6,7 +6,7 @@
 namespace thornplank {
 namespace {
 
-// A delay is significant from this fraction (1/10) of the job's objective on.
+// A delay is significant if it lasts at least 1/10 of the job's objective.
 constexpr int kSignificantDelayDivisor = 10;
 constexpr char kGangBroken[] = "gang-broken";
 constexpr char kRanLongerThanEstimated[] = "ran longer than estimated";
