--- a/src/libs/settings/entry_settings.cc
+++ b/src/libs/settings/entry_settings.cc
@@ -50,12 +50,11 @@
   reader.Text("account", Presence::kOptional, NameText(), &token->account);
   const bool is_caller = token->role == TokenRole::kCaller;
   if (is_caller && token->account.empty()) {
-    reader.AddProblem("account", "no account",
-                      "a client account for role caller");
+    reader.Report("account", "no account", "a client account for role caller");
   }
   if (!is_caller && !token->account.empty()) {
-    reader.AddProblem("account", '"' + token->account + '"',
-                      "no account for this role");
+    reader.Report("account", '"' + token->account + '"',
+                  "no account for this role");
   }
 }
 
@@ -67,12 +66,12 @@
     const std::string key = "tokens[" + std::to_string(i) + "].";
     const EntryTokenSettings& token = tokens[i];
     if (!token.name.empty() && !names.insert(token.name).second) {
-      reader.AddProblem(key + "name", '"' + token.name + "\" a second time",
-                        "each name once");
+      reader.Report(key + "name", '"' + token.name + "\" a second time",
+                    "each name once");
     }
     if (!token.token.empty() && !secrets.insert(token.token).second) {
-      reader.AddProblem(key + "token", "the token of another item",
-                        "each token once");
+      reader.Report(key + "token", "the token of another item",
+                    "each token once");
     }
   }
 }
@@ -91,7 +90,7 @@
   reader.Duration("idle_timeout_ms", Presence::kOptional, kTimeoutRange,
                   &limits->idle_timeout);
   if (limits->body_bytes > limits->buffered_bytes) {
-    reader.AddProblem(
+    reader.Report(
         "buffered_bytes", std::to_string(limits->buffered_bytes),
         "at least body_bytes (" + std::to_string(limits->body_bytes) + ")");
   }
@@ -112,9 +111,9 @@
   reader.Duration("renewal_interval_ms", Presence::kOptional, kIntervalRange,
                   &jobs->renewal_interval);
   if (jobs->renewal_interval > jobs->lease_term / 2) {
-    reader.AddProblem("renewal_interval_ms", CountText(jobs->renewal_interval),
-                      "at most half of lease_term_ms (" +
-                          CountText(jobs->lease_term / 2) + ")");
+    reader.Report("renewal_interval_ms", CountText(jobs->renewal_interval),
+                  "at most half of lease_term_ms (" +
+                      CountText(jobs->lease_term / 2) + ")");
   }
 }
 
@@ -127,14 +126,14 @@
   reader.Duration("dead_after_ms", Presence::kOptional, kHeartbeatTimeoutRange,
                   &membership->dead_after);
   if (membership->suspect_after <= membership->heartbeat_interval) {
-    reader.AddProblem("suspect_after_ms", CountText(membership->suspect_after),
-                      "more than heartbeat_interval_ms (" +
-                          CountText(membership->heartbeat_interval) + ")");
+    reader.Report("suspect_after_ms", CountText(membership->suspect_after),
+                  "more than heartbeat_interval_ms (" +
+                      CountText(membership->heartbeat_interval) + ")");
   }
   if (membership->dead_after <= membership->suspect_after) {
-    reader.AddProblem("dead_after_ms", CountText(membership->dead_after),
-                      "more than suspect_after_ms (" +
-                          CountText(membership->suspect_after) + ")");
+    reader.Report("dead_after_ms", CountText(membership->dead_after),
+                  "more than suspect_after_ms (" +
+                      CountText(membership->suspect_after) + ")");
   }
 }
 
@@ -155,8 +154,8 @@
       std::find(settings->peers.begin(), settings->peers.end(),
                 settings->listen_peers) != settings->peers.end();
   if (lists_itself) {
-    reader.AddProblem("peers", "its own listen_peers " + settings->listen_peers,
-                      "addresses of other entries");
+    reader.Report("peers", "its own listen_peers " + settings->listen_peers,
+                  "addresses of other entries");
   }
 }
 
--- a/src/libs/settings/settings_documents.cc
+++ b/src/libs/settings/settings_documents.cc
@@ -33,8 +33,8 @@
   std::set<std::string> services;
   for (const EventSlots& slots : event->services) {
     if (services.insert(slots.service).second) continue;
-    reader.AddProblem("services", '"' + slots.service + "\" a second time",
-                      "each service once");
+    reader.Report("services", '"' + slots.service + "\" a second time",
+                  "each service once");
   }
 }
 
--- a/src/libs/settings/settings_reader.cc
+++ b/src/libs/settings/settings_reader.cc
@@ -12,7 +12,8 @@
 namespace thornplank {
 namespace {
 
-constexpr size_t kMaxValueTextBytes = 60;
+// Longer JSON texts are truncated in problems.
+constexpr size_t kMaxTextBytes = 60;
 constexpr size_t kMaxNameBytes = 64;
 constexpr int kNumberDigits = 15;
 
@@ -22,16 +23,16 @@
     "min", "minutes", "bytes", "kb",   "mb",      "gb", "milliseconds",
     "h",   "hours"};
 
-std::string ValueText(const Json& value) {
+std::string AsText(const Json& value) {
   std::string text = value.dump(-1, ' ', false, Json::error_handler_t::replace);
-  if (text.size() > kMaxValueTextBytes) {
-    text = text.substr(0, kMaxValueTextBytes) + "...";
+  if (text.size() > kMaxTextBytes) {
+    text = text.substr(0, kMaxTextBytes) + "...";
   }
   return text;
 }
 
-std::string TypedValueText(const Json& value) {
-  return std::string(value.type_name()) + " " + ValueText(value);
+std::string WithType(const Json& value) {
+  return std::string(value.type_name()) + " " + AsText(value);
 }
 
 std::string NumberText(double value) {
@@ -116,8 +117,8 @@
   return key.empty() ? path_ : path_ + "." + key;
 }
 
-void SettingsReader::AddProblem(const std::string& key, std::string found,
-                                std::string allowed) {
+void SettingsReader::Report(const std::string& key, std::string found,
+                            std::string allowed) {
   problems_.push_back({PathOf(key), std::move(found), std::move(allowed)});
 }
 
@@ -134,8 +135,7 @@
                           bool* value) {
   const Json* json = Declare(key, presence);
   if (json == nullptr) return;
-  if (!json->is_boolean())
-    return AddProblem(key, TypedValueText(*json), "true or false");
+  if (!json->is_boolean()) return Report(key, WithType(*json), "true or false");
   *value = json->get<bool>();
 }
 
@@ -148,12 +148,10 @@
   if (range.max < std::numeric_limits<double>::max()) {
     allowed += " to " + NumberText(range.max);
   }
-  if (!json->is_number())
-    return AddProblem(key, TypedValueText(*json), allowed);
+  if (!json->is_number()) return Report(key, WithType(*json), allowed);
   const double read = json->get<double>();
   const bool too_small = range.above_min ? read <= range.min : read < range.min;
-  if (too_small || read > range.max)
-    return AddProblem(key, ValueText(*json), allowed);
+  if (too_small || read > range.max) return Report(key, AsText(*json), allowed);
   *value = read;
 }
 
@@ -167,7 +165,7 @@
     allowed += " to " + std::to_string(range.max);
   }
   if (!json->is_number_integer()) {
-    AddProblem(key, TypedValueText(*json), allowed);
+    Report(key, WithType(*json), allowed);
     return std::nullopt;
   }
   const bool too_large_for_type =
@@ -176,7 +174,7 @@
           static_cast<uint64_t>(std::numeric_limits<int64_t>::max());
   const int64_t read = too_large_for_type ? 0 : json->get<int64_t>();
   if (too_large_for_type || read < range.min || read > range.max) {
-    AddProblem(key, ValueText(*json), allowed);
+    Report(key, AsText(*json), allowed);
     return std::nullopt;
   }
   return read;
@@ -209,26 +207,23 @@
         std::find(names.begin(), names.end(), json->get<std::string>());
     if (it != names.end()) return it - names.begin();
   }
-  AddProblem(key, json->is_string() ? ValueText(*json) : TypedValueText(*json),
-             "one of " + Join(names, ", "));
+  Report(key, json->is_string() ? AsText(*json) : WithType(*json),
+         "one of " + Join(names, ", "));
   return std::nullopt;
 }
 
 bool SettingsReader::CheckText(const std::string& key, const Json& value,
                                const TextRule& rule) {
   if (!value.is_string()) {
-    AddProblem(
-        key,
-        rule.secret ? std::string(value.type_name()) : TypedValueText(value),
-        rule.allowed);
+    Report(key, rule.secret ? std::string(value.type_name()) : WithType(value),
+           rule.allowed);
     return false;
   }
   const std::string text = value.get<std::string>();
   if (rule.accepts(text)) return true;
-  AddProblem(
-      key,
-      rule.secret ? std::to_string(text.size()) + " bytes" : ValueText(value),
-      rule.allowed);
+  Report(key,
+         rule.secret ? std::to_string(text.size()) + " bytes" : AsText(value),
+         rule.allowed);
   return false;
 }
 
@@ -244,8 +239,7 @@
                               std::vector<std::string>* value) {
   const Json* json = Declare(key, presence);
   if (json == nullptr) return;
-  if (!json->is_array())
-    return AddProblem(key, TypedValueText(*json), "a list");
+  if (!json->is_array()) return Report(key, WithType(*json), "a list");
   std::vector<std::string> read;
   std::set<std::string> seen;
   for (size_t i = 0; i < json->size(); ++i) {
@@ -253,8 +247,8 @@
     if (!CheckText(item_key, (*json)[i], rule)) return;
     read.push_back((*json)[i].get<std::string>());
     if (seen.insert(read.back()).second) continue;
-    return AddProblem(item_key, ValueText((*json)[i]) + " a second time",
-                      "each value once");
+    return Report(item_key, AsText((*json)[i]) + " a second time",
+                  "each value once");
   }
   *value = std::move(read);
 }
@@ -277,11 +271,10 @@
   const Json* json = Declare(key, presence);
   if (present != nullptr) *present = json != nullptr;
   if (json == nullptr) return;
-  if (!json->is_array())
-    return AddProblem(key, TypedValueText(*json), "a list");
+  if (!json->is_array()) return Report(key, WithType(*json), "a list");
   if (json->size() < min_items) {
-    return AddProblem(key, std::to_string(json->size()) + " items",
-                      "at least " + std::to_string(min_items));
+    return Report(key, std::to_string(json->size()) + " items",
+                  "at least " + std::to_string(min_items));
   }
   for (size_t i = 0; i < json->size(); ++i) {
     SettingsReader item((*json)[i],
@@ -307,7 +300,7 @@
 std::vector<SettingsProblem> SettingsReader::Finish() {
   std::vector<SettingsProblem> all;
   if (!value_.is_object()) {
-    all.push_back({path_, TypedValueText(value_), "an object"});
+    all.push_back({path_, WithType(value_), "an object"});
     return all;
   }
   std::set<std::string> explained_keys;
--- a/src/libs/settings/settings_reader.h
+++ b/src/libs/settings/settings_reader.h
@@ -123,10 +123,9 @@
             const std::function<void(SettingsReader&)>& read,
             bool* present = nullptr);
 
-  // Adds a problem that the declarations do not detect, such as one between
+  // Reports a problem that the declarations do not detect, such as one between
   // several keys; an empty `key` stands for the whole value of this reader.
-  void AddProblem(const std::string& key, std::string found,
-                  std::string allowed);
+  void Report(const std::string& key, std::string found, std::string allowed);
 
   // Returns all problems, including keys that were not declared; to be called
   // after the last declaration. They come in the order in which an operator
@@ -142,7 +141,7 @@
                                    const std::vector<std::string>& names);
   // Declares `key`; returns its value, or nullptr if absent.
   const Json* Declare(const std::string& key, Presence presence);
-  // Returns whether the text at `key` satisfies `rule`; adds a problem if not.
+  // Whether the text at `key` satisfies `rule`; reports a problem if not.
   bool CheckText(const std::string& key, const Json& value,
                  const TextRule& rule);
   std::string PathOf(const std::string& key) const;
--- a/src/libs/settings/settings_tree.cc
+++ b/src/libs/settings/settings_tree.cc
@@ -265,7 +265,7 @@
   std::optional<NodeKind> kind;
   ReadNodeKeys(reader, &ignored, &kind);
   if (path.empty() && kind && *kind != NodeKind::kGroup) {
-    reader.AddProblem("kind", NodeKindName(*kind), "group at the root");
+    reader.Report("kind", NodeKindName(*kind), "group at the root");
   }
   for (const SettingsProblem& problem : reader.Finish()) {
     reasons->push_back(PathText(path) + ": " + problem.ToString());
