--- a/benchmarks/bench_jobs.cc
+++ b/benchmarks/bench_jobs.cc
@@ -1,8 +1,8 @@
-// Measures how long a job takes to start on real entries with stand-in workers:
-// by reclaim of a guarantee and as an urgent job while all accelerators are in
-// use, and as the first job after the coordinator was killed. A time ends with
-// the start of the last member, as the worker recorded it. It begins with the
-// submission, or with the kill. Prints one JSON object.
+// Measures how long jobs take to start on real entries with stand-in workers: a
+// guaranteed job that reclaims accelerators and an urgent job, both while all
+// accelerators are in use, and the first job after the coordinator was killed.
+// A time ends with the start of the last member, as the worker recorded it. It
+// begins with the submission, or with the kill. Prints one JSON object.
 #include <gflags/gflags.h>
 
 #include <algorithm>
--- a/benchmarks/burst_simulation.cc
+++ b/benchmarks/burst_simulation.cc
@@ -78,13 +78,15 @@
     int entry = 0;
     int account = 0;
     Time arrival;
+    // When an executor started the last attempt that was not refused.
     Time started;
+    // When the entry sent the last attempt.
     Time sent;
     int attempts = 0;
   };
 
   void ScheduleAt(Time time, std::function<void()> run) {
-    events_.push({time, ++next_event_order_, std::move(run)});
+    events_.push({time, ++last_event_order_, std::move(run)});
   }
 
   void Start() {
@@ -314,14 +316,19 @@
   const BurstOptions options_;
   std::mt19937_64 random_;
   std::priority_queue<Event> events_;
-  uint64_t next_event_order_ = 0;
+  uint64_t last_event_order_ = 0;
   Time now_;
   Time burst_begin_;
   Time burst_end_;
+  // By entry; empty for kRoundRobin.
   std::vector<std::unique_ptr<RequestRouter>> routers_;
+  // By name.
   std::unordered_map<std::string, int> executor_indices_;
+  // By request number; routers get the number as the request id.
   std::vector<SimulatedRequest> requests_;
+  // By executor.
   std::vector<int> busy_slots_;
+  // By entry, for kRoundRobin. The entries start at different executors.
   int next_executor_[kEntries] = {0, 6, 12, 18, 25, 31, 37, 43};
   BurstResults results_;
 };
--- a/tests/standins/executor_role.h
+++ b/tests/standins/executor_role.h
@@ -47,7 +47,7 @@
     Reply reply;
   };
   // Members of type int64_t, except oversize_bytes, hold the number of answers
-  // that the fault still affects.
+  // that the fault still affects; cross_next holds that of pairs of answers.
   struct Faults {
     Milliseconds extra_delay{0};
     int64_t cross_next = 0;
@@ -64,7 +64,7 @@
   void Refuse(const ExchangePtr& exchange, const std::string& reason);
   void StartRun(const ExchangePtr& exchange);
   void FinishRun(const ExchangePtr& exchange, int64_t run_number);
-  // Holds back every other answer and swaps its body with that of the next.
+  // Holds back every other answer and swaps it with the next one.
   void CrossAnswers(HeldAnswer answer);
   void Send(const ExchangePtr& exchange, Reply reply);
   Reply MakeAnswer(const ExchangePtr& exchange, int64_t run_number);
--- a/tests/standins/log_role.h
+++ b/tests/standins/log_role.h
@@ -23,7 +23,8 @@
   Milliseconds retention{0};
 };
 
-// Rate limiter whose bursts may reach the number of events of kBurstSeconds.
+// Rate limiter. A burst may have as many events as the rate admits in a quarter
+// of a second, and at least one.
 class TokenBucket {
  public:
   // A rate of 0 admits every event.
