--- a/tests/auto/instances/tst_instance_directory.cc
+++ b/tests/auto/instances/tst_instance_directory.cc
@@ -1,4 +1,5 @@
-// Lists, drains, and lists that arrive out of order.
+// Tests for InstanceDirectory: lists, drains, and lists that arrive out of
+// order.
 #include <doctest/doctest.h>
 
 #include "instances/instance_directory.h"
@@ -21,7 +22,7 @@
 
 TEST_CASE("instances are split by kind and sorted") {
   InstanceDirectory directory;
-  CHECK_FALSE(directory.seen());
+  CHECK_FALSE(directory.has_list());
   CHECK(directory.SetList(
       MakeList(1, {MakeInstance("x1", InstanceKind::kExecutor, false),
                    MakeInstance("w1", InstanceKind::kWorker, true)})));
