--- a/tests/standins/tst_standin.cc
+++ b/tests/standins/tst_standin.cc
@@ -229,7 +229,7 @@
   CHECK(history.back()["what"] == "dropped");
 }
 
-TEST_CASE("executor: each fault runs the request or not, as documented") {
+TEST_CASE("executor: each fault runs or refuses the request as documented") {
   struct Row {
     const char* name;
     Json fault;
