--- a/src/libs/logging/bounded_output.h
+++ b/src/libs/logging/bounded_output.h
@@ -19,9 +19,9 @@
 // thread.
 class BoundedOutput {
  public:
-  // `max_wait` bounds the wait for a full descriptor; while the descriptor stays
-  // full, further lines do not wait. Does not own `descriptor`. The process must
-  // ignore SIGPIPE.
+  // `max_wait` bounds the wait for a full descriptor; while the descriptor
+  // stays full, further lines do not wait. Does not own `descriptor`. The
+  // process must ignore SIGPIPE.
   BoundedOutput(int descriptor, Milliseconds max_wait);
 
   // Writes `line`, which ends with a newline, or drops it as a whole. The rest
