--- a/benchmarks/bench_jobs.cc
+++ b/benchmarks/bench_jobs.cc
@@ -58,7 +58,7 @@
   }
   int64_t last = 0;
   for (const LeaseEvent& event : jobs->History()) {
-    if (event.job_id != id || event.what != "started") continue;
+    if (event.job_id != id || event.type != "started") continue;
     last = std::max(last, event.time_ms);
   }
   return last;
@@ -85,7 +85,7 @@
 std::vector<int64_t> MeasureTakeovers(TestCluster* cluster, JobObserver* jobs) {
   std::vector<int64_t> times_ms;
   for (int i = 0; i < FLAGS_takeovers; ++i) {
-    const int former = jobs->AwaitOther(-1);
+    const int former = jobs->AwaitCoordinator(-1);
     if (former < 0) break;
     std::this_thread::sleep_for(kSettleTime);
     const int64_t begin_ms = NowMs();
--- a/tests/integration/support/job_observer.cc
+++ b/tests/integration/support/job_observer.cc
@@ -12,8 +12,8 @@
 constexpr int kAccepted = 202;
 constexpr Duration kTakeoverLimit = std::chrono::seconds(40);
 
-bool IsAnyOf(const std::string& what, const std::set<std::string>& words) {
-  return words.count(what) > 0;
+bool IsAnyOf(const std::string& type, const std::set<std::string>& words) {
+  return words.count(type) > 0;
 }
 
 // From the start of a member until its task ends or pauses.
@@ -41,8 +41,8 @@
   for (const LeaseEvent& event : history) {
     GangRun& gang = gangs[event.gang_id];
     gang.job = event.job_id;
-    if (event.what == "granted") gang.granted.insert(event.lease_id);
-    if (event.what == "started") {
+    if (event.type == "granted") gang.granted.insert(event.lease_id);
+    if (event.type == "started") {
       if (gang.members.empty()) {
         gang.granted_at_first_start = gang.granted.size();
       }
@@ -50,9 +50,9 @@
     }
     const auto member = gang.members.find(event.lease_id);
     if (member == gang.members.end() || member->second.end_ms) continue;
-    if (!IsAnyOf(event.what, kEnds)) continue;
+    if (!IsAnyOf(event.type, kEnds)) continue;
     member->second.end_ms = event.time_ms;
-    member->second.lost = IsAnyOf(event.what, kLosses);
+    member->second.lost = IsAnyOf(event.type, kLosses);
   }
   return gangs;
 }
@@ -138,7 +138,7 @@
   });
 }
 
-int JobObserver::AwaitOther(int former) {
+int JobObserver::AwaitCoordinator(int former) {
   int found = -1;
   TestCluster::Eventually(
       [&] {
@@ -173,23 +173,23 @@
                      if (left.time_ms != right.time_ms) {
                        return left.time_ms < right.time_ms;
                      }
-                     return left.what == "granted" && right.what != "granted";
+                     return left.type == "granted" && right.type != "granted";
                    });
   return all;
 }
 
-int JobObserver::Count(const std::string& job, const std::string& what) {
+int JobObserver::Count(const std::string& job, const std::string& type) {
   const std::vector<LeaseEvent> history = History();
   return static_cast<int>(std::count_if(
       history.begin(), history.end(), [&](const LeaseEvent& event) {
-        return event.job_id == job && event.what == what;
+        return event.job_id == job && event.type == type;
       }));
 }
 
 std::vector<int> JobObserver::WorkersOf(const std::string& job) {
   std::set<int> workers;
   for (const LeaseEvent& event : History()) {
-    if (event.job_id == job && event.what == "granted") {
+    if (event.job_id == job && event.type == "granted") {
       workers.insert(event.worker);
     }
   }
--- a/tests/integration/support/job_observer.h
+++ b/tests/integration/support/job_observer.h
@@ -24,7 +24,7 @@
   std::string gang_id;
   std::string job_id;
   // "granted", "started", ... as in tests/standins/README.md.
-  std::string what;
+  std::string type;
 };
 
 class JobObserver {
@@ -50,11 +50,11 @@
   void Avoid(int entry) { avoided_ = entry; }
   // Waits for an entry other than `former` that says it is the coordinator;
   // -1 when there is none.
-  int AwaitOther(int former);
+  int AwaitCoordinator(int former);
 
   // Of all workers, by time.
   std::vector<LeaseEvent> History();
-  int Count(const std::string& job, const std::string& what);
+  int Count(const std::string& job, const std::string& type);
   // Workers that granted something to the job, each once.
   std::vector<int> WorkersOf(const std::string& job);
   // Newest epoch that a worker has accepted.
--- a/tests/integration/tst_jobs_gangs.cc
+++ b/tests/integration/tst_jobs_gangs.cc
@@ -91,7 +91,7 @@
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "north", {{"kind", "account"}}));
   JobObserver jobs(&cluster, settings);
-  REQUIRE(jobs.AwaitOther(-1) >= 0);
+  REQUIRE(jobs.AwaitCoordinator(-1) >= 0);
   const std::string silent = cluster.worker_address(5);
   REQUIRE(cluster.Control(silent, {{"freeze", true}}));
   const std::string id =
@@ -145,7 +145,7 @@
   const Json job = JobObserver::MakeJob("north", 2, kWholeWorker, kShortRun);
   std::vector<std::string> ids = jobs.SubmitMany(0, job, 12);
   CHECK(jobs.AwaitPhases(ids, "finished"));
-  const int coordinator = jobs.AwaitOther(-1);
+  const int coordinator = jobs.AwaitCoordinator(-1);
   REQUIRE(coordinator >= 0);
   CHECK(cluster.Events(coordinator, kWorkerJudgedEvent).size() == 1);
 
@@ -248,7 +248,7 @@
   CHECK(cancelled > 0);
   for (const LeaseEvent& event : jobs.History()) {
     const auto at = std::find(ids.begin(), ids.end(), event.job_id);
-    if (at == ids.end() || event.what != "started") continue;
+    if (at == ids.end() || event.type != "started") continue;
     const int64_t cancelled_ms = answered[at - ids.begin()];
     CHECK((cancelled_ms == 0 || event.time_ms <= cancelled_ms));
   }
--- a/tests/integration/tst_jobs_guarantees.cc
+++ b/tests/integration/tst_jobs_guarantees.cc
@@ -191,7 +191,7 @@
     }
   }
   for (const LeaseEvent& event : jobs.History()) {
-    CHECK(event.what != "lapsed");
+    CHECK(event.type != "lapsed");
     CHECK(event.job_id.rfind("refused-", 0) != 0);
   }
   // What did not have to give way to urgent jobs was never touched.
@@ -238,7 +238,7 @@
   // Nothing ran under another id either.
   int started = 0;
   for (const LeaseEvent& event : jobs.History()) {
-    if (event.what == "started") ++started;
+    if (event.type == "started") ++started;
   }
   CHECK(started == 2 * static_cast<int>(ids.size()));
   CHECK(jobs.CheckGangs(kSurvivorBound) == "");
@@ -267,7 +267,7 @@
                     {"starts_at_ms", start_ms + 600000},
                     {"shapes", Json::array({RackShape(4)})}});
   REQUIRE(impossible.has_value());
-  const int coordinator = jobs.AwaitOther(-1);
+  const int coordinator = jobs.AwaitCoordinator(-1);
   REQUIRE(coordinator >= 0);
   CHECK((impossible->status == 400 || TestCluster::Eventually([&] {
            return !cluster.Events(coordinator, kShortfallEvent).empty();
@@ -283,7 +283,7 @@
   for (const LeaseEvent& event : jobs.History()) {
     const bool borrower = std::find(borrowers.begin(), borrowers.end(),
                                     event.job_id) != borrowers.end();
-    if (!borrower || event.what != "checkpointing") continue;
+    if (!borrower || event.type != "checkpointing") continue;
     CHECK(event.time_ms < start_ms);
     ++moved;
   }
--- a/tests/integration/tst_jobs_takeover.cc
+++ b/tests/integration/tst_jobs_takeover.cc
@@ -33,7 +33,7 @@
                              int members) {
   std::map<std::string, std::vector<std::string>> leases;
   for (const LeaseEvent& event : jobs->History()) {
-    if (event.job_id == id) leases[event.lease_id].push_back(event.what);
+    if (event.job_id == id) leases[event.lease_id].push_back(event.type);
   }
   CHECK(leases.size() == static_cast<size_t>(members));
   for (const auto& lease : leases) {
@@ -57,7 +57,7 @@
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "north", {{"kind", "account"}}));
   JobObserver jobs(&cluster, settings);
-  const int coordinator = jobs.AwaitOther(-1);
+  const int coordinator = jobs.AwaitCoordinator(-1);
   REQUIRE(coordinator >= 0);
   const int taker = (coordinator + 1) % settings.entries;
 
@@ -70,7 +70,7 @@
   cluster.entry(taker).Kill();
   cluster.entry(coordinator).Kill();
 
-  const int successor = jobs.AwaitOther(coordinator);
+  const int successor = jobs.AwaitCoordinator(coordinator);
   REQUIRE(successor >= 0);
   CHECK(jobs.AwaitPhase(running, "finished"));
   CHECK(jobs.AwaitPhase(waiting, "finished"));
@@ -85,7 +85,7 @@
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "north", {{"kind", "account"}}));
   JobObserver jobs(&cluster, settings);
-  const int former = jobs.AwaitOther(-1);
+  const int former = jobs.AwaitCoordinator(-1);
   REQUIRE(former >= 0);
 
   // The running gang ends while the former coordinator is paused, so that it
@@ -99,7 +99,7 @@
   const int64_t old_epoch = jobs.NewestEpoch(0);
   cluster.entry(former).Freeze();
   jobs.Avoid(former);
-  const int successor = jobs.AwaitOther(former);
+  const int successor = jobs.AwaitCoordinator(former);
   REQUIRE(successor >= 0);
   for (int worker = 0; worker < kWorkers; ++worker) {
     CAPTURE(worker);
@@ -135,7 +135,7 @@
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "north", {{"kind", "account"}}));
   JobObserver jobs(&cluster, settings);
-  REQUIRE(jobs.AwaitOther(-1) >= 0);
+  REQUIRE(jobs.AwaitCoordinator(-1) >= 0);
   const std::string running =
       jobs.Submit(0, JobObserver::MakeJob("north", 4, kWholeWorker, kLongRun));
   REQUIRE(jobs.AwaitPhase(running, "running"));
