--- a/tests/integration/support/bad_input_cases.cc
+++ b/tests/integration/support/bad_input_cases.cc
@@ -1,4 +1,4 @@
-// The table of bad input.
+// Tables of invalid requests with the expected answers.
 #include "bad_input_cases.h"
 
 namespace thornplank {
@@ -7,15 +7,15 @@
 constexpr char kRequests[] = "/v1/services/claims/requests";
 
 std::string PostJob(const std::string& members) {
-  return WholeRequest("POST", "/v1/jobs", kNorthToken, "", "{" + members + "}");
+  return RawRequest("POST", "/v1/jobs", kNorthToken, "", "{" + members + "}");
 }
 
 std::string PutSettings(const std::string& path, const std::string& body) {
-  return WholeRequest("PUT", "/v1/settings/" + path, kOperatorToken, "", body);
+  return RawRequest("PUT", "/v1/settings/" + path, kOperatorToken, "", body);
 }
 
 std::string PutEvent(const std::string& name, const std::string& body) {
-  return WholeRequest("PUT", "/v1/events/" + name, kOperatorToken, "", body);
+  return RawRequest("PUT", "/v1/events/" + name, kOperatorToken, "", body);
 }
 
 std::string Repeat(const std::string& text, int times) {
@@ -24,21 +24,21 @@
   return all;
 }
 
-std::string ManyKeys(int count) {
+std::string ObjectWithUnknownKeys(int count) {
   std::string body = "{\"kind\":\"account\"";
   for (int i = 0; i < count; ++i) body += ",\"k" + std::to_string(i) + "\":1";
   return body + "}";
 }
 
-std::string Nested(int levels) {
+std::string NestedArrays(int levels) {
   return Repeat("[", levels) + Repeat("]", levels);
 }
 
 }  // namespace
 
-std::string WholeRequest(const std::string& method, const std::string& target,
-                         const std::string& token, const std::string& fields,
-                         const std::string& body) {
+std::string RawRequest(const std::string& method, const std::string& target,
+                       const std::string& token, const std::string& fields,
+                       const std::string& body) {
   std::string text = method + " " + target + " HTTP/1.1\r\nHost: a\r\n";
   if (!token.empty()) text += "Authorization: Bearer " + token + "\r\n";
   return text + fields + "Content-Length: " + std::to_string(body.size()) +
@@ -46,7 +46,7 @@
 }
 
 std::string ServiceRequest(const std::string& fields) {
-  return WholeRequest("POST", kRequests, kNorthToken, fields, "{}");
+  return RawRequest("POST", kRequests, kNorthToken, fields, "{}");
 }
 
 std::vector<BadCase> MalformedHttp() {
@@ -130,32 +130,31 @@
                       "Thornplank-Deadline-Ms: 1\r\n"),
        400, "Repeated header"},
       {"unknown account",
-       WholeRequest("POST", kRequests, kOperatorToken,
-                    "Thornplank-Account: nobody\r\n", "{}"),
+       RawRequest("POST", kRequests, kOperatorToken,
+                  "Thornplank-Account: nobody\r\n", "{}"),
        403, "Unknown account"},
       {"unknown service",
-       WholeRequest("POST", "/v1/services/none/requests", kNorthToken, "",
-                    "{}"),
+       RawRequest("POST", "/v1/services/none/requests", kNorthToken, "", "{}"),
        404, "Unknown service"},
       {"service of bytes",
-       WholeRequest("POST", "/v1/services/\xff\xfe/requests", kNorthToken, "",
-                    "{}"),
+       RawRequest("POST", "/v1/services/\xff\xfe/requests", kNorthToken, "",
+                  "{}"),
        404, "Unknown service"},
-      {"no token", WholeRequest("POST", kRequests, "", "", "{}"), 401,
+      {"no token", RawRequest("POST", kRequests, "", "", "{}"), 401,
        "token missing or unknown"},
-      {"wrong token", WholeRequest("POST", kRequests, "north-secreT", "", "{}"),
+      {"wrong token", RawRequest("POST", kRequests, "north-secreT", "", "{}"),
        401, "token missing or unknown"},
-      {"viewer sends", WholeRequest("POST", kRequests, kViewerToken, "", "{}"),
+      {"viewer sends", RawRequest("POST", kRequests, kViewerToken, "", "{}"),
        403, "Not allowed"},
-      {"unknown method", WholeRequest("BREW", kRequests, kNorthToken, "", "{}"),
+      {"unknown method", RawRequest("BREW", kRequests, kNorthToken, "", "{}"),
        405, "method not allowed"},
-      {"unknown path", WholeRequest("GET", "/v2/nothing", kNorthToken, "", ""),
+      {"unknown path", RawRequest("GET", "/v2/nothing", kNorthToken, "", ""),
        404, "no such path"},
   };
 }
 
 std::vector<BadCase> BadJobs(const std::string& job_of_south) {
-  const std::string of_south = "/v1/jobs/" + job_of_south;
+  const std::string south_job_path = "/v1/jobs/" + job_of_south;
   std::vector<BadCase> cases;
   for (const std::string members :
        {R"("members":-3)", R"("members":1000000000)", R"("members":2.5)",
@@ -170,12 +169,14 @@
   for (const int levels : {60, 10'000, 200'000}) {
     const std::string name = std::to_string(levels) + " levels";
     cases.push_back({name + " of a task",
-                     PostJob("\"task\":{\"a\":" + Nested(levels) + "}"), 400,
-                     "Bad request"});
-    // A quote inside a comment must not hide what nests behind it.
-    cases.push_back({name + " behind a comment",
-                     PostJob("/*\"*/\"task\":{\"a\":" + Nested(levels) + "}"),
+                     PostJob("\"task\":{\"a\":" + NestedArrays(levels) + "}"),
                      400, "Bad request"});
+    // A quote inside a JSON comment must not hide the nesting after it from
+    // the depth check.
+    cases.push_back(
+        {name + " behind a comment",
+         PostJob("/*\"*/\"task\":{\"a\":" + NestedArrays(levels) + "}"), 400,
+         "Bad request"});
   }
   cases.insert(
       cases.end(),
@@ -188,27 +189,28 @@
        {"wide task",
         PostJob("\"task\":{\"a\":[0" + Repeat(",[]", 300'000) + "]}"), 400,
         "Bad request"},
-       {"list", WholeRequest("POST", "/v1/jobs", kNorthToken, "", "[]"), 400,
+       {"list", RawRequest("POST", "/v1/jobs", kNorthToken, "", "[]"), 400,
         "Bad request"},
-       {"empty", WholeRequest("POST", "/v1/jobs", kNorthToken, "", ""), 400,
+       {"empty", RawRequest("POST", "/v1/jobs", kNorthToken, "", ""), 400,
         "Bad request"},
        {"account of another", PostJob(R"("account":"south")"), 403,
         "Forbidden"},
        {"unknown account",
-        WholeRequest("POST", "/v1/jobs", kOperatorToken, "",
-                     R"({"account":"nobody"})"),
+        RawRequest("POST", "/v1/jobs", kOperatorToken, "",
+                   R"({"account":"nobody"})"),
         422, "Can never run"},
        {"job of another read",
-        WholeRequest("GET", of_south, kNorthToken, "", ""), 404, "No such job"},
+        RawRequest("GET", south_job_path, kNorthToken, "", ""), 404,
+        "No such job"},
        {"job of another cancelled",
-        WholeRequest("DELETE", of_south, kNorthToken, "", ""), 404,
+        RawRequest("DELETE", south_job_path, kNorthToken, "", ""), 404,
         "No such job"},
        {"list of another",
-        WholeRequest("GET", "/v1/jobs?account=south", kNorthToken, "", ""), 403,
+        RawRequest("GET", "/v1/jobs?account=south", kNorthToken, "", ""), 403,
         "Forbidden"},
        {"viewer submits",
-        WholeRequest("POST", "/v1/jobs", kViewerToken, "",
-                     R"({"account":"north"})"),
+        RawRequest("POST", "/v1/jobs", kViewerToken, "",
+                   R"({"account":"north"})"),
         403, "Forbidden"}});
   return cases;
 }
@@ -224,7 +226,7 @@
         "{", "", R"({"kind":"account","weight":NaN})", "{\"kind\":\"\xff\"}"}) {
     cases.push_back({"node " + body, PutSettings("fresh", body), 400, refused});
   }
-  const std::string deep = "{\"kind\":" + Nested(200'000) + "}";
+  const std::string deep = "{\"kind\":" + NestedArrays(200'000) + "}";
   const std::string account = R"({"kind":"account"})";
   cases.insert(
       cases.end(),
@@ -233,8 +235,8 @@
        {"long unknown key",
         PutSettings("fresh", "{\"" + std::string(100'000, 'k') + "\":1}"), 400,
         refused},
-       {"many unknown keys", PutSettings("fresh", ManyKeys(5000)), 400,
-        refused},
+       {"many unknown keys", PutSettings("fresh", ObjectWithUnknownKeys(5000)),
+        400, refused},
        {"path with ..", PutSettings("../up", account), 400, refused},
        {"path with %00", PutSettings("a%00b", account), 400, refused},
        {"path of bytes", PutSettings("\xff\xfe", account), 400, refused},
@@ -245,21 +247,21 @@
        {"no If-Match", PutSettings("north", account), 428,
         "precondition required"},
        {"bad If-Match",
-        WholeRequest("PUT", "/v1/settings/north", kOperatorToken,
-                     "If-Match: x\r\n", account),
+        RawRequest("PUT", "/v1/settings/north", kOperatorToken,
+                   "If-Match: x\r\n", account),
         400, "malformed If-Match"},
        {"stale If-Match",
-        WholeRequest("PUT", "/v1/settings/north", kOperatorToken,
-                     "If-Match: \"0\"\r\n", account),
+        RawRequest("PUT", "/v1/settings/north", kOperatorToken,
+                   "If-Match: \"0\"\r\n", account),
         412, "changed by someone else"},
        {"caller writes",
-        WholeRequest("PUT", "/v1/settings/north", kNorthToken, "", account),
-        403, "role not sufficient"},
+        RawRequest("PUT", "/v1/settings/north", kNorthToken, "", account), 403,
+        "role not sufficient"},
        {"caller reads another",
-        WholeRequest("GET", "/v1/settings/south", kNorthToken, "", ""), 403,
+        RawRequest("GET", "/v1/settings/south", kNorthToken, "", ""), 403,
         "another client account"},
        {"account of another type",
-        WholeRequest("PUT", "/v1/accounts/fresh", kOperatorToken, "", "7"), 400,
+        RawRequest("PUT", "/v1/accounts/fresh", kOperatorToken, "", "7"), 400,
         refused},
        {"event with a negative time",
         PutEvent("e", R"({"account":"north","starts_at_ms":-1,"shapes":[]})"),
@@ -269,10 +271,10 @@
         400, refused},
        {"event of bytes", PutEvent("\xff", "{}"), 400, refused},
        {"drain of bytes",
-        WholeRequest("POST", "/v1/drains/\xff", kOperatorToken, "", ""), 400,
+        RawRequest("POST", "/v1/drains/\xff", kOperatorToken, "", ""), 400,
         refused},
        {"node of bytes read",
-        WholeRequest("GET", "/v1/settings/\xff", kOperatorToken, "", ""), 404,
+        RawRequest("GET", "/v1/settings/\xff", kOperatorToken, "", ""), 404,
         "not in the settings"}});
   return cases;
 }
--- a/tests/integration/support/child_process.cc
+++ b/tests/integration/support/child_process.cc
@@ -1,4 +1,4 @@
-// Boost.Process behind a small interface.
+// Implementation with Boost.Process.
 #include "child_process.h"
 
 #include <csignal>
@@ -13,9 +13,10 @@
 
 namespace {
 
-// Boost.Process writes over an existing file from its beginning.
-const std::string& Emptied(const std::string& path) {
-  std::ofstream emptied(path, std::ios::trunc);
+// Boost.Process overwrites an existing file without truncating it, so that the
+// end of longer old output would remain.
+const std::string& TruncateFile(const std::string& path) {
+  std::ofstream file(path, std::ios::trunc);
   return path;
 }
 
@@ -35,7 +36,7 @@
 ChildProcess::ChildProcess(const std::string& program,
                            const std::vector<std::string>& arguments,
                            const std::string& output)
-    : impl_(std::make_unique<Impl>(program, arguments, Emptied(output))) {}
+    : impl_(std::make_unique<Impl>(program, arguments, TruncateFile(output))) {}
 
 ChildProcess::~ChildProcess() { Kill(); }
 
@@ -55,8 +56,8 @@
   impl_->child.wait(error);
 }
 
-void ChildProcess::Freeze() { Signal(SIGSTOP); }
-void ChildProcess::Thaw() { Signal(SIGCONT); }
+void ChildProcess::Suspend() { Signal(SIGSTOP); }
+void ChildProcess::Resume() { Signal(SIGCONT); }
 
 std::optional<int> ChildProcess::Wait(Duration limit) {
   const Time end = std::chrono::steady_clock::now() + limit;
--- a/tests/integration/support/child_process.h
+++ b/tests/integration/support/child_process.h
@@ -1,4 +1,4 @@
-// A program started by a test, stopped at the latest by the destructor.
+// A program that a test starts; the destructor kills it if it is still running.
 #ifndef THORNPLANK_TESTS_INTEGRATION_SUPPORT_CHILD_PROCESS_H_
 #define THORNPLANK_TESTS_INTEGRATION_SUPPORT_CHILD_PROCESS_H_
 
@@ -13,11 +13,11 @@
 
 class ChildProcess {
  public:
-  // Output of both kinds goes to the file `output`.
+  // Standard output and standard error are written to the file `output`.
   ChildProcess(const std::string& program,
                const std::vector<std::string>& arguments,
                const std::string& output);
-  // Kills the process when it still runs.
+  // Kills the process if it is still running.
   ~ChildProcess();
 
   ChildProcess(const ChildProcess&) = delete;
@@ -25,12 +25,12 @@
 
   bool running();
   void Signal(int signal);
-  // SIGKILL, and waits.
+  // Sends SIGKILL and waits for the process to end.
   void Kill();
-  // SIGSTOP and SIGCONT.
-  void Freeze();
-  void Thaw();
-  // The exit code; nullopt when it still runs after `limit`.
+  // Suspends the process with SIGSTOP, and resumes it with SIGCONT.
+  void Suspend();
+  void Resume();
+  // The exit code; nullopt if the process is still running after `limit`.
   std::optional<int> Wait(Duration limit);
   int id() const;
 
--- a/tests/integration/support/hosted_cluster.cc
+++ b/tests/integration/support/hosted_cluster.cc
@@ -1,4 +1,5 @@
-// Processes, settings and calls of a hosted cluster.
+// Starts the processes of a hosted cluster, writes their settings, and calls
+// them.
 #include "hosted_cluster.h"
 
 #include <unistd.h>
@@ -32,7 +33,7 @@
          std::to_string((id >> 7) & 127) + "." + std::to_string((id & 127) + 1);
 }
 
-Json JobBody(const TestJob& job, bool advised) {
+Json JobBody(const TestJob& job, bool requires_advice) {
   Json steps = Json::array();
   for (const TestStep& step : job.steps) {
     steps.push_back({{"count", step.count},
@@ -43,11 +44,12 @@
                      {"gang", step.gang},
                      {"same_rack", step.same_rack},
                      {"long_running", step.long_running},
-                     {"fills", step.fills},
-                     {"target_ms", step.tail_target_ms},
+                     {"fills", step.is_filler},
+                     {"target_ms", step.tail_latency_target_ms},
                      {"depends_on", step.depends_on}});
   }
-  // The stand-in reads from the payload what the tasks do and take.
+  // The executor stand-in reads the behaviour and the resource demands of the
+  // tasks from the payload.
   Json needs = Json::array();
   for (const TestStep& step : job.steps) {
     needs.push_back(
@@ -56,9 +58,9 @@
   Json payload = {{"work_ms", job.work_ms},
                   {"fail", job.fails},
                   {"needs", needs},
-                  {"tail_ms", job.tail_ms},
-                  {"disturbs_ms", job.disturbs_ms},
-                  {"advised", advised}};
+                  {"tail_ms", job.tail_latency_ms},
+                  {"disturbs_ms", job.interference_ms},
+                  {"advised", requires_advice}};
   if (job.crashes()) payload["crash_after_ms"] = job.crash_after_ms;
   if (job.crash_task >= 0) payload["crash_task"] = job.crash_task;
   return {{"spec", payload.dump()}, {"steps", std::move(steps)}};
@@ -69,7 +71,7 @@
 HostedCluster::HostedCluster(HostedClusterSettings settings)
     : settings_(settings), ip_(LoopbackAddress()) {
   entries_.resize(static_cast<size_t>(settings_.entries));
-  starts_.resize(static_cast<size_t>(settings_.entries));
+  start_counts_.resize(static_cast<size_t>(settings_.entries));
 }
 
 HostedCluster::~HostedCluster() {
@@ -88,11 +90,11 @@
   return *client;
 }
 
-std::string HostedCluster::PrefixOf(int priority) {
+std::string HostedCluster::QueuePrefix(int priority) {
   return "/queue" + std::to_string(priority) + "/";
 }
 
-std::string HostedCluster::Key() { return kAccountKey; }
+std::string HostedCluster::AccountKey() { return kAccountKey; }
 
 bool HostedCluster::Eventually(const std::function<bool()>& condition,
                                Duration limit) {
@@ -130,17 +132,17 @@
   entries_[index].reset();
   entries_[index] = std::make_unique<ChildProcess>(
       THORNPLANK_HOSTED, std::vector<std::string>{"--settings", name + ".json"},
-      NextLog(entry));
-  ++starts_[index];
+      NextLogPath(entry));
+  ++start_counts_[index];
 }
 
-std::string HostedCluster::NextLog(int entry) const {
-  return LogOf(entry, starts_[static_cast<size_t>(entry)]);
+std::string HostedCluster::NextLogPath(int entry) const {
+  return LogPath(entry, start_counts_[static_cast<size_t>(entry)]);
 }
 
-std::string HostedCluster::LogOf(int entry, int life) const {
+std::string HostedCluster::LogPath(int entry, int incarnation) const {
   return folder() + "/entry" + std::to_string(entry) + "-" +
-         std::to_string(life) + ".log";
+         std::to_string(incarnation) + ".log";
 }
 
 bool HostedCluster::WaitReady(int entry, Duration limit) {
@@ -154,10 +156,10 @@
       limit);
 }
 
-bool HostedCluster::PublishConfiguration(bool keyed) {
+bool HostedCluster::PublishConfiguration(bool with_account_key) {
   version_ += 3;
   Json keys = Json::array({"another-key"});
-  if (keyed) keys.push_back(kAccountKey);
+  if (with_account_key) keys.push_back(kAccountKey);
   const Json configuration = {
       {"version", version_},
       {"routes", {Route(0), Route(1), Route(2)}},
@@ -184,20 +186,20 @@
 
 int HostedCluster::Submit(int entry, const TestJob& job) {
   const auto response =
-      Call(entry, "POST", PrefixOf(job.priority) + job.id,
-           JobBody(job, settings_.advised).dump(), kAccountKey);
+      Call(entry, "POST", QueuePrefix(job.priority) + job.id,
+           JobBody(job, settings_.requires_advice).dump(), kAccountKey);
   return response ? response->status : 0;
 }
 
 int HostedCluster::Cancel(int entry, const TestJob& job) {
-  const auto response =
-      Call(entry, "DELETE", PrefixOf(job.priority) + job.id, "", kAccountKey);
+  const auto response = Call(
+      entry, "DELETE", QueuePrefix(job.priority) + job.id, "", kAccountKey);
   return response ? response->status : 0;
 }
 
 std::string HostedCluster::State(int entry, const TestJob& job) {
   const auto response =
-      Call(entry, "GET", PrefixOf(job.priority) + job.id, "", kAccountKey);
+      Call(entry, "GET", QueuePrefix(job.priority) + job.id, "", kAccountKey);
   if (!response) return "";
   if (response->status == 410) return "gone";
   if (response->status != 200) return "";
@@ -266,8 +268,8 @@
 
 std::vector<Json> HostedCluster::Events(int entry, int number) const {
   std::vector<Json> events;
-  for (int i = 0; i < starts_[static_cast<size_t>(entry)]; ++i) {
-    std::ifstream file(LogOf(entry, i));
+  for (int i = 0; i < start_counts_[static_cast<size_t>(entry)]; ++i) {
+    std::ifstream file(LogPath(entry, i));
     std::string line;
     while (std::getline(file, line)) {
       auto event = ParseJson(line);
@@ -298,7 +300,7 @@
 Json HostedCluster::Route(int priority) const {
   Json route = {{"name", "queue-" + std::to_string(priority)},
                 {"host", ip_},
-                {"prefix", PrefixOf(priority)},
+                {"prefix", QueuePrefix(priority)},
                 {"kind", "non_idempotent"},
                 {"timeout_ms", 3000},
                 {"slo_ms", 1000},
@@ -307,7 +309,7 @@
                 {"attempts", 2},
                 {"stretch", 3.0},
                 {"public", false}};
-  if (settings_.advised) {
+  if (settings_.requires_advice) {
     route["advice"] = {{"decide_ms", 20}, {"each_ms", 1}, {"valid_ms", 3000}};
   }
   return route;
--- a/tests/integration/support/hosted_cluster.h
+++ b/tests/integration/support/hosted_cluster.h
@@ -1,5 +1,6 @@
-// Hosted entries as real processes, with stand-ins for the users' store and
-// executors, and a proxy between each entry and the store.
+// Runs hosted entries as real processes, with stand-ins for the users' store,
+// advisor and executors, and a fault-injecting proxy between each entry and the
+// store.
 #ifndef THORNPLANK_TESTS_INTEGRATION_SUPPORT_HOSTED_CLUSTER_H_
 #define THORNPLANK_TESTS_INTEGRATION_SUPPORT_HOSTED_CLUSTER_H_
 
@@ -27,13 +28,13 @@
   int executors = 6;
   int executors_per_rack = 3;
   int accelerators = 8;
-  // Steps of all queues need the advisor's word.
-  bool advised = false;
-  // How long a caller waits for an answer.
+  // Steps in all queues need the advisor's approval of their placement.
+  bool requires_advice = false;
+  // Time-out of a caller's request.
   Milliseconds caller_timeout{4000};
 };
 
-// One step of a job as tests submit it.
+// One step of a TestJob.
 struct TestStep {
   int count = 1;
   int cpu_millis = 1000;
@@ -42,12 +43,12 @@
   bool gang = false;
   bool same_rack = false;
   std::vector<int> depends_on;
-  // Runs until its job is cancelled.
+  // Its tasks run until the job is cancelled.
   bool long_running = false;
-  // Its cores are not reserved, and it may be slowed.
-  bool fills = false;
-  // Of a serving task; 0 for any other.
-  int tail_target_ms = 0;
+  // Its cores are not reserved, and its tasks may be throttled.
+  bool is_filler = false;
+  // For serving tasks; 0 for all others.
+  int tail_latency_target_ms = 0;
 };
 
 struct TestJob {
@@ -56,15 +57,18 @@
   std::vector<TestStep> steps = {TestStep()};
   int work_ms = 200;
   bool fails = false;
-  // Each executor that starts one of its tasks crashes so much later; -1: none
-  // does.
+  // Time from the start of a task to the crash of its executor; -1 if the tasks
+  // crash no executor.
   int crash_after_ms = -1;
-  // The one task of each step that does so; -1: all do.
+  // Index of the only task of each step that crashes its executor; -1 if all
+  // tasks do.
   int crash_task = -1;
-  // What the tasks do to tails, as the stand-in has it.
-  int tail_ms = 0;
-  int disturbs_ms = 0;
-  // Of which queue; 0 is the urgent one.
+  // Tail latency that the executor stand-in reports for the tasks without
+  // interference.
+  int tail_latency_ms = 0;
+  // What each task adds to the tail latency of other tasks at full speed.
+  int interference_ms = 0;
+  // Number of the queue; 0 is the urgent one.
   int priority = 1;
 
   bool crashes() const { return crash_after_ms >= 0; }
@@ -76,7 +80,7 @@
   ~HostedCluster();
 
   // Starts the stand-ins, publishes a configuration and starts every entry;
-  // false when they are not ready within a generous limit.
+  // false if one of them is not ready in time.
   bool Start();
   void StartEntry(int entry);
   ChildProcess& entry(int entry) {
@@ -84,42 +88,46 @@
   }
   bool WaitReady(int entry, Duration limit = std::chrono::seconds(20));
 
-  // Publishes the next version; without `keyed`, the key of callers is gone.
-  bool PublishConfiguration(bool keyed = true);
+  // Publishes the next version of the configuration. It contains AccountKey()
+  // only if `with_account_key` is true.
+  bool PublishConfiguration(bool with_account_key = true);
 
-  // The status of the answer, 0 without one.
+  // The HTTP status; 0 without an answer.
   int Submit(int entry, const TestJob& job);
   int Cancel(int entry, const TestJob& job);
-  // The state, or "gone", or "" without a usable answer.
+  // The state of the job; "gone" if the entry does not know the job; empty
+  // without a usable answer.
   std::string State(int entry, const TestJob& job);
-  // One call as the callers make it.
+  // Sends one request with `key` as API key, or without one if it is empty.
   std::optional<HttpResponse> Call(int entry, const std::string& method,
                                    const std::string& target,
                                    const std::string& body,
                                    const std::string& key);
   std::string Metrics(int entry);
 
-  // Faults of the stand-ins; false when they were not taken.
+  // Set faults of a stand-in; false if it did not accept them.
   bool ControlStore(const Json& faults);
   bool ControlExecutor(int executor, const Json& faults);
   bool ControlAdvisor(const Json& faults);
   bool ControlStoreProxy(int entry, const Json& faults);
 
-  // Every run that the executors have seen.
+  // All runs that the executors recorded.
   std::vector<Json> Runs();
-  // Executors that were given more than they have room for.
+  // One line for each time that an executor was given more work than its
+  // capacity.
   std::vector<std::string> CapacityViolations();
-  // Where the entry's next life will write its log.
-  std::string NextLog(int entry) const;
-  // Log lines of one event number, of all lives of the entry.
+  // The log file of the entry's next incarnation.
+  std::string NextLogPath(int entry) const;
+  // Log lines with this event number, of all incarnations of the entry.
   std::vector<Json> Events(int entry, int number) const;
-  // The entry that said last that it leads, and runs; -1 for none.
+  // The running entry that logged the highest leadership epoch; -1 if there is
+  // none.
   int Leader();
 
   const HostedClusterSettings& settings() const { return settings_; }
   const std::string& folder() const { return folder_.path(); }
-  static std::string PrefixOf(int priority);
-  static std::string Key();
+  static std::string QueuePrefix(int priority);
+  static std::string AccountKey();
 
   static bool Eventually(const std::function<bool()>& condition,
                          Duration limit = std::chrono::seconds(20));
@@ -128,10 +136,10 @@
   Json StandinConfig() const;
   Json Route(int priority) const;
   Json EntryConfig(int entry) const;
-  std::string LogOf(int entry, int life) const;
+  std::string LogPath(int entry, int incarnation) const;
   std::string Address(int port) const;
-  // A client of the calling thread's own, so that threads don't wait for each
-  // other.
+  // The client of the calling thread. Each thread has its own, so that threads
+  // do not wait for each other.
   ApiClient& api();
   bool Control(const std::string& address, const Json& faults);
   Json ControlState(const std::string& address);
@@ -139,16 +147,16 @@
   const HostedClusterSettings settings_;
   // Loopback address of this test process.
   const std::string ip_;
-  // Temporary folder for settings and logs; removed at the end.
+  // Holds settings and logs.
   RunFolder folder_{"hosted"};
   int version_ = 0;
   std::mutex api_mutex_;
-  // Under api_mutex_.
+  // Guarded by api_mutex_.
   std::map<std::thread::id, std::unique_ptr<ApiClient>> apis_;
   std::unique_ptr<ChildProcess> standins_;
   std::vector<std::unique_ptr<ChildProcess>> entries_;
-  // Starts of each entry, for the names of their logs.
-  std::vector<int> starts_;
+  // Number of starts of each entry; part of the names of its logs.
+  std::vector<int> start_counts_;
 };
 
 }  // namespace thornplank
--- a/tests/integration/support/hosted_scenario.cc
+++ b/tests/integration/support/hosted_scenario.cc
@@ -1,4 +1,4 @@
-// Jobs by way of any entry, checked by what the executors have seen.
+// Submits jobs to all entries in turn, and checks the executors' records.
 #include "hosted_scenario.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
       .count();
 }
 
-bool IsFinal(const std::string& state) {
+bool IsFinalState(const std::string& state) {
   return state == "completed" || state == "cancelled" || state == "failed";
 }
 
@@ -53,12 +53,12 @@
 }
 
 void HostedScenario::Submit(const TestJob& job) {
-  JobAccount account;
-  account.job = job;
-  account.accepted = HostedCluster::Eventually(
+  SubmittedJob submitted;
+  submitted.job = job;
+  submitted.accepted = HostedCluster::Eventually(
       [&] { return cluster_.Submit(NextEntry(), job) == 200; });
-  CHECK(account.accepted);
-  jobs_[job.id] = account;
+  CHECK(submitted.accepted);
+  jobs_[job.id] = submitted;
 }
 
 void HostedScenario::Cancel(const TestJob& job) {
@@ -67,14 +67,14 @@
   jobs_[job.id].cancelled_ms = ClockMs();
 }
 
-void HostedScenario::Finish() {
+void HostedScenario::AwaitAndCheckJobs() {
   for (auto& entry : jobs_) {
     CAPTURE(entry.first);
-    JobAccount& job = entry.second;
+    SubmittedJob& job = entry.second;
     CHECK(HostedCluster::Eventually(
         [&] {
           job.final_state = cluster_.State(NextEntry(), job.job);
-          return IsFinal(job.final_state);
+          return IsFinalState(job.final_state);
         },
         std::chrono::seconds(40)));
     const char* const expected = job.job.crashes() ? "failed" : "completed";
--- a/tests/integration/support/hosted_scenario.h
+++ b/tests/integration/support/hosted_scenario.h
@@ -1,5 +1,5 @@
-// A hosted cluster, the jobs that were handed to it, and the promises that they
-// must have been kept to in the end.
+// A hosted cluster and the jobs submitted to it, with a final check of the
+// invariants in run_checker.h.
 #ifndef THORNPLANK_TESTS_INTEGRATION_SUPPORT_HOSTED_SCENARIO_H_
 #define THORNPLANK_TESTS_INTEGRATION_SUPPORT_HOSTED_SCENARIO_H_
 
@@ -12,10 +12,10 @@
 
 namespace thornplank {
 
-// The id of the test's job with that number.
+// The id of the job with this number.
 std::string JobId(int number);
 
-// A step of that many tasks, each with as many accelerators.
+// A step of `count` tasks with `accelerators` each.
 TestStep Step(int count, int accelerators, std::vector<int> depends_on = {});
 
 class HostedScenario {
@@ -25,20 +25,21 @@
 
   HostedCluster& cluster() { return cluster_; }
 
-  // Submits at any entry that takes it.
+  // Repeats the call at the entries in turn until one accepts it.
   TestJob Submit(int number, std::vector<TestStep> steps, int work_ms,
                  int priority = 1);
   void Submit(const TestJob& job);
   void Cancel(const TestJob& job);
 
-  // Waits until every job has ended, and checks every promise.
-  void Finish();
+  // Waits until every job has ended, and checks the final states and the
+  // executors' records.
+  void AwaitAndCheckJobs();
 
  private:
   int NextEntry() { return next_++ % cluster_.settings().entries; }
 
   HostedCluster cluster_;
-  std::map<std::string, JobAccount> jobs_;
+  std::map<std::string, SubmittedJob> jobs_;
   int next_ = 0;
 };
 
--- a/tests/integration/support/job_observer.cc
+++ b/tests/integration/support/job_observer.cc
@@ -1,4 +1,4 @@
-// Calls for jobs, and checks of lease histories.
+// Job requests and checks of lease histories.
 #include "job_observer.h"
 
 #include <algorithm>
@@ -12,15 +12,15 @@
 constexpr int kAccepted = 202;
 constexpr Duration kTakeoverLimit = std::chrono::seconds(40);
 
-bool IsAnyOf(const std::string& type, const std::set<std::string>& words) {
-  return words.count(type) > 0;
+bool Contains(const std::string& type, const std::set<std::string>& types) {
+  return types.count(type) > 0;
 }
 
-// From the start of a member until its task ends or pauses.
+// One gang member, from its start until its task ends or is paused.
 struct MemberRun {
   int64_t start_ms = 0;
   std::optional<int64_t> end_ms;
-  // The task neither finished nor was ordered to end.
+  // The run ended by a failure, without being finished or stopped on order.
   bool lost = false;
 };
 
@@ -33,10 +33,11 @@
 
 std::map<std::string, GangRun> ReadGangs(
     const std::vector<LeaseEvent>& history) {
-  static const std::set<std::string> kEnds = {
+  static const std::set<std::string> kEndTypes = {
       "checkpointing", "throttled", "finished", "failed",
       "stopped",       "lapsed",    "dropped"};
-  static const std::set<std::string> kLosses = {"failed", "lapsed", "dropped"};
+  static const std::set<std::string> kLossTypes = {"failed", "lapsed",
+                                                   "dropped"};
   std::map<std::string, GangRun> gangs;
   for (const LeaseEvent& event : history) {
     GangRun& gang = gangs[event.gang_id];
@@ -50,9 +51,9 @@
     }
     const auto member = gang.members.find(event.lease_id);
     if (member == gang.members.end() || member->second.end_ms) continue;
-    if (!IsAnyOf(event.type, kEnds)) continue;
+    if (!Contains(event.type, kEndTypes)) continue;
     member->second.end_ms = event.time_ms;
-    member->second.lost = IsAnyOf(event.type, kLosses);
+    member->second.lost = Contains(event.type, kLossTypes);
   }
   return gangs;
 }
@@ -68,7 +69,7 @@
   for (const auto& [lease, member] : gang.members) {
     if (member.end_ms && *member.end_ms - *lost_ms <= bound.count()) continue;
     *violations += "member " + lease + " of gang " + id +
-                   " went on after another was lost\n";
+                   " kept running after another member was lost\n";
   }
 }
 
@@ -167,7 +168,8 @@
                      StringField(line, "what").value_or("")});
     }
   }
-  // Within a millisecond grants come first: a lift follows all of them.
+  // Grants sort before other events of the same millisecond, because a gang
+  // starts only when all of its members are granted.
   std::stable_sort(all.begin(), all.end(),
                    [](const LeaseEvent& left, const LeaseEvent& right) {
                      if (left.time_ms != right.time_ms) {
@@ -220,7 +222,7 @@
       if (other->second.job != run.job) continue;
       if (!Overlap(run, other->second)) continue;
       violations += "gangs " + gang->first + " and " + other->first +
-                    " of job " + run.job + " ran at once\n";
+                    " of job " + run.job + " ran at the same time\n";
     }
   }
   return violations;
@@ -228,7 +230,7 @@
 
 int JobObserver::AnyEntry() {
   for (int i = 0; i < settings_.entries; ++i) {
-    if (i != avoided_ && cluster_->entry(i).running()) return i;
+    if (i != excluded_entry_ && cluster_->entry(i).running()) return i;
   }
   return 0;
 }
--- a/tests/integration/support/job_observer.h
+++ b/tests/integration/support/job_observer.h
@@ -1,7 +1,7 @@
-// Submits jobs to a test cluster, and judges what the workers say they did.
+// Submits jobs to a test cluster and checks how the workers ran them.
 //
-// The verdicts are read from the lease histories of the worker stand-ins
-// alone. All stand-ins are one process, so that their times compare.
+// The checks use only the lease histories of the worker stand-ins. All
+// stand-ins run in one process, so their timestamps can be compared.
 #ifndef THORNPLANK_TESTS_INTEGRATION_SUPPORT_JOB_OBSERVER_H_
 #define THORNPLANK_TESTS_INTEGRATION_SUPPORT_JOB_OBSERVER_H_
 
@@ -23,21 +23,22 @@
   std::string lease_id;
   std::string gang_id;
   std::string job_id;
-  // "granted", "started", ... as in tests/standins/README.md.
+  // The `what` of the history, such as "granted" or "started"; see
+  // tests/standins/README.md.
   std::string type;
 };
 
 class JobObserver {
  public:
-  // `cluster` must outlive it.
+  // `cluster` must outlive the observer.
   JobObserver(TestCluster* cluster, const TestClusterSettings& settings);
 
-  // The body of a job whose task takes `run`.
+  // The body of a submission whose task runs for `run`.
   static Json MakeJob(const std::string& account, int members, int accelerators,
                       Milliseconds run);
-  // The job's id; empty when it was not accepted.
+  // The job's id; empty if it was not accepted.
   std::string Submit(int entry, const Json& job);
-  // Submits `count` jobs alike.
+  // Submits `job` `count` times.
   std::vector<std::string> SubmitMany(int entry, const Json& job, int count);
   Json Job(const std::string& id);
   std::string Phase(const std::string& id);
@@ -46,34 +47,35 @@
   bool AwaitPhases(const std::vector<std::string>& ids,
                    const std::string& phase,
                    Duration limit = std::chrono::seconds(40));
-  // Sends no more calls for jobs to this entry, which is paused.
-  void Avoid(int entry) { avoided_ = entry; }
-  // Waits for an entry other than `former` that says it is the coordinator;
-  // -1 when there is none.
+  // Reads job states from other entries only, for example while this entry is
+  // suspended.
+  void ExcludeEntry(int entry) { excluded_entry_ = entry; }
+  // Waits until an entry other than `former` reports that it is the coordinator
+  // and returns it; -1 on time-out. With `former` -1 any entry will do.
   int AwaitCoordinator(int former);
 
-  // Of all workers, by time.
+  // The events of all workers, ordered by time.
   std::vector<LeaseEvent> History();
   int Count(const std::string& job, const std::string& type);
-  // Workers that granted something to the job, each once.
+  // Workers that granted a lease to the job, without duplicates.
   std::vector<int> WorkersOf(const std::string& job);
-  // Newest epoch that a worker has accepted.
+  // The newest epoch that the worker has accepted.
   int64_t NewestEpoch(int worker);
 
-  // A member started before all members of its gang were granted; two gangs of
-  // one job ran at once; after a member ended early, another one of its gang
-  // went on for longer than `bound`.
-  // One line each; empty when nothing was found.
+  // Checks the history for three violations: a gang started before all of its
+  // members were granted; two gangs of one job ran at the same time; a member
+  // kept running for more than `bound` after another one of its gang was lost.
+  // Returns one line for each, or an empty string.
   std::string CheckGangs(Milliseconds bound);
 
  private:
-  // The first entry that runs and is not avoided.
+  // The first running entry that is not excluded.
   int AnyEntry();
 
   TestCluster* const cluster_;
   const TestClusterSettings settings_;
-  int avoided_ = -1;
-  // Members of each job submitted here.
+  int excluded_entry_ = -1;
+  // Number of members of each submitted job, by id.
   std::map<std::string, int> members_;
 };
 
--- a/tests/integration/support/metrics_text.cc
+++ b/tests/integration/support/metrics_text.cc
@@ -16,7 +16,7 @@
   return true;
 }
 
-// The family that a sample of `name` belongs to.
+// The declared family of samples called `name`; empty if there is none.
 std::string FamilyOf(const std::string& name,
                      const std::map<std::string, std::string>& types) {
   if (types.count(name) > 0) return name;
@@ -44,7 +44,7 @@
     }
   }
   if (!text.empty() && text.back() != '\n') {
-    faults_.emplace_back("the last line has no end");
+    errors_.emplace_back("the last line is not terminated");
   }
   CheckFamilies();
 }
@@ -65,11 +65,11 @@
   static const std::regex kHelp("# HELP [a-z_]+ .+");
   std::smatch match;
   if (std::regex_match(line, match, kType)) {
-    if (types_.count(match[1]) > 0) faults_.push_back("twice: " + line);
+    if (types_.count(match[1]) > 0) errors_.push_back("duplicate: " + line);
     types_[match[1]] = match[2];
     return;
   }
-  if (!std::regex_match(line, kHelp)) faults_.push_back("comment: " + line);
+  if (!std::regex_match(line, kHelp)) errors_.push_back("comment: " + line);
 }
 
 void MetricsText::ReadSample(const std::string& line) {
@@ -78,7 +78,7 @@
   static const std::regex kLabel(R"re(([a-z_]+)="((?:[^"\\]|\\.)*)"(,|$))re");
   std::smatch match;
   if (!std::regex_match(line, match, kSample)) {
-    faults_.push_back("sample: " + line);
+    errors_.push_back("malformed sample: " + line);
     return;
   }
   MetricSample sample;
@@ -91,14 +91,14 @@
     sample.labels[(*it)[1]] = (*it)[2];
     read += static_cast<size_t>(it->length());
   }
-  if (read != labels.size()) faults_.push_back("labels: " + line);
+  if (read != labels.size()) errors_.push_back("malformed labels: " + line);
   samples_.push_back(std::move(sample));
 }
 
 void MetricsText::CheckFamilies() {
   for (const MetricSample& sample : samples_) {
     if (!FamilyOf(sample.name, types_).empty()) continue;
-    faults_.push_back("not announced: " + sample.name);
+    errors_.push_back("sample without a type: " + sample.name);
   }
   for (const auto& [family, type] : types_) {
     if (type == "histogram") CheckBuckets(family);
@@ -109,13 +109,13 @@
   double last = 0;
   for (const MetricSample& sample : samples_) {
     if (sample.name != family + "_bucket") continue;
-    if (sample.value < last) faults_.push_back("buckets fall: " + family);
+    if (sample.value < last) errors_.push_back("buckets decrease: " + family);
     last = sample.value;
     if (sample.labels.at("le") != "+Inf") continue;
     std::map<std::string, std::string> labels = sample.labels;
     labels.erase("le");
     if (Sum(family + "_count", labels) != sample.value) {
-      faults_.push_back("count differs: " + family);
+      errors_.push_back("count differs from the last bucket: " + family);
     }
     last = 0;
   }
--- a/tests/integration/support/run_checker.h
+++ b/tests/integration/support/run_checker.h
@@ -1,4 +1,4 @@
-// Checks the promises on tasks against what executors have seen.
+// Checks the invariants of tasks against the executors' records.
 #ifndef THORNPLANK_TESTS_INTEGRATION_SUPPORT_RUN_CHECKER_H_
 #define THORNPLANK_TESTS_INTEGRATION_SUPPORT_RUN_CHECKER_H_
 
@@ -11,25 +11,27 @@
 
 namespace thornplank {
 
-// What a caller was told of one job.
-struct JobAccount {
+// The results that a caller got for one job.
+struct SubmittedJob {
   TestJob job;
   bool accepted = false;
-  // Every answer to its submission said that it was not accepted.
+  // Every answer to the submission said that the job was not accepted.
   bool refused = false;
-  // On the executors' clock; -1 when it was not cancelled.
+  // On the executors' clock; -1 if the job was not cancelled.
   int64_t cancelled_ms = -1;
   std::string final_state;
 };
 
-// Sentences on what was broken; empty when all holds: no task runs twice at a
-// time or again once it was done and recorded, none before the steps that it
-// depends on, none after its job's cancellation, none of a refused job, none
-// three times more after three executors have crashed under it, and a completed
-// job has all tasks done.
+// Returns one line for each violation of these invariants:
+// - no two runs of a task overlap, and none follows a run that was done and
+//   recorded;
+// - no task runs before the steps that its step depends on are done;
+// - no task of a refused job runs, and none after the job's cancellation;
+// - no task is started three more times after it crashed three executors;
+// - all tasks of a completed job are done, and an accepted job stays known.
 std::vector<std::string> CheckRuns(
     const std::vector<Json>& runs,
-    const std::map<std::string, JobAccount>& jobs);
+    const std::map<std::string, SubmittedJob>& jobs);
 
 }  // namespace thornplank
 
--- a/tests/integration/support/run_folder.cc
+++ b/tests/integration/support/run_folder.cc
@@ -1,4 +1,5 @@
-// Named by process and time, so that runs beside each other don't meet.
+// The name contains process id and time, so that concurrent runs do not
+// collide.
 #include "run_folder.h"
 
 #include <unistd.h>
--- a/tests/integration/support/run_folder.h
+++ b/tests/integration/support/run_folder.h
@@ -1,4 +1,4 @@
-// A folder of its own for one run's settings and logs, removed at the end.
+// A temporary folder for the settings and logs of one run.
 #ifndef THORNPLANK_TESTS_INTEGRATION_SUPPORT_RUN_FOLDER_H_
 #define THORNPLANK_TESTS_INTEGRATION_SUPPORT_RUN_FOLDER_H_
 
@@ -8,9 +8,9 @@
 
 class RunFolder {
  public:
-  // `kind` is part of its name.
+  // `kind` becomes part of the folder's name.
   explicit RunFolder(const std::string& kind);
-  // Kept where THORNPLANK_KEEP_LOGS is set.
+  // Removes the folder unless THORNPLANK_KEEP_LOGS is set.
   ~RunFolder();
 
   RunFolder(const RunFolder&) = delete;
--- a/tests/integration/support/settings_calls.cc
+++ b/tests/integration/support/settings_client.cc
@@ -1,5 +1,5 @@
-// Calls of the operators' interface and reads of the log service.
-#include "settings_calls.h"
+// Requests to the operators' API and to the log service.
+#include "settings_client.h"
 
 #include <cstdlib>
 #include <optional>
@@ -30,58 +30,59 @@
 
 }  // namespace
 
-SettingsCalls::SettingsCalls(TestCluster* cluster, int entries)
+SettingsClient::SettingsClient(TestCluster* cluster, int entries)
     : cluster_(cluster), entries_(entries) {}
 
-PutTold SettingsCalls::Put(int entry, const std::string& path, const Json& own,
-                           int64_t version) {
+PutResult SettingsClient::Put(int entry, const std::string& path,
+                              const Json& own_values, int64_t version) {
   HttpHeaders headers;
   headers.Set("If-Match", '"' + std::to_string(version) + '"');
   const auto response =
-      cluster_->Call(entry, "PUT", "/v1/settings/" + path, own, headers);
-  PutTold told;
-  if (!response.has_value()) return told;
-  told.status = response->status;
-  told.outcome = response->headers.Value("Thornplank-Outcome");
-  told.has_retry_after = response->headers.Has("Retry-After");
-  told.body = ParseJson(response->body).value_or(Json::object());
-  const Json* current = ObjectField(told.body, "current");
-  told.version = IntField(current == nullptr ? told.body : *current, "version")
-                     .value_or(-1);
-  told.offset = IntField(told.body, "offset").value_or(-1);
-  return told;
+      cluster_->Call(entry, "PUT", "/v1/settings/" + path, own_values, headers);
+  PutResult result;
+  if (!response.has_value()) return result;
+  result.status = response->status;
+  result.outcome = response->headers.Value("Thornplank-Outcome");
+  result.has_retry_after = response->headers.Has("Retry-After");
+  result.body = ParseJson(response->body).value_or(Json::object());
+  const Json* current = ObjectField(result.body, "current");
+  result.version =
+      IntField(current == nullptr ? result.body : *current, "version")
+          .value_or(-1);
+  result.offset = IntField(result.body, "offset").value_or(-1);
+  return result;
 }
 
-PutTold SettingsCalls::PutUntilAccepted(int entry, const std::string& path,
-                                        const Json& own) {
-  PutTold told;
+PutResult SettingsClient::PutUntilAccepted(int entry, const std::string& path,
+                                           const Json& own_values) {
+  PutResult result;
   TestCluster::Eventually([&] {
-    told = Put(entry, path, own, Version(entry, path));
-    return told.status == 200;
+    result = Put(entry, path, own_values, Version(entry, path));
+    return result.status == 200;
   });
-  return told;
+  return result;
 }
 
-int64_t SettingsCalls::Version(int entry, const std::string& path) {
+int64_t SettingsClient::Version(int entry, const std::string& path) {
   const auto response = cluster_->Call(entry, "GET", "/v1/settings/" + path);
   if (!response.has_value()) return 0;
   const std::string tag = response->headers.Value("ETag");
   return tag.size() < 2 ? 0 : std::atoll(tag.c_str() + 1);
 }
 
-Json SettingsCalls::Node(int entry, const std::string& path, bool explain) {
+Json SettingsClient::Node(int entry, const std::string& path, bool explain) {
   return cluster_->CallJson(
       entry, "GET", "/v1/settings/" + path + (explain ? "?explain=1" : ""));
 }
 
-Json SettingsCalls::History(int entry, const std::string& path) {
+Json SettingsClient::History(int entry, const std::string& path) {
   const Json answer =
       cluster_->CallJson(entry, "GET", "/v1/settings-history?path=" + path);
   const Json* history = ArrayField(answer, "history");
   return history == nullptr ? Json::array() : *history;
 }
 
-Json SettingsCalls::State(int entry, const std::vector<std::string>& paths) {
+Json SettingsClient::State(int entry, const std::vector<std::string>& paths) {
   Json state = Json::object();
   for (const std::string& path : paths) {
     Json node = Node(entry, path);
@@ -91,9 +92,9 @@
   return state;
 }
 
-bool SettingsCalls::AwaitState(const std::vector<int>& entries,
-                               const std::vector<std::string>& paths,
-                               const Json& expected) {
+bool SettingsClient::AwaitState(const std::vector<int>& entries,
+                                const std::vector<std::string>& paths,
+                                const Json& expected) {
   for (const int entry : entries) {
     const bool same = TestCluster::Eventually(
         [&] { return State(entry, paths) == expected; });
@@ -102,13 +103,13 @@
   return true;
 }
 
-int64_t SettingsCalls::Offset(int entry) {
+int64_t SettingsClient::Offset(int entry) {
   const Json status = cluster_->CallJson(entry, "GET", "/v1/status");
   const Json* offsets = ObjectField(status, "offsets");
   return offsets == nullptr ? -1 : IntField(*offsets, "settings").value_or(-1);
 }
 
-Json SettingsCalls::LogRecords(const std::string& stream) {
+Json SettingsClient::LogRecords(const std::string& stream) {
   const std::string address = cluster_->log_address();
   Json answer = SendToLog(address, "GET", ReadTarget(stream, 0), "");
   constexpr int kGone = 410;
@@ -118,7 +119,7 @@
       ReadTarget(stream, IntField(answer, "first_offset").value_or(0)), "");
 }
 
-Json SettingsCalls::NewestSnapshot() {
+Json SettingsClient::NewestSnapshot() {
   Json newest;
   const Json answer = LogRecords();
   const Json* records = ArrayField(answer, "records");
@@ -132,7 +133,7 @@
   return newest;
 }
 
-bool SettingsCalls::AwaitSnapshotAcrossGap(int64_t covers_at_least) {
+bool SettingsClient::AwaitSnapshotAcrossGap(int64_t covers_at_least) {
   return TestCluster::Eventually(
       [&] {
         const Json answer = LogRecords();
@@ -145,14 +146,14 @@
       std::chrono::seconds(40));
 }
 
-bool SettingsCalls::AppendToLog(const std::string& id, const Json& data) {
+bool SettingsClient::AppendToLog(const std::string& id, const Json& data) {
   const Json body = {{"records", {{{"id", id}, {"data", data}}}}};
   const Json answer = SendToLog(cluster_->log_address(), "POST",
                                 "/v1/streams/settings/records", body.dump());
   return IntField(answer, "status") == 200;
 }
 
-std::vector<int> SettingsCalls::all() const {
+std::vector<int> SettingsClient::all() const {
   std::vector<int> entries;
   entries.reserve(static_cast<size_t>(entries_));
   for (int entry = 0; entry < entries_; ++entry) entries.push_back(entry);
--- a/tests/integration/support/test_cluster.cc
+++ b/tests/integration/support/test_cluster.cc
@@ -1,4 +1,4 @@
-// Settings files, start of processes, and calls.
+// Writes settings files, starts processes and sends requests.
 #include "test_cluster.h"
 
 #include <unistd.h>
@@ -80,7 +80,7 @@
   Json config = EntryConfig(entry);
   config.merge_patch(changes);
   WriteFile(name + ".json", config);
-  // A log of its own per start, so that Events reads all of them.
+  // Each start gets its own log file, so that Events() finds the earlier ones.
   int start = 0;
   while (std::filesystem::exists(folder() + "/" + name + "-" +
                                  std::to_string(start) + ".log")) {
@@ -135,7 +135,8 @@
               headers);
 }
 
-bool TestCluster::PutNode(int entry, const std::string& path, const Json& own) {
+bool TestCluster::PutNode(int entry, const std::string& path,
+                          const Json& own_values) {
   const auto current = Call(entry, "GET", "/v1/settings/" + path);
   if (!current.has_value()) return false;
   HttpHeaders headers;
@@ -143,7 +144,7 @@
                               ? current->headers.Value("ETag")
                               : "\"0\"");
   const auto response =
-      Call(entry, "PUT", "/v1/settings/" + path, own, headers);
+      Call(entry, "PUT", "/v1/settings/" + path, own_values, headers);
   return response.has_value() && response->status == 200;
 }
 
--- a/tests/integration/support/test_cluster.h
+++ b/tests/integration/support/test_cluster.h
@@ -1,7 +1,7 @@
-// Real processes for a test: stand-ins, entries, and calls to them.
+// Runs stand-ins and entries as real processes and sends requests to them.
 //
-// Every test process listens on loopback addresses of its own, made from its
-// process id, so that tests run side by side.
+// Every test process uses its own loopback address, derived from its process
+// id, so that tests can run in parallel.
 #ifndef THORNPLANK_TESTS_INTEGRATION_SUPPORT_TEST_CLUSTER_H_
 #define THORNPLANK_TESTS_INTEGRATION_SUPPORT_TEST_CLUSTER_H_
 
@@ -34,9 +34,9 @@
   int instance_list_lag_ms = 200;
   // The entries reach the log through the fault-injecting proxy.
   bool proxy_log = false;
-  // The entries reach the executors through proxies, one each.
+  // The entries reach each executor through its own proxy.
   bool proxy_executors = false;
-  // Entry i reaches entry j through proxies of the inner protocol.
+  // The entries reach each other through proxies of the peer protocol.
   bool proxy_peers = false;
   // Merged into every entry's settings file.
   Json entry_overrides = Json::object();
@@ -47,39 +47,40 @@
   explicit TestCluster(TestClusterSettings settings);
   ~TestCluster();
 
-  // Starts the stand-ins and every entry and waits until all are ready.
-  // False when they are not within a generous limit.
+  // Starts the stand-ins and every entry and waits until all are ready; false
+  // if one of them is not ready in time.
   bool Start();
 
-  // `changes` are merged into its settings file for this start only.
+  // Merges `changes` into the entry's settings file for this start only.
   void StartEntry(int entry, const Json& changes = Json::object());
   ChildProcess& entry(int entry) { return *entries_[entry]; }
   ChildProcess& standins() { return *standins_; }
   bool WaitReady(int entry, Duration limit = std::chrono::seconds(20));
 
-  // One call with the operator's token; nullopt without an answer.
+  // Sends one request with the operator's token; nullopt without an answer.
   std::optional<HttpResponse> Call(int entry, const std::string& method,
                                    const std::string& target,
                                    const Json& body = Json(),
                                    const HttpHeaders& headers = HttpHeaders());
-  // The same; an empty object without a JSON answer.
+  // The JSON body of the answer; an empty object without one.
   Json CallJson(int entry, const std::string& method, const std::string& target,
                 const Json& body = Json());
-  // Sends a request to a service for `account`; `key` empty for idempotent.
+  // Sends a request of `account` to the service "claims". It is idempotent if
+  // `key` is empty.
   std::optional<HttpResponse> SendRequest(
       int entry, const std::string& account, const std::string& id,
       const std::string& key = "", Milliseconds deadline = Milliseconds(3000));
-  // Writes a node of the settings tree as a whole; true when accepted.
-  bool PutNode(int entry, const std::string& path, const Json& own);
+  // Replaces a node of the settings tree; true if accepted.
+  bool PutNode(int entry, const std::string& path, const Json& own_values);
 
-  // Switches a fault of a stand-in; false when it did not take it.
+  // Sets faults of a stand-in; false if it did not accept them.
   bool Control(const std::string& address, const Json& faults);
   Json ControlState(const std::string& address);
   // Waits until `condition` holds; false after `limit`.
   static bool Eventually(const std::function<bool()>& condition,
                          Duration limit = std::chrono::seconds(20));
 
-  // Every run that the executors recorded.
+  // All runs that the executors recorded.
   std::vector<Json> Runs();
   // Number of runs whose Idempotency-Key is `key`.
   int RunsOfKey(const std::string& key);
@@ -89,12 +90,12 @@
   std::string worker_address(int worker) const;
   std::string executor_address(int executor) const;
   std::string entry_address(int entry) const;
-  // Controls of the proxies.
+  // Control addresses of the proxies.
   std::string log_proxy_control() const;
   std::string executor_proxy_control(int executor) const;
   std::string peer_proxy_control(int entry) const;
 
-  // The entry's log lines of one event number.
+  // The log lines of the entry with this event number, of all its starts.
   std::vector<Json> Events(int entry, int number) const;
   const std::string& folder() const { return folder_.path(); }
 
@@ -107,7 +108,7 @@
   TestClusterSettings settings_;
   // Loopback address of this test process.
   std::string ip_;
-  // Temporary folder for settings and logs; removed at the end.
+  // Holds settings and logs.
   RunFolder folder_{"test"};
   std::unique_ptr<ApiClient> api_;
   std::unique_ptr<ChildProcess> standins_;
--- a/tests/integration/tst_bad_input.cc
+++ b/tests/integration/tst_bad_input.cc
@@ -1,5 +1,5 @@
-// Bad input to an entry: every kind gets a clear error in problem-details form
-// within a bound on memory, and other callers notice nothing.
+// Invalid input to an entry: every case is answered with problem details,
+// memory use stays limited, and other callers are served as before.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -19,16 +19,16 @@
 
 using test::RawConnection;
 
-// What one caller's faults may cost: 100 connections with a header each, 4 MiB
-// of bodies, and an entry at rest, which takes less than 40 MiB.
+// Limit of resident memory. It has room for 100 connections with a header each,
+// 4 MiB of bodies, and an idle entry, which takes less than 40 MiB.
 constexpr double kMaxResidentBytes = 128.0 * 1024 * 1024;
 constexpr int kConnections = 100;
 constexpr int kSlowSenders = 40;
-constexpr int kFlood = 200;
+constexpr int kFloodSize = 200;
 
-class BadInput {
+class BadInputFixture {
  public:
-  BadInput() : cluster_(Settings()) {
+  BadInputFixture() : cluster_(Settings()) {
     REQUIRE(cluster_.Start());
     for (const char* account : {"north", "south"}) {
       REQUIRE(cluster_.PutNode(0, account, {{"kind", "account"}}));
@@ -50,7 +50,7 @@
     const std::string http = cluster_.entry_address(entry);
     return http.substr(0, http.rfind(':') + 1) + std::to_string(8100 + entry);
   }
-  // Whether an ordinary request is answered.
+  // Whether a valid request is answered.
   bool Serves(int entry) {
     const auto response = cluster_.SendRequest(entry, "north", "ordinary");
     return response && response->status == 200;
@@ -83,7 +83,7 @@
   TestCluster cluster_;
 };
 
-// One answer from a connection that stays open.
+// Reads one answer from a connection that stays open.
 HttpResponse ReadAnswer(RawConnection& connection) {
   HttpResponse response;
   std::istringstream lines(connection.ReadHeader());
@@ -96,30 +96,32 @@
     response.headers.Add(line.substr(0, colon),
                          line.substr(colon + 2, line.size() - colon - 3));
   }
-  size_t left = std::atoi(response.headers.Value("Content-Length").c_str());
+  size_t remaining =
+      std::atoi(response.headers.Value("Content-Length").c_str());
   char bytes[4096];
-  while (left > 0) {
+  while (remaining > 0) {
     const ssize_t count = ::recv(connection.socket().native_handle(), bytes,
-                                 std::min(left, sizeof(bytes)), 0);
+                                 std::min(remaining, sizeof(bytes)), 0);
     if (count <= 0) break;
     response.body.append(bytes, static_cast<size_t>(count));
-    left -= static_cast<size_t>(count);
+    remaining -= static_cast<size_t>(count);
   }
   return response;
 }
 
-void CheckProblem(const HttpResponse& response, const BadCase& bad) {
-  CHECK(response.status == bad.status);
+void CheckProblem(const HttpResponse& response, const BadCase& expected) {
+  CHECK(response.status == expected.status);
   CHECK(response.headers.Value("Content-Type") == "application/problem+json");
   const Json problem = ParseJson(response.body).value_or(Json());
-  CHECK(IntField(problem, "status") == bad.status);
-  CHECK(StringField(problem, "title") == bad.title);
+  CHECK(IntField(problem, "status") == expected.status);
+  CHECK(StringField(problem, "title") == expected.title);
   CHECK_FALSE(StringField(problem, "detail").value_or("").empty());
-  // An error tells of the input, and does not give all of it back.
+  // An error describes the input without echoing all of it.
   CHECK(response.body.size() < 20'000);
 }
 
-// Over a connection that was made before the faults began.
+// A caller with valid requests, on a connection opened before the invalid input
+// is sent.
 class OrdinaryCaller {
  public:
   explicit OrdinaryCaller(RawConnection connection)
@@ -132,7 +134,7 @@
     CHECK(response.headers.Value("Thornplank-Outcome") == "answered");
   }
   void CheckMemory() {
-    connection_.Send(WholeRequest("GET", "/metrics", "", "", ""));
+    connection_.Send(RawRequest("GET", "/metrics", "", "", ""));
     const std::string text = ReadAnswer(connection_).body;
     const std::string name = "\nprocess_resident_memory_bytes ";
     const size_t found = text.find(name);
@@ -149,7 +151,7 @@
   double peak_ = 0;
 };
 
-void CheckSecretsUnlogged(const std::string& folder) {
+void CheckNoSecretLogged(const std::string& folder) {
   int logs = 0;
   for (const auto& file : std::filesystem::directory_iterator(folder)) {
     const std::string name = file.path().filename().string();
@@ -170,58 +172,60 @@
   CHECK(logs == 2);
 }
 
-void CheckStopsCleanly(BadInput& bad) {
+void CheckStopsCleanly(BadInputFixture& fixture) {
   for (int entry = 0; entry < 2; ++entry) {
     CAPTURE(entry);
-    CHECK(bad.Serves(entry));
-    bad.cluster().entry(entry).Signal(SIGTERM);
-    CHECK(bad.cluster().entry(entry).Wait(std::chrono::seconds(20)) == 0);
+    CHECK(fixture.Serves(entry));
+    fixture.cluster().entry(entry).Signal(SIGTERM);
+    CHECK(fixture.cluster().entry(entry).Wait(std::chrono::seconds(20)) == 0);
   }
-  CheckSecretsUnlogged(bad.cluster().folder());
+  CheckNoSecretLogged(fixture.cluster().folder());
 }
 
 TEST_CASE(
-    "every kind of bad input gets its error, other callers their answer") {
-  BadInput bad;
-  const Json job = bad.cluster().CallJson(
+    "invalid input is answered with its error, and other callers are served") {
+  BadInputFixture fixture;
+  const Json job = fixture.cluster().CallJson(
       0, "POST", "/v1/jobs", {{"account", "south"}, {"run_time_ms", 100}});
   const std::string job_id = StringField(job, "id").value_or("");
   REQUIRE_FALSE(job_id.empty());
-  OrdinaryCaller ordinary(bad.ConnectHttp());
+  OrdinaryCaller ordinary(fixture.ConnectHttp());
   for (const auto& cases :
        {MalformedHttp(), BadRequests(), BadJobs(job_id), BadSettings()}) {
     for (const BadCase& c : cases) {
       CAPTURE(c.name.substr(0, 100));
-      RawConnection connection = bad.ConnectHttp();
+      RawConnection connection = fixture.ConnectHttp();
       connection.Send(c.bytes);
       CheckProblem(ReadAnswer(connection), c);
       ordinary.CheckAnswered();
       ordinary.CheckMemory();
     }
   }
-  // Reads with bytes that are not UTF-8 are answered as well.
+  // Reads with a query that is not UTF-8 get a normal answer.
   for (const char* target :
        {"/v1/settings-history?path=%ff", "/v1/jobs?account=%ff%00"}) {
     CAPTURE(std::string(target));
-    RawConnection connection = bad.ConnectHttp();
-    connection.Send(WholeRequest("GET", target, kOperatorToken, "", ""));
+    RawConnection connection = fixture.ConnectHttp();
+    connection.Send(RawRequest("GET", target, kOperatorToken, "", ""));
     CHECK(ReadAnswer(connection).status == 200);
   }
   MESSAGE("peak of resident memory: ", ordinary.peak_bytes() / 1e6, " MB");
-  CheckStopsCleanly(bad);
+  CheckStopsCleanly(fixture);
 }
 
-TEST_CASE("slow senders and a flood of connections stop nobody else") {
-  BadInput bad;
-  OrdinaryCaller ordinary(bad.ConnectHttp());
+TEST_CASE(
+    "slow senders and a flood of connections do not block other callers") {
+  BadInputFixture fixture;
+  OrdinaryCaller ordinary(fixture.ConnectHttp());
   ordinary.CheckAnswered();
   std::vector<RawConnection> slow;
   const std::string header = "POST /v1/jobs HTTP/1.1\r\nHost: a\r\n";
   const std::string half(512 * 1024, 'x');
   for (int i = 0; i < kSlowSenders; ++i) {
-    slow.push_back(bad.ConnectHttp());
-    // Half of them stop inside the header, half inside a large body; these
-    // fill the budget for bodies, so that the last are refused at once.
+    slow.push_back(fixture.ConnectHttp());
+    // Half of them stop inside the header, half inside a large body. The bodies
+    // use up the memory budget for bodies, so that the last ones are refused at
+    // once.
     const bool in_body = i % 2 == 1;
     slow.back().Send(in_body ? header + "Content-Length: 1048576\r\n\r\n" + half
                              : header);
@@ -229,28 +233,30 @@
   ordinary.CheckAnswered();
   ordinary.CheckMemory();
   std::vector<RawConnection> flood;
-  flood.reserve(kFlood);
-  for (int i = 0; i < kFlood; ++i) flood.push_back(bad.ConnectHttp());
+  flood.reserve(kFloodSize);
+  for (int i = 0; i < kFloodSize; ++i) flood.push_back(fixture.ConnectHttp());
   for (int i = 0; i < 20; ++i) {
     ordinary.CheckAnswered();
     ordinary.CheckMemory();
   }
-  // Those that were let in as slow senders are told so.
-  int too_slow = 0;
+  // Each slow sender gets a time-out or, if the body budget was used up, a
+  // refusal.
+  int timed_out = 0;
   int no_budget = 0;
   for (RawConnection& connection : slow) {
     const HttpResponse response = ReadAnswer(connection);
-    if (response.status == 408) ++too_slow;
+    if (response.status == 408) ++timed_out;
     if (response.status == 503) ++no_budget;
     CheckProblem(response, {"", "", response.status == 503 ? 503 : 408,
                             response.status == 503 ? "Service Unavailable"
                                                    : "Request Timeout"});
   }
-  CHECK(too_slow >= kSlowSenders / 2);
+  CHECK(timed_out >= kSlowSenders / 2);
   CHECK(no_budget > 0);
-  CHECK(too_slow + no_budget == kSlowSenders);
-  // Those beyond the limit are refused with an answer while there are few of
-  // them; the rest is closed, as are those that were let in and said nothing.
+  CHECK(timed_out + no_budget == kSlowSenders);
+  // Connections beyond the limit get a refusal as long as only few are being
+  // refused at a time. The others are closed without an answer, as are accepted
+  // connections that send nothing.
   int refused = 0;
   for (RawConnection& connection : flood) {
     const HttpResponse response = ReadAnswer(connection);
@@ -262,17 +268,18 @@
   CHECK(refused > 0);
   flood.clear();
   slow.clear();
-  CHECK(TestCluster::Eventually([&bad] { return bad.Serves(0); }));
+  CHECK(TestCluster::Eventually([&fixture] { return fixture.Serves(0); }));
   ordinary.CheckMemory();
   MESSAGE("peak of resident memory: ", ordinary.peak_bytes() / 1e6, " MB");
-  CheckStopsCleanly(bad);
+  CheckStopsCleanly(fixture);
 }
 
-// A client's frame with an all-zero mask.
-std::string Frame(const std::string& payload, uint64_t announced) {
+// A WebSocket frame of a client with an all-zero mask; its header declares
+// `declared_size` bytes of payload.
+std::string Frame(const std::string& payload, uint64_t declared_size) {
   std::string frame = "\x82\xff";
   for (int shift = 56; shift >= 0; shift -= 8) {
-    frame.push_back(static_cast<char>((announced >> shift) & 0xff));
+    frame.push_back(static_cast<char>((declared_size >> shift) & 0xff));
   }
   return frame + std::string(4, '\0') + payload;
 }
@@ -283,7 +290,7 @@
   return bytes;
 }
 
-std::string HelloWith(const std::string& secret) {
+std::string HelloWithSecret(const std::string& secret) {
   return Cbor({{"v", 1},
                {"type", "hello"},
                {"body",
@@ -294,13 +301,13 @@
                  {"kept", true}}}});
 }
 
-TEST_CASE("garbage at the port of the peers ends that connection alone") {
-  BadInput bad;
+TEST_CASE("garbage at the peer port closes only that connection") {
+  BadInputFixture fixture;
   const std::string upgrade =
       "GET / HTTP/1.1\r\nHost: a\r\nUpgrade: websocket\r\nConnection: "
       "Upgrade\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: "
       "dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n";
-  const std::string wrong = HelloWith("another-secret");
+  const std::string wrong = HelloWithSecret("another-secret");
   const std::string deep(16'000, '\x81');
   const std::string noise = "\x01\x02\xff\xfe garbage";
   struct Case {
@@ -319,17 +326,18 @@
       {"oversized frame", Frame(std::string(100'000, 'x'), 1 << 30), true},
       {"frame of 2^63 bytes", Frame("", uint64_t{1} << 63), true},
   };
-  const size_t down_before = bad.cluster().Events(0, 601).size();
-  OrdinaryCaller ordinary(bad.ConnectHttp());
+  const size_t down_before = fixture.cluster().Events(0, 601).size();
+  OrdinaryCaller ordinary(fixture.ConnectHttp());
   for (const Case& c : cases) {
     CAPTURE(c.name);
-    RawConnection connection = bad.Connect(bad.PeerAddress(0));
+    RawConnection connection = fixture.Connect(fixture.PeerAddress(0));
     if (c.upgraded) {
       connection.Send(upgrade);
       CHECK(connection.ReadHeader().find(" 101 ") != std::string::npos);
     }
     connection.Send(c.bytes);
-    // Ended or reset, without a timeout; the secret never comes back.
+    // The entry closes or resets the connection before the read times out, and
+    // never sends its secret.
     const std::string answer = connection.ReadAll();
     char byte = 0;
     CHECK(::recv(connection.socket().native_handle(), &byte, 1, 0) == 0);
@@ -337,8 +345,8 @@
     ordinary.CheckAnswered();
     ordinary.CheckMemory();
   }
-  CHECK(bad.cluster().Events(0, 601).size() == down_before);
-  CheckStopsCleanly(bad);
+  CHECK(fixture.cluster().Events(0, 601).size() == down_before);
+  CheckStopsCleanly(fixture);
 }
 
 }  // namespace
--- a/tests/integration/tst_entry_replacement.cc
+++ b/tests/integration/tst_entry_replacement.cc
@@ -1,5 +1,5 @@
-// Entries that are cut off, misreported, replaced and started anew, on real
-// processes.
+// Entries that are partitioned, misreported by the instance list, replaced and
+// restarted, with real processes.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "job_observer.h"
-#include "settings_calls.h"
+#include "settings_client.h"
 #include "test_cluster.h"
 
 namespace thornplank {
@@ -31,8 +31,8 @@
   return {{"kind", "account"}, {"max_queued", max_queued}};
 }
 
-// A caller who repeats what was not run: true once it is answered.
-bool IsAnswered(TestCluster& cluster, int entry, const std::string& id) {
+// Repeats a request until it is answered; false on time-out.
+bool AwaitAnswered(TestCluster& cluster, int entry, const std::string& id) {
   return TestCluster::Eventually([&] {
     const auto response = cluster.SendRequest(entry, kPath, id);
     return response.has_value() &&
@@ -41,14 +41,15 @@
   });
 }
 
-void CheckAllAnswer(TestCluster& cluster, const std::string& id) {
+void CheckAllEntriesAnswer(TestCluster& cluster, const std::string& id) {
   for (int entry = 0; entry < kEntries; ++entry) {
     CAPTURE(entry);
-    CHECK(IsAnswered(cluster, entry, id + "-" + std::to_string(entry)));
+    CHECK(AwaitAnswered(cluster, entry, id + "-" + std::to_string(entry)));
   }
 }
 
-// The state of `name` in the eyes of `entry`.
+// The state that `entry` reports for the entry `other`; empty if it does not
+// know it.
 std::string MemberState(TestCluster& cluster, int entry, int other) {
   const Json status = cluster.CallJson(entry, "GET", "/v1/status");
   const Json* members = ArrayField(status, "members");
@@ -62,7 +63,8 @@
   return "";
 }
 
-// Waits until every entry sees all others as alive, or none of them.
+// Waits until every entry sees all others as alive, or, if `alive` is false,
+// none of them.
 bool AwaitMembers(TestCluster& cluster, bool alive) {
   return TestCluster::Eventually(
       [&] {
@@ -78,10 +80,10 @@
       std::chrono::seconds(40));
 }
 
-// Looks for longer than an entry takes to read the instance list again.
-void CheckStayAlive(TestCluster& cluster) {
-  constexpr int kLooks = 30;
-  for (int look = 0; look < kLooks; ++look) {
+// Checks for longer than the interval at which entries read the instance list.
+void CheckMembersStayAlive(TestCluster& cluster) {
+  constexpr int kPolls = 30;
+  for (int poll = 0; poll < kPolls; ++poll) {
     for (int entry = 0; entry < kEntries; ++entry) {
       for (int other = 0; other < kEntries; ++other) {
         CAPTURE(entry);
@@ -93,48 +95,49 @@
   }
 }
 
-struct Coordination {
+struct CoordinatorView {
   int64_t epoch = 0;
   std::string name;
 };
 
-bool operator==(const Coordination& a, const Coordination& b) {
+bool operator==(const CoordinatorView& a, const CoordinatorView& b) {
   return a.epoch == b.epoch && a.name == b.name;
 }
 
-// Waits until the running entries of `entries` agree on a coordinator of an
-// epoch above `above`, which says so itself; epoch 0 when they never do.
-Coordination AwaitCoordinator(TestCluster& cluster,
-                              const std::vector<int>& entries, int64_t above) {
-  Coordination agreed;
+// Waits until `entries` agree on a coordinator with an epoch above `above` and
+// exactly one of them reports to be it; epoch 0 on time-out.
+CoordinatorView AwaitCoordinator(TestCluster& cluster,
+                                 const std::vector<int>& entries,
+                                 int64_t above) {
+  CoordinatorView agreed;
   const bool found = TestCluster::Eventually(
       [&] {
         bool first = true;
-        int claiming = 0;
+        int claimants = 0;
         for (const int entry : entries) {
           const Json status = cluster.CallJson(entry, "GET", "/v1/status");
-          const Coordination here{
+          const CoordinatorView here{
               IntField(status, "epoch").value_or(0),
               StringField(status, "coordinator").value_or("")};
           if (first) agreed = here;
           first = false;
           if (!(here == agreed)) return false;
-          if (BoolField(status, "is_coordinator").value_or(false)) ++claiming;
+          if (BoolField(status, "is_coordinator").value_or(false)) ++claimants;
         }
-        return agreed.epoch > above && !agreed.name.empty() && claiming == 1;
+        return agreed.epoch > above && !agreed.name.empty() && claimants == 1;
       },
       std::chrono::seconds(40));
-  return found ? agreed : Coordination();
+  return found ? agreed : CoordinatorView();
 }
 
-int IndexOf(const Coordination& coordination) {
-  return std::stoi(coordination.name.substr(std::string("entry").size()));
+int EntryIndex(const CoordinatorView& view) {
+  return std::stoi(view.name.substr(std::string("entry").size()));
 }
 
-std::vector<int> Without(int left_out) {
+std::vector<int> EntriesExcept(int excluded) {
   std::vector<int> entries;
   for (int entry = 0; entry < kEntries; ++entry) {
-    if (entry != left_out) entries.push_back(entry);
+    if (entry != excluded) entries.push_back(entry);
   }
   return entries;
 }
@@ -148,38 +151,40 @@
   return true;
 }
 
-TEST_CASE("entries cut off from each other go on, and heal without reverting") {
+TEST_CASE(
+    "partitioned entries keep serving and rejoin without reverting changes") {
   TestClusterSettings settings = Settings();
   settings.proxy_peers = true;
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
-  SettingsCalls calls(&cluster, kEntries);
-  REQUIRE(calls.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
+  SettingsClient client(&cluster, kEntries);
+  REQUIRE(client.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
   REQUIRE(AwaitMembers(cluster, /*alive=*/true));
 
   REQUIRE(ControlPeers(cluster, {{"cut", true}}));
   CHECK(AwaitMembers(cluster, /*alive=*/false));
   for (int entry = 0; entry < kEntries; ++entry) {
     CAPTURE(entry);
-    // The log carries the change to all, whoever is cut off.
-    const PutTold told =
-        calls.PutUntilAccepted(entry, kPath, AccountWith(200 + entry));
-    REQUIRE(told.status == 200);
-    CHECK(calls.AwaitState(calls.all(), {kPath}, calls.State(entry, {kPath})));
+    // The change reaches the other entries through the log.
+    const PutResult result =
+        client.PutUntilAccepted(entry, kPath, AccountWith(200 + entry));
+    REQUIRE(result.status == 200);
+    CHECK(
+        client.AwaitState(client.all(), {kPath}, client.State(entry, {kPath})));
   }
-  CheckAllAnswer(cluster, "cut");
-  const Json expected = calls.State(0, {kPath});
+  CheckAllEntriesAnswer(cluster, "cut");
+  const Json expected = client.State(0, {kPath});
   const int64_t epoch =
       IntField(cluster.CallJson(0, "GET", "/v1/status"), "epoch").value_or(0);
 
   REQUIRE(ControlPeers(cluster, {{"heal", true}}));
   CHECK(AwaitMembers(cluster, /*alive=*/true));
   for (int entry = 0; entry < kEntries; ++entry) {
-    CHECK(calls.State(entry, {kPath}) == expected);
+    CHECK(client.State(entry, {kPath}) == expected);
   }
-  CHECK(AwaitCoordinator(cluster, calls.all(), epoch - 1).epoch >= epoch);
-  CheckAllAnswer(cluster, "healed");
-  CHECK(calls.History(0, kPath).size() == 1 + kEntries);
+  CHECK(AwaitCoordinator(cluster, client.all(), epoch - 1).epoch >= epoch);
+  CheckAllEntriesAnswer(cluster, "rejoined");
+  CHECK(client.History(0, kPath).size() == 1 + kEntries);
 }
 
 Json ListedEntry(TestCluster& cluster, int entry, const std::string& state) {
@@ -191,7 +196,8 @@
 }
 
 Json DeadExecutor(TestCluster& cluster, int number) {
-  // Nobody listens there: the test starts two executors only.
+  // Nothing listens at this address, because the test starts only two
+  // executors.
   return {{"name", "x" + std::to_string(number)},
           {"kind", "executor"},
           {"address", cluster.executor_address(number)},
@@ -201,17 +207,18 @@
           {"slots", 8}};
 }
 
-TEST_CASE("an instance list that lies or is silent is survived") {
+TEST_CASE("a wrong or unavailable instance list does no harm") {
   TestClusterSettings settings = Settings();
-  // Slow to judge by heartbeats, so that only the list could tell them apart.
+  // With such long heartbeat limits only the list could make an entry change
+  // its view of the members.
   settings.entry_overrides["membership"] = {{"suspect_after_ms", 20000},
                                             {"dead_after_ms", 60000}};
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
-  SettingsCalls calls(&cluster, kEntries);
-  REQUIRE(calls.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
+  SettingsClient client(&cluster, kEntries);
+  REQUIRE(client.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
   REQUIRE(AwaitMembers(cluster, /*alive=*/true));
-  CheckAllAnswer(cluster, "true");
+  CheckAllEntriesAnswer(cluster, "initial");
   const std::string list = cluster.instance_list_address();
   const Json instances = cluster.ControlState(list)["instances"];
   REQUIRE(instances.is_array());
@@ -225,27 +232,27 @@
     }
   };
 
-  // Dead executors are listed, one that lives is not, and of the entries one
-  // is missing and one is said to leave.
-  Json lies = Json::array();
+  // The false list contains two dead executors and omits a live one. Of the
+  // entries it omits one and reports one as leaving.
+  Json false_list = Json::array();
   for (const Json& instance : instances) {
-    if (StringField(instance, "name") != "x1") lies.push_back(instance);
+    if (StringField(instance, "name") != "x1") false_list.push_back(instance);
   }
-  lies.push_back(DeadExecutor(cluster, 7));
-  lies.push_back(DeadExecutor(cluster, 8));
-  lies.push_back(ListedEntry(cluster, 0, "live"));
-  lies.push_back(ListedEntry(cluster, 1, "leaving"));
-  REQUIRE(cluster.Control(list, {{"instances", lies}}));
+  false_list.push_back(DeadExecutor(cluster, 7));
+  false_list.push_back(DeadExecutor(cluster, 8));
+  false_list.push_back(ListedEntry(cluster, 0, "live"));
+  false_list.push_back(ListedEntry(cluster, 1, "leaving"));
+  REQUIRE(cluster.Control(list, {{"instances", false_list}}));
   await_listed("x8", true);
   await_listed("x1", false);
   for (int round = 0; round < 5; ++round) {
-    CheckAllAnswer(cluster, "lies-" + std::to_string(round));
+    CheckAllEntriesAnswer(cluster, "false-list-" + std::to_string(round));
   }
-  CheckStayAlive(cluster);
+  CheckMembersStayAlive(cluster);
 
   REQUIRE(cluster.Control(list, {{"remove", "entry0"}}));
   await_listed("entry0", false);
-  CheckStayAlive(cluster);
+  CheckMembersStayAlive(cluster);
 
   REQUIRE(cluster.Control(list, {{"outage", true}}));
   for (int entry = 0; entry < kEntries; ++entry) {
@@ -253,98 +260,103 @@
         [&] { return !cluster.Events(entry, 751).empty(); }));
     CHECK(cluster.WaitReady(entry));
   }
-  CheckAllAnswer(cluster, "outage");
+  CheckAllEntriesAnswer(cluster, "outage");
   CHECK(AwaitMembers(cluster, /*alive=*/true));
 
-  // With the truth again, the executor that was left out is used again.
+  // With the correct list again, the omitted executor is known again.
   REQUIRE(cluster.Control(list, {{"outage", false}, {"instances", instances}}));
   await_listed("x1", true);
   await_listed("x8", false);
-  CheckAllAnswer(cluster, "truth");
+  CheckAllEntriesAnswer(cluster, "correct-list");
 }
 
-TEST_CASE("an entry that can read neither log nor peer serves no defaults") {
+TEST_CASE(
+    "an entry that can read neither log nor peers does not serve defaults") {
   TestClusterSettings settings = Settings();
   settings.proxy_peers = true;
   settings.proxy_log = true;
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
-  SettingsCalls calls(&cluster, kEntries);
-  REQUIRE(calls.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
-  REQUIRE(calls.AwaitState(calls.all(), {kPath}, calls.State(0, {kPath})));
-  const Json expected = calls.State(0, {kPath});
+  SettingsClient client(&cluster, kEntries);
+  REQUIRE(client.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
+  REQUIRE(client.AwaitState(client.all(), {kPath}, client.State(0, {kPath})));
+  const Json expected = client.State(0, {kPath});
 
-  constexpr int kNew = 2;
-  cluster.entry(kNew).Kill();
+  constexpr int kJoining = 2;
+  cluster.entry(kJoining).Kill();
   REQUIRE(cluster.Control(cluster.log_proxy_control(), {{"cut", true}}));
   REQUIRE(ControlPeers(cluster, {{"cut", true}}));
-  cluster.StartEntry(kNew);
+  cluster.StartEntry(kJoining);
   REQUIRE(TestCluster::Eventually(
-      [&] { return cluster.Call(kNew, "GET", "/healthz").has_value(); }));
-  constexpr int kLooks = 40;
-  constexpr Milliseconds kBetweenLooks{100};
-  for (int look = 0; look < kLooks; ++look) {
-    CAPTURE(look);
-    const auto ready = cluster.Call(kNew, "GET", "/readyz");
+      [&] { return cluster.Call(kJoining, "GET", "/healthz").has_value(); }));
+  constexpr int kPolls = 40;
+  constexpr Milliseconds kPollPause{100};
+  for (int poll = 0; poll < kPolls; ++poll) {
+    CAPTURE(poll);
+    const auto ready = cluster.Call(kJoining, "GET", "/readyz");
     REQUIRE(ready.has_value());
     CHECK(ready->status == 503);
-    const auto read = cluster.Call(kNew, "GET", "/v1/settings/north");
+    const auto read = cluster.Call(kJoining, "GET", "/v1/settings/north");
     REQUIRE(read.has_value());
     CHECK(read->status == 503);
-    CHECK(calls.Put(kNew, kPath, AccountWith(1), 0).status == 503);
-    const auto response = cluster.SendRequest(
-        kNew, kPath, "early-" + std::to_string(look), "", Milliseconds(100));
+    CHECK(client.Put(kJoining, kPath, AccountWith(1), 0).status == 503);
+    const auto response =
+        cluster.SendRequest(kJoining, kPath, "early-" + std::to_string(poll),
+                            "", Milliseconds(100));
     REQUIRE(response.has_value());
     CHECK(response->status == 503);
     CHECK(response->headers.Value("Thornplank-Outcome") == "not-run");
-    const auto keyed = cluster.SendRequest(kNew, kPath, "early", "early-key");
+    const auto keyed =
+        cluster.SendRequest(kJoining, kPath, "early", "early-key");
     REQUIRE(keyed.has_value());
     CHECK(keyed->headers.Value("Thornplank-Outcome") == "not-run");
-    std::this_thread::sleep_for(kBetweenLooks);
+    std::this_thread::sleep_for(kPollPause);
   }
-  // The others go on without the log.
-  for (const int entry : Without(kNew)) {
-    CHECK(IsAnswered(cluster, entry, "others-" + std::to_string(entry)));
+  // The others keep serving without the log.
+  for (const int entry : EntriesExcept(kJoining)) {
+    CHECK(AwaitAnswered(cluster, entry, "others-" + std::to_string(entry)));
   }
 
-  // A peer alone is enough.
+  // A peer is enough to get the settings.
   REQUIRE(ControlPeers(cluster, {{"heal", true}}));
-  CHECK(cluster.WaitReady(kNew, std::chrono::seconds(40)));
-  CHECK(calls.State(kNew, {kPath}) == expected);
-  CHECK(IsAnswered(cluster, kNew, "from-peer"));
-  const PutTold refused =
-      calls.Put(kNew, kPath, AccountWith(1), calls.Version(kNew, kPath));
+  CHECK(cluster.WaitReady(kJoining, std::chrono::seconds(40)));
+  CHECK(client.State(kJoining, {kPath}) == expected);
+  CHECK(AwaitAnswered(cluster, kJoining, "from-peer"));
+  const PutResult refused = client.Put(kJoining, kPath, AccountWith(1),
+                                       client.Version(kJoining, kPath));
   CHECK(refused.status == 503);
   CHECK(refused.outcome == "not-run");
 
   REQUIRE(cluster.Control(cluster.log_proxy_control(), {{"heal", true}}));
-  const PutTold after = calls.PutUntilAccepted(kNew, kPath, AccountWith(7));
+  const PutResult after =
+      client.PutUntilAccepted(kJoining, kPath, AccountWith(7));
   REQUIRE(after.status == 200);
-  CHECK(calls.AwaitState(calls.all(), {kPath}, calls.State(kNew, {kPath})));
-  CHECK(calls.History(kNew, kPath).size() == 2);
+  CHECK(client.AwaitState(client.all(), {kPath},
+                          client.State(kJoining, {kPath})));
+  CHECK(client.History(kJoining, kPath).size() == 2);
 }
 
-TEST_CASE("two new entries do not call each other complete") {
+TEST_CASE("two joining entries do not take each other's state as complete") {
   TestClusterSettings settings = Settings();
   settings.proxy_log = true;
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
-  SettingsCalls calls(&cluster, kEntries);
-  REQUIRE(calls.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
-  const Json expected = calls.State(0, {kPath});
-  const std::vector<int> joining = Without(0);
+  SettingsClient client(&cluster, kEntries);
+  REQUIRE(client.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
+  const Json expected = client.State(0, {kPath});
+  const std::vector<int> joining = EntriesExcept(0);
 
-  // The one entry that knows the state stands still.
+  // The only entry with the complete state is suspended.
   for (const int entry : joining) cluster.entry(entry).Kill();
-  cluster.entry(0).Freeze();
+  cluster.entry(0).Suspend();
   REQUIRE(cluster.Control(cluster.log_proxy_control(), {{"cut", true}}));
   for (const int entry : joining) cluster.StartEntry(entry);
   for (const int entry : joining) {
     REQUIRE(TestCluster::Eventually(
         [&] { return !MemberState(cluster, entry, 3 - entry).empty(); }));
   }
-  constexpr int kLooks = 100;
-  for (int look = 0; look < kLooks; ++look) {
+  constexpr int kPolls = 100;
+  for (int poll = 0; poll < kPolls; ++poll) {
     for (const int entry : joining) {
       CAPTURE(entry);
       const Json status = cluster.CallJson(entry, "GET", "/v1/status");
@@ -354,16 +366,16 @@
     std::this_thread::sleep_for(Milliseconds(50));
   }
 
-  cluster.entry(0).Thaw();
+  cluster.entry(0).Resume();
   for (const int entry : joining) {
     CAPTURE(entry);
     CHECK(cluster.WaitReady(entry, std::chrono::seconds(40)));
-    CHECK(calls.State(entry, {kPath}) == expected);
+    CHECK(client.State(entry, {kPath}) == expected);
   }
 }
 
-int Resignations(SettingsCalls& calls) {
-  const Json answer = calls.LogRecords("jobs");
+int CountResignations(SettingsClient& client) {
+  const Json answer = client.LogRecords("jobs");
   const Json* records = ArrayField(answer, "records");
   if (records == nullptr) return -1;
   int count = 0;
@@ -377,43 +389,43 @@
 TEST_CASE("a coordinator resigns when stopped and is replaced when killed") {
   TestCluster cluster{Settings()};
   REQUIRE(cluster.Start());
-  SettingsCalls calls(&cluster, kEntries);
-  const Coordination first = AwaitCoordinator(cluster, calls.all(), 0);
+  SettingsClient client(&cluster, kEntries);
+  const CoordinatorView first = AwaitCoordinator(cluster, client.all(), 0);
   REQUIRE(first.epoch > 0);
-  const int resignations = Resignations(calls);
+  const int resignations = CountResignations(client);
 
-  const int stopped = IndexOf(first);
+  const int stopped = EntryIndex(first);
   cluster.entry(stopped).Signal(SIGTERM);
   CHECK(cluster.entry(stopped).Wait(std::chrono::seconds(40)) == 0);
-  CHECK(Resignations(calls) == resignations + 1);
-  const Coordination second =
-      AwaitCoordinator(cluster, Without(stopped), first.epoch);
+  CHECK(CountResignations(client) == resignations + 1);
+  const CoordinatorView second =
+      AwaitCoordinator(cluster, EntriesExcept(stopped), first.epoch);
   REQUIRE(second.epoch > first.epoch);
   CHECK(second.name != first.name);
   cluster.StartEntry(stopped);
   REQUIRE(cluster.WaitReady(stopped));
 
-  const int killed = IndexOf(second);
+  const int killed = EntryIndex(second);
   cluster.entry(killed).Kill();
-  const Coordination third =
-      AwaitCoordinator(cluster, Without(killed), second.epoch);
+  const CoordinatorView third =
+      AwaitCoordinator(cluster, EntriesExcept(killed), second.epoch);
   REQUIRE(third.epoch > second.epoch);
   CHECK(third.name != second.name);
-  CHECK(Resignations(calls) == resignations + 1);
+  CHECK(CountResignations(client) == resignations + 1);
   cluster.StartEntry(killed);
   REQUIRE(cluster.WaitReady(killed));
   CHECK(AwaitMembers(cluster, /*alive=*/true));
 }
 
-TEST_CASE("all entries are replaced in turn; settings and jobs stay") {
+TEST_CASE("settings and jobs survive the replacement of all entries in turn") {
   const TestClusterSettings settings = Settings();
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
-  SettingsCalls calls(&cluster, kEntries);
-  REQUIRE(calls.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
-  REQUIRE(calls.PutUntilAccepted(0, "", {{"weight", 2}}).status == 200);
-  const Json expected = calls.State(0, {"", kPath});
-  REQUIRE(calls.AwaitState(calls.all(), {"", kPath}, expected));
+  SettingsClient client(&cluster, kEntries);
+  REQUIRE(client.PutUntilAccepted(0, kPath, AccountWith(100)).status == 200);
+  REQUIRE(client.PutUntilAccepted(0, "", {{"weight", 2}}).status == 200);
+  const Json expected = client.State(0, {"", kPath});
+  REQUIRE(client.AwaitState(client.all(), {"", kPath}, expected));
   JobObserver jobs(&cluster, settings);
   const std::string running =
       jobs.Submit(0, JobObserver::MakeJob(kPath, 2, 8, kLongRun));
@@ -425,22 +437,22 @@
   for (int entry = 0; entry < kEntries; ++entry) {
     CAPTURE(entry);
     cluster.entry(entry).Signal(SIGTERM);
-    for (const int other : Without(entry)) {
-      CHECK(IsAnswered(
+    for (const int other : EntriesExcept(entry)) {
+      CHECK(AwaitAnswered(
           cluster, other,
           "during-" + std::to_string(entry) + "-" + std::to_string(other)));
     }
     CHECK(cluster.entry(entry).Wait(std::chrono::seconds(40)) == 0);
     cluster.StartEntry(entry);
     REQUIRE(cluster.WaitReady(entry, std::chrono::seconds(40)));
-    CHECK(calls.State(entry, {"", kPath}) == expected);
+    CHECK(client.State(entry, {"", kPath}) == expected);
     const Json job = cluster.CallJson(entry, "GET", "/v1/jobs/" + waiting);
     CHECK(StringField(job, "id") == waiting);
   }
-  CheckAllAnswer(cluster, "replaced");
+  CheckAllEntriesAnswer(cluster, "replaced");
   CHECK(jobs.AwaitPhase(running, "finished"));
   CHECK(jobs.AwaitPhase(waiting, "finished"));
-  // Undisturbed: each member started once.
+  // The jobs were not disturbed: each member started once.
   CHECK(jobs.Count(running, "started") == 2);
   CHECK(jobs.Count(waiting, "started") == 3);
   CHECK(jobs.CheckGangs(Milliseconds(0)) == "");
--- a/tests/integration/tst_hosted_crashes.cc
+++ b/tests/integration/tst_hosted_crashes.cc
@@ -1,5 +1,5 @@
-// Hosted entries beside tasks that crash the executors that start them: these
-// are given up in time, and all other jobs end.
+// Hosted entries with tasks that crash the executors that start them: such
+// tasks are given up in time, and all other jobs end.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -11,10 +11,10 @@
 namespace thornplank {
 namespace {
 
-// Starts of one task from which on it is known that it is not given up.
-constexpr int kEndlessStarts = 6;
+// A task that was started this often is regarded as never given up.
+constexpr int kStartLimit = 6;
 
-TestJob Crashing(int number, int count, bool gang = false) {
+TestJob MakeCrashingJob(int number, int count, bool gang = false) {
   TestJob job;
   job.id = JobId(number);
   job.steps = {Step(count, 2)};
@@ -24,14 +24,14 @@
   return job;
 }
 
-bool IsEndless(HostedCluster* cluster) {
+bool ExceedsStartLimit(HostedCluster* cluster) {
   for (const Json& run : cluster->Runs()) {
-    if (IntField(run, "run").value_or(0) >= kEndlessStarts) return true;
+    if (IntField(run, "run").value_or(0) >= kStartLimit) return true;
   }
   return false;
 }
 
-int Crashes(HostedCluster* cluster) {
+int CountCrashes(HostedCluster* cluster) {
   int crashes = 0;
   for (const Json& run : cluster->Runs()) {
     if (StringField(run, "how") == "crashed") ++crashes;
@@ -39,22 +39,22 @@
   return crashes;
 }
 
-// What the caller of a failed job is told.
-std::string ReasonOf(HostedCluster* cluster, const TestJob& job) {
+// The reason that a caller gets for a failed job.
+std::string FailureReason(HostedCluster* cluster, const TestJob& job) {
   const auto response =
-      cluster->Call(0, "GET", HostedCluster::PrefixOf(job.priority) + job.id,
-                    "", HostedCluster::Key());
+      cluster->Call(0, "GET", HostedCluster::QueuePrefix(job.priority) + job.id,
+                    "", HostedCluster::AccountKey());
   if (!response) return "";
   const Json body = ParseJson(response->body).value_or(Json::object());
   return StringField(body, "reason").value_or("");
 }
 
 void AwaitCrash(HostedCluster* cluster) {
-  CHECK(HostedCluster::Eventually([&] { return Crashes(cluster) > 0; }));
+  CHECK(HostedCluster::Eventually([&] { return CountCrashes(cluster) > 0; }));
 }
 
-// Guards against a task that takes down one worker after the other for ever:
-// runs that were lost with their workers counted nowhere.
+// Guards against a task that crashes one worker after the other without end:
+// runs lost with their workers were not counted as failures of the task.
 TEST_CASE("a task that crashes its workers is given up in time") {
   struct Row {
     const char* name;
@@ -64,14 +64,14 @@
   const auto nothing = [](HostedCluster*) {};
   std::vector<TestJob> many;
   for (int i = 10; i < 16; ++i) {
-    many.push_back(Crashing(i, 1));
+    many.push_back(MakeCrashingJob(i, 1));
   }
-  TestJob one_member = Crashing(10, 3, /*gang=*/true);
+  TestJob one_member = MakeCrashingJob(10, 3, /*gang=*/true);
   one_member.crash_task = 1;
   const std::vector<Row> rows = {
-      {"one task", {Crashing(10, 1)}, nothing},
+      {"one task", {MakeCrashingJob(10, 1)}, nothing},
       {"one member of a gang", {one_member}, nothing},
-      {"every task of a wide step", {Crashing(10, 6)}, nothing},
+      {"every task of a wide step", {MakeCrashingJob(10, 6)}, nothing},
       {"many, with three workers left", many,
        [](HostedCluster* cluster) {
          for (int i = 3; i < 6; ++i) {
@@ -79,7 +79,7 @@
          }
        }},
       {"the leader is killed after a crash",
-       {Crashing(10, 1)},
+       {MakeCrashingJob(10, 1)},
        [](HostedCluster* cluster) {
          AwaitCrash(cluster);
          const int leader = cluster->Leader();
@@ -87,7 +87,7 @@
          cluster->StartEntry(leader);
        }},
       {"every entry is killed after a crash",
-       {Crashing(10, 1)},
+       {MakeCrashingJob(10, 1)},
        [](HostedCluster* cluster) {
          AwaitCrash(cluster);
          for (int i = 0; i < 3; ++i) cluster->entry(i).Kill();
@@ -111,32 +111,34 @@
       }
       return true;
     };
-    HostedCluster::Eventually([&] { return given_up() || IsEndless(&cluster); },
-                              std::chrono::seconds(60));
-    REQUIRE_FALSE(IsEndless(&cluster));
+    HostedCluster::Eventually(
+        [&] { return given_up() || ExceedsStartLimit(&cluster); },
+        std::chrono::seconds(60));
+    REQUIRE_FALSE(ExceedsStartLimit(&cluster));
     for (const TestJob& job : row.jobs) {
-      CHECK(ReasonOf(&cluster, job).find("was given up") != std::string::npos);
+      CHECK(FailureReason(&cluster, job).find("was given up") !=
+            std::string::npos);
     }
-    scenario.Finish();
+    scenario.AwaitAndCheckJobs();
   }
 }
 
-// Guards against giving up work for crashes that are none of its fault.
+// Guards against giving up work for crashes that it did not cause.
 TEST_CASE("work whose workers lose power twice is not given up") {
   HostedScenario scenario;
   HostedCluster& cluster = scenario.cluster();
   scenario.Submit(1, {Step(12, 2)}, 2500);
   for (int round = 0; round < 2; ++round) {
-    const int before = Crashes(&cluster);
-    // Less than the time until a report shows each run.
+    const int before = CountCrashes(&cluster);
+    // Shorter than the time until the reports show all runs.
     HostedCluster::Eventually([] { return false; },
                               std::chrono::milliseconds(1200));
     for (int i = 0; i < 6; ++i) {
       CHECK(cluster.ControlExecutor(i, {{"crash", true}}));
     }
-    CHECK(Crashes(&cluster) > before);
+    CHECK(CountCrashes(&cluster) > before);
   }
-  scenario.Finish();
+  scenario.AwaitAndCheckJobs();
 }
 
 }  // namespace
--- a/tests/integration/tst_hosted_domains.cc
+++ b/tests/integration/tst_hosted_domains.cc
@@ -1,4 +1,5 @@
-// A failure domain that operators close takes no new work, whoever leads.
+// A failure domain that operators closed gets no new work, also after a change
+// of the leader.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -15,10 +16,11 @@
 constexpr int kClosedEvent = 937;
 constexpr int kOpenedEvent = 938;
 
-// Six executors on two racks: x0 to x2 stand in domain a, the others in b.
-class Domains {
+// A cluster with six executors in two racks. x0 to x2 are in failure domain a,
+// the others in b.
+class DomainFixture {
  public:
-  Domains() : cluster_(HostedClusterSettings()) {
+  DomainFixture() : cluster_(HostedClusterSettings()) {
     REQUIRE(cluster_.Start());
     REQUIRE(
         HostedCluster::Eventually([this] { return cluster_.Leader() >= 0; }));
@@ -33,7 +35,8 @@
     }
   }
 
-  // Runs one job of so many whole executors and returns where its tasks ran.
+  // Runs one job whose tasks each need a whole executor, and returns the
+  // executors that ran them.
   std::set<std::string> Run(int tasks, int entry) {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", ++jobs_);
@@ -61,20 +64,20 @@
   int jobs_ = 0;
 };
 
-bool StandsInA(const std::string& executor) { return executor < "x3"; }
+bool IsInDomainA(const std::string& executor) { return executor < "x3"; }
 
 TEST_CASE("a closed failure domain gets nothing, also from the next leader") {
-  Domains domains;
-  HostedCluster& cluster = domains.cluster();
+  DomainFixture fixture;
+  HostedCluster& cluster = fixture.cluster();
   const int first = cluster.Leader();
   REQUIRE(
       cluster.ControlStore({{"put_operator", "{}"}, {"key", "evacuate/a"}}));
-  // A domain that does not exist, and a value that is none of ours.
+  // A failure domain that does not exist, with a malformed value.
   REQUIRE(cluster.ControlStore(
       {{"put_operator", "[1,"}, {"key", "evacuate/nowhere"}}));
-  domains.WaitForEvents(kClosedEvent, 2, {0, 1, 2});
-  for (const std::string& executor : domains.Run(6, 0)) {
-    CHECK_FALSE(StandsInA(executor));
+  fixture.WaitForEvents(kClosedEvent, 2, {0, 1, 2});
+  for (const std::string& executor : fixture.Run(6, 0)) {
+    CHECK_FALSE(IsInDomainA(executor));
   }
 
   cluster.entry(first).Signal(SIGKILL);
@@ -83,14 +86,14 @@
     return leader >= 0 && leader != first;
   }));
   const int alive = (first + 1) % 3;
-  for (const std::string& executor : domains.Run(6, alive)) {
-    CHECK_FALSE(StandsInA(executor));
+  for (const std::string& executor : fixture.Run(6, alive)) {
+    CHECK_FALSE(IsInDomainA(executor));
   }
 
   REQUIRE(cluster.ControlStore({{"drop_operator", "evacuate/a"}}));
-  domains.WaitForEvents(kOpenedEvent, 1, {alive});
-  domains.WaitForEvents(kOpenedEvent, 1, {(first + 2) % 3});
-  CHECK(domains.Run(6, alive).size() == 6);
+  fixture.WaitForEvents(kOpenedEvent, 1, {alive});
+  fixture.WaitForEvents(kOpenedEvent, 1, {(first + 2) % 3});
+  CHECK(fixture.Run(6, alive).size() == 6);
 }
 
 }  // namespace
--- a/tests/integration/tst_hosted_faults.cc
+++ b/tests/integration/tst_hosted_faults.cc
@@ -1,5 +1,5 @@
-// Hosted entries under the loss of entries, of the store, of executors and of
-// answers: every job ends, and no task runs twice.
+// Hosted entries with faults of entries, store, executors and connections:
+// every job ends, and no task runs twice.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -11,7 +11,7 @@
 namespace thornplank {
 namespace {
 
-TEST_CASE("jobs go on and none runs twice whatever is lost") {
+TEST_CASE("jobs end and no task runs twice under faults") {
   struct Row {
     const char* name;
     std::function<void(HostedCluster&)> fault;
@@ -35,13 +35,13 @@
          CHECK(cluster.entry(leader).Wait(std::chrono::seconds(20)) == 0);
          cluster.StartEntry(leader);
        }},
-      {"the leader freezes for four seconds",
+      {"the leader is suspended for four seconds",
        [](HostedCluster& cluster) {
          const int leader = cluster.Leader();
-         cluster.entry(leader).Freeze();
+         cluster.entry(leader).Suspend();
          HostedCluster::Eventually([] { return false; },
                                    std::chrono::seconds(4));
-         cluster.entry(leader).Thaw();
+         cluster.entry(leader).Resume();
        }},
       {"the leader is cut off from the store",
        [](HostedCluster& cluster) {
@@ -102,7 +102,7 @@
            HostedCluster::Eventually([] { return false; }, Milliseconds(100));
          }
        }},
-      {"an executor begins a new life",
+      {"an executor crashes and starts a new incarnation",
        [](HostedCluster& cluster) {
          CHECK(cluster.ControlExecutor(0, {{"crash", true}}));
        }},
@@ -120,7 +120,7 @@
          }
          cluster.StartEntry(leader);
        }},
-      {"a failure domain with the leader is cut off and works on",
+      {"a failure domain with the leader is cut off and keeps working",
        [](HostedCluster& cluster) {
          const int leader = cluster.Leader();
          CHECK(cluster.ControlStoreProxy(leader, {{"freeze", true}}));
@@ -134,7 +134,7 @@
          }
          CHECK(cluster.ControlStoreProxy(leader, {{"freeze", false}}));
        }},
-      {"an executor stands still",
+      {"an executor makes no progress",
        [](HostedCluster& cluster) {
          CHECK(cluster.ControlExecutor(1, {{"stalled", true}}));
          HostedCluster::Eventually([] { return false; },
@@ -152,16 +152,16 @@
     for (int i = 4; i < 8; ++i) {
       scenario.Submit(i, {Step(6, 2), Step(4, 1, {0})}, 300);
     }
-    scenario.Finish();
+    scenario.AwaitAndCheckJobs();
   }
 }
 
-// Guards against starts beyond a capacity that has shrunk while work runs.
-TEST_CASE("executors that shrink and grow again are never given too much") {
+// Guards against starts beyond a capacity that shrank while work was running.
+TEST_CASE("executors that shrink and grow again are never overloaded") {
   HostedScenario scenario;
   HostedCluster& cluster = scenario.cluster();
-  // 288 tasks, of which 24 fit at a time, and 6 on shrunk executors: either way
-  // many begin when the smaller capacity must be kept to.
+  // Of the 288 tasks 24 fit at a time, and 6 while the executors are shrunk, so
+  // that many tasks start while the smaller capacity is in force.
   for (int i = 0; i < 12; ++i) {
     scenario.Submit(i, {Step(24, 2)}, 400);
   }
@@ -173,13 +173,13 @@
   resize(25);
   HostedCluster::Eventually([] { return false; }, std::chrono::seconds(5));
   resize(100);
-  scenario.Finish();
+  scenario.AwaitAndCheckJobs();
   CHECK(cluster.Events(cluster.Leader(), 941).size() >= 12);
 }
 
-// Two tasks fit on an executor, so the step takes the three that are there.
-// Sound ones end in two seconds, the slow one would work for 40 s.
-TEST_CASE("long work leaves a slow executor when empty ones are added") {
+// Two tasks fit on an executor, so the step uses the three available executors.
+// The healthy ones finish in 2 s, the slow one would take 40 s.
+TEST_CASE("tasks move away from a slow executor when idle ones are added") {
   HostedScenario scenario;
   HostedCluster& cluster = scenario.cluster();
   for (int i = 3; i < 6; ++i) {
@@ -193,7 +193,7 @@
   for (int i = 3; i < 6; ++i) {
     REQUIRE(cluster.ControlExecutor(i, {{"draining", false}}));
   }
-  scenario.Finish();
+  scenario.AwaitAndCheckJobs();
   int moved = 0;
   for (const Json& run : cluster.Runs()) {
     const std::string worker = run["worker"];
--- a/tests/integration/tst_hosted_jobs.cc
+++ b/tests/integration/tst_hosted_jobs.cc
@@ -1,5 +1,5 @@
-// The whole path of hosted entries: submit, run, complete, cancel, and what an
-// entry without the store may say.
+// Jobs on hosted entries: submission, runs, completion and cancellation, and
+// what an entry may answer while it cannot reach the store.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -20,12 +20,12 @@
   gang.gang = true;
   gang.same_rack = true;
   scenario.Submit(2, {gang}, 150);
-  scenario.Finish();
+  scenario.AwaitAndCheckJobs();
   const std::string metrics = scenario.cluster().Metrics(0);
   CHECK(metrics.find("thornplank_jobs_known") != std::string::npos);
 }
 
-TEST_CASE("bad input is refused with a reason and changes nothing") {
+TEST_CASE("invalid input is refused with a reason and changes nothing") {
   HostedScenario scenario;
   struct Row {
     const char* name;
@@ -35,8 +35,8 @@
     std::string key;
     int status;
   };
-  const std::string job = HostedCluster::PrefixOf(1) + JobId(7);
-  const std::string key = HostedCluster::Key();
+  const std::string job = HostedCluster::QueuePrefix(1) + JobId(7);
+  const std::string key = HostedCluster::AccountKey();
   const std::string good = R"({"spec":"","steps":[{"count":1,"cpu":1}]})";
   const std::vector<Row> rows = {
       {"unknown queue", "POST", "/nowhere/" + JobId(7), good, key, 404},
@@ -55,12 +55,12 @@
        R"({"spec":")" + std::string(5000, 'x') + R"(","steps":[{"count":1}]})",
        key, 400},
       {"body too large", "POST", job, std::string(70000, ' '), key, 413},
-      {"no job's id", "POST", HostedCluster::PrefixOf(1) + "zz", good, key,
+      {"no job's id", "POST", HostedCluster::QueuePrefix(1) + "zz", good, key,
        404},
       {"unknown job", "GET", job, "", key, 410},
       {"unknown job", "DELETE", job, "", key, 410},
       {"other method", "PUT", job, good, key, 405},
-      {"queue length", "GET", HostedCluster::PrefixOf(1), "", key, 200},
+      {"queue length", "GET", HostedCluster::QueuePrefix(1), "", key, 200},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -73,9 +73,9 @@
   CHECK(scenario.cluster().Runs().empty());
 }
 
-TEST_CASE("a key that was taken away is refused at every entry") {
+TEST_CASE("a revoked key is refused at every entry") {
   HostedScenario scenario;
-  REQUIRE(scenario.cluster().PublishConfiguration(/*keyed=*/false));
+  REQUIRE(scenario.cluster().PublishConfiguration(/*with_account_key=*/false));
   for (int entry = 0; entry < 3; ++entry) {
     TestJob job;
     job.id = JobId(entry);
@@ -84,18 +84,20 @@
   }
 }
 
-TEST_CASE("an entry without the store takes no key that may be gone") {
+TEST_CASE("an entry without the store accepts no key that may be revoked") {
   HostedScenario scenario;
   HostedCluster& cluster = scenario.cluster();
   const TestJob job = scenario.Submit(1, {Step(1, 1)}, 50);
   REQUIRE(HostedCluster::Eventually(
       [&] { return cluster.State(0, job) == "completed"; }));
   REQUIRE(cluster.ControlStoreProxy(0, {{"freeze", true}}));
-  REQUIRE(cluster.PublishConfiguration(/*keyed=*/false));
-  // The bound on revocation has passed, and the entry cannot know of it.
+  REQUIRE(cluster.PublishConfiguration(/*with_account_key=*/false));
+  // After this time revocations must be effective, but the entry cannot learn
+  // of this one.
   HostedCluster::Eventually([] { return false; }, std::chrono::seconds(5));
-  const auto answer = cluster.Call(
-      0, "GET", HostedCluster::PrefixOf(1) + job.id, "", HostedCluster::Key());
+  const auto answer =
+      cluster.Call(0, "GET", HostedCluster::QueuePrefix(1) + job.id, "",
+                   HostedCluster::AccountKey());
   REQUIRE(answer.has_value());
   CHECK(answer->status == 503);
   CHECK(answer->headers.Has("Retry-After"));
@@ -104,7 +106,7 @@
       HostedCluster::Eventually([&] { return cluster.Submit(0, job) == 401; }));
 }
 
-TEST_CASE("an entry without the store tells only states that are final") {
+TEST_CASE("an entry without the store reports only final states") {
   HostedScenario scenario;
   HostedCluster& cluster = scenario.cluster();
   const TestJob done = scenario.Submit(1, {Step(1, 1)}, 50);
@@ -114,12 +116,13 @@
            cluster.State(0, running) == "running";
   }));
   REQUIRE(cluster.ControlStoreProxy(0, {{"freeze", true}}));
-  // The others go on, and show the end; this one must not show less.
+  // The other entries continue and report the end of the job. This entry must
+  // not report an older state.
   REQUIRE(HostedCluster::Eventually(
       [&] { return cluster.State(1, running) == "completed"; }));
   const auto stale =
-      cluster.Call(0, "GET", HostedCluster::PrefixOf(1) + running.id, "",
-                   HostedCluster::Key());
+      cluster.Call(0, "GET", HostedCluster::QueuePrefix(1) + running.id, "",
+                   HostedCluster::AccountKey());
   REQUIRE(stale.has_value());
   CHECK(stale->status == 503);
   CHECK(stale->headers.Has("Retry-After"));
@@ -127,15 +130,15 @@
   REQUIRE(cluster.ControlStoreProxy(0, {{"freeze", false}}));
   CHECK(HostedCluster::Eventually(
       [&] { return cluster.State(0, running) == "completed"; }));
-  scenario.Finish();
+  scenario.AwaitAndCheckJobs();
 }
 
-TEST_CASE("another writer's entries in the directory change nothing") {
+TEST_CASE("directory entries of other writers have no effect") {
   HostedScenario scenario;
   HostedCluster& cluster = scenario.cluster();
   scenario.Submit(0, {Step(12, 1)}, 300);
   REQUIRE(HostedCluster::Eventually([&] { return cluster.Runs().size() > 6; }));
-  // Of a worker that serves; it writes its own entry anew within a second.
+  // The key of a live worker, which rewrites its own entry within a second.
   const std::string own = cluster.Runs().front()["worker"].get<std::string>();
   const std::string stray =
       R"({"service":"nobody","addr":"127.0.0.1:1","zone":"z","state":"ready",)"
@@ -157,20 +160,20 @@
   for (int i = 1; i < 4; ++i) {
     scenario.Submit(i, {Step(12, 2), Step(4, 1, {0})}, 300);
   }
-  // A successor reads them all at once, as the newest of each key.
+  // The next leader reads all of them at once, as the newest value of each key.
   publish();
   const int leader = cluster.Leader();
   cluster.entry(leader).Kill();
   cluster.StartEntry(leader);
   scenario.Submit(4, {Step(48, 1)}, 300);
-  scenario.Finish();
+  scenario.AwaitAndCheckJobs();
   for (const Json& run : cluster.Runs()) {
     CHECK(run["worker"].get<std::string>().rfind("foreign", 0) ==
           std::string::npos);
   }
 }
 
-TEST_CASE("a cancelled job stops, also when the leader dies right after") {
+TEST_CASE("a cancelled job stops, also if the leader is killed right after") {
   for (const bool kill : {false, true}) {
     CAPTURE(kill);
     HostedScenario scenario;
@@ -192,20 +195,21 @@
         }
       }
     }
-    scenario.Finish();
+    scenario.AwaitAndCheckJobs();
   }
 }
 
 TEST_CASE("steps that need advice run on approved executors, with a ticket") {
   HostedClusterSettings settings;
-  settings.advised = true;
+  settings.requires_advice = true;
   HostedScenario scenario(settings);
   HostedCluster& cluster = scenario.cluster();
   for (int i = 0; i < 4; ++i) {
     scenario.Submit(i, {Step(4, 2), Step(2, 1, {0})}, 300);
   }
-  // Without the advisor new steps wait, and begin once it is back; so do those
-  // of a leader that knows nothing of what the one before was told.
+  // Without the advisor new steps wait, and start when it answers again. This
+  // also holds after a change of the leader, which does not have the earlier
+  // advice.
   REQUIRE(cluster.ControlAdvisor({{"silent", true}}));
   const TestJob waiting = scenario.Submit(4, {Step(2, 1)}, 100);
   const int leader = cluster.Leader();
@@ -214,10 +218,11 @@
   CHECK(HostedCluster::Eventually(
       [&] { return cluster.State(0, waiting) == "queued"; }));
   REQUIRE(cluster.ControlAdvisor({{"silent", false}}));
-  scenario.Finish();
+  scenario.AwaitAndCheckJobs();
 }
 
-TEST_CASE("tasks that fill are slowed until a serving task is well") {
+TEST_CASE(
+    "filler tasks are throttled until a serving task meets its tail latency") {
   HostedClusterSettings settings;
   settings.executors = 1;
   HostedScenario scenario(settings);
@@ -225,16 +230,16 @@
   TestJob server;
   server.id = JobId(1);
   server.work_ms = 60000;
-  server.tail_ms = 50;
+  server.tail_latency_ms = 50;
   server.steps[0].long_running = true;
-  server.steps[0].tail_target_ms = 100;
-  // At full pace it adds three times what the target leaves.
+  server.steps[0].tail_latency_target_ms = 100;
+  // At full speed it adds 150 ms; the target leaves 50 ms.
   TestJob filler;
   filler.id = JobId(2);
   filler.work_ms = 60000;
-  filler.disturbs_ms = 150;
+  filler.interference_ms = 150;
   filler.steps[0].long_running = true;
-  filler.steps[0].fills = true;
+  filler.steps[0].is_filler = true;
   filler.steps[0].accelerators = 0;
   scenario.Submit(server);
   scenario.Submit(filler);
@@ -256,12 +261,12 @@
       [&] { return filler_is_slowed() && tail_is_well(); }));
   scenario.Cancel(server);
   scenario.Cancel(filler);
-  scenario.Finish();
+  scenario.AwaitAndCheckJobs();
 }
 
-TEST_CASE("an urgent job takes room from others") {
+TEST_CASE("an urgent job takes accelerators from other jobs") {
   HostedScenario scenario;
-  // Fills all 48 accelerators for a long time.
+  // Uses all 48 accelerators for 8 s.
   const TestJob filler = scenario.Submit(1, {Step(48, 1)}, 8000, 2);
   REQUIRE(HostedCluster::Eventually(
       [&] { return scenario.cluster().Runs().size() >= 48; }));
@@ -273,7 +278,7 @@
       std::chrono::seconds(6)));
   CHECK(scenario.cluster().State(0, filler) == "running");
   scenario.Cancel(filler);
-  scenario.Finish();
+  scenario.AwaitAndCheckJobs();
 }
 
 }  // namespace
--- a/tests/integration/tst_hosted_logs.cc
+++ b/tests/integration/tst_hosted_logs.cc
@@ -1,6 +1,6 @@
-// A standard output that nobody reads, or that is closed, changes nothing for
-// callers, and the end of the process does not wait for it. A changed settings
-// file is noticed without a signal.
+// If nobody reads the standard output, or its reader closes it, callers are
+// served as before and the process ends without waiting for it. A changed
+// settings file is reloaded without a signal.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -18,17 +18,17 @@
 namespace thornplank {
 namespace {
 
-// More lines than a pipe holds: each refusal is a line of 200 bytes and more.
+// Enough to fill a pipe: each refusal logs a line of at least 200 bytes.
 constexpr int kRefusedCalls = 600;
 
-TEST_CASE("an unread log costs lines, not service") {
+TEST_CASE("an unread log loses lines but does not block the service") {
   struct Row {
     std::string name;
-    bool reader_goes;
+    bool close_reader;
   };
   const std::vector<Row> rows = {
       {"nobody reads", false},
-      {"the reader goes away", true},
+      {"the reader closes the pipe", true},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -37,16 +37,16 @@
     HostedCluster cluster(settings);
     REQUIRE(cluster.Start());
     cluster.entry(0).Kill();
-    const std::string pipe = cluster.NextLog(0);
+    const std::string pipe = cluster.NextLogPath(0);
     REQUIRE(::mkfifo(pipe.c_str(), 0600) == 0);
     const int reader = ::open(pipe.c_str(), O_RDONLY | O_NONBLOCK | O_CLOEXEC);
     REQUIRE(reader >= 0);
     cluster.StartEntry(0);
-    if (row.reader_goes) ::close(reader);
+    if (row.close_reader) ::close(reader);
     REQUIRE(cluster.WaitReady(0));
     for (int i = 0; i < kRefusedCalls; ++i) {
       const auto answer =
-          cluster.Call(0, "GET", "/nowhere/", "", HostedCluster::Key());
+          cluster.Call(0, "GET", "/nowhere/", "", HostedCluster::AccountKey());
       REQUIRE(answer.has_value());
       CHECK(answer->status == 404);
     }
@@ -62,7 +62,7 @@
     }));
     cluster.entry(0).Signal(SIGTERM);
     CHECK(cluster.entry(0).Wait(std::chrono::seconds(20)) == 0);
-    if (!row.reader_goes) ::close(reader);
+    if (!row.close_reader) ::close(reader);
   }
 }
 
--- a/tests/integration/tst_hosted_metrics.cc
+++ b/tests/integration/tst_hosted_metrics.cc
@@ -1,5 +1,5 @@
-// The metrics are in the scrapers' format and add up with what callers and
-// executors have seen.
+// The metrics have the format that scrapers expect, and agree with the records
+// of callers and executors.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 constexpr int kEntries = 3;
 constexpr int kJobs = 12;
-constexpr int kUnknownKeys = 7;
+constexpr int kCallsWithUnknownKey = 7;
 
 std::string JobId(int number) {
   char text[17];
@@ -34,12 +34,12 @@
     scraped_.clear();
     for (int i = 0; i < kEntries; ++i) {
       scraped_.emplace_back(cluster_.Metrics(i));
-      for (const std::string& fault : scraped_.back().faults()) {
+      for (const std::string& fault : scraped_.back().errors()) {
         FAIL_CHECK(fault);
       }
     }
   }
-  // Over all entries.
+  // The sum over all entries.
   int Sum(const std::string& name,
           const std::map<std::string, std::string>& labels = {}) const {
     double sum = 0;
@@ -62,7 +62,7 @@
       }));
 }
 
-TEST_CASE("counters and histograms add up with the executors' and callers'") {
+TEST_CASE("counters and histograms agree with callers and executors") {
   ScrapedCluster scraped;
   HostedCluster& cluster = scraped.cluster();
   std::vector<TestJob> jobs;
@@ -77,9 +77,9 @@
         [&] { return cluster.Submit(i % kEntries, job) == 200; }));
     jobs.push_back(job);
   }
-  for (int i = 0; i < kUnknownKeys; ++i) {
+  for (int i = 0; i < kCallsWithUnknownKey; ++i) {
     const auto answer = cluster.Call(
-        i % kEntries, "GET", HostedCluster::PrefixOf(1), "", "nobody's key");
+        i % kEntries, "GET", HostedCluster::QueuePrefix(1), "", "nobody's key");
     REQUIRE(answer.has_value());
     REQUIRE(answer->status == 401);
   }
@@ -98,9 +98,9 @@
   CHECK(scraped.Sum("thornplank_jobs_accepted_total") == kJobs);
   CHECK(scraped.Sum("thornplank_acknowledgement_seconds_count") == kJobs);
   CHECK(scraped.Sum("thornplank_refusals_total", {{"cause", "unknown_key"}}) ==
-        kUnknownKeys);
+        kCallsWithUnknownKey);
   CHECK(scraped.Sum("thornplank_caller_answers_total", {{"status", "401"}}) ==
-        kUnknownKeys);
+        kCallsWithUnknownKey);
   CHECK(scraped.Sum("thornplank_worker_calls_total",
                     {{"call", "start"}, {"outcome", "accepted"}}) == started);
   CHECK(scraped.Sum("thornplank_runs_ended_total", {{"end", "done"}}) ==
@@ -118,7 +118,7 @@
   CHECK(scraped.Sum("thornplank_log_lines_lost_total") == 0);
 }
 
-TEST_CASE("every kind of measure is announced with its type") {
+TEST_CASE("every kind of metric is declared with its type") {
   ScrapedCluster scraped;
   scraped.Scrape();
   struct Row {
--- a/tests/integration/tst_hosted_outages.cc
+++ b/tests/integration/tst_hosted_outages.cc
@@ -1,4 +1,5 @@
-// When a caller that an entry refuses for want of the store may come back.
+// The Retry-After header of an entry that refuses requests because it cannot
+// reach the store.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -9,17 +10,18 @@
 namespace thornplank {
 namespace {
 
-TEST_CASE("a refused caller is sent to another entry only if that is served") {
+TEST_CASE(
+    "a refused caller may retry at once only if another entry has the store") {
   struct Row {
     const char* name;
-    // Entries that lose the store.
+    // Entries that are cut off from the store.
     std::vector<int> cut;
     std::string retry_after;
   };
   const std::vector<Row> rows = {
-      {"one of three has lost it", {0}, "0"},
-      {"two of three", {0, 1}, "0"},
-      {"it is away for all", {0, 1, 2}, "1"},
+      {"one of three entries is cut off", {0}, "0"},
+      {"two of three entries are cut off", {0, 1}, "0"},
+      {"all entries are cut off", {0, 1, 2}, "1"},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -35,13 +37,13 @@
     }
     const auto refusal = [&cluster] {
       const auto answer = cluster.Call(
-          0, "GET", HostedCluster::PrefixOf(1) + "00000000000000ff", "",
-          HostedCluster::Key());
+          0, "GET", HostedCluster::QueuePrefix(1) + "00000000000000ff", "",
+          HostedCluster::AccountKey());
       const bool refused = answer && answer->status == 503;
       return refused ? answer->headers.Value("Retry-After") : std::string();
     };
     CHECK(HostedCluster::Eventually([&] { return refusal() != ""; }));
-    // Once the others have had their say.
+    // The value is right once the other entries have reported their state.
     CHECK(HostedCluster::Eventually(
         [&] { return refusal() == row.retry_after; }));
     const bool all = row.retry_after == "1";
--- a/tests/integration/tst_hosted_restarts.cc
+++ b/tests/integration/tst_hosted_restarts.cc
@@ -1,5 +1,5 @@
-// Hosted entries beside executors that start again under the ids that they had:
-// with nothing of before, and with counts and clocks that begin anew.
+// Hosted entries with executors that restart under their old ids: they have
+// lost their state, and their sequence numbers and clocks start again.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 constexpr int kExecutors = 6;
 
-void Wait(Duration duration) {
+void Sleep(Duration duration) {
   HostedCluster::Eventually([] { return false; }, duration);
 }
 
@@ -23,8 +23,8 @@
   }
 }
 
-// Ends of many tasks on each executor, so that the next life's numbers lie
-// below those of this one.
+// Lets many tasks end on each executor, so that the sequence numbers of its
+// next incarnation are lower than the current ones.
 void RunManyTasks(HostedScenario* scenario, int number) {
   scenario->Submit(number, {Step(72, 2)}, 60);
   HostedCluster& cluster = scenario->cluster();
@@ -37,7 +37,7 @@
 
 struct Row {
   const char* name;
-  // How long an executor is away.
+  // Time from the stop of an executor to its restart.
   int restart_ms;
   std::function<void(HostedCluster*)> fault;
 };
@@ -49,43 +49,43 @@
       {"all restart twice", 300,
        [](HostedCluster* cluster) {
          Restart(cluster, 0, kExecutors);
-         Wait(Milliseconds(1200));
+         Sleep(Milliseconds(1200));
          Restart(cluster, 0, kExecutors);
        }},
-      {"some are away for longer than their leases", 8000,
+      {"some stay down for longer than their leases", 8000,
        [](HostedCluster* cluster) { Restart(cluster, 0, 3); }},
       {"orders are carried out late, then all restart", 300,
        [](HostedCluster* cluster) {
          for (int i = 0; i < kExecutors; ++i) {
            CHECK(cluster->ControlExecutor(i, {{"late_percent", 50}}));
          }
-         Wait(Milliseconds(600));
+         Sleep(Milliseconds(600));
          Restart(cluster, 0, kExecutors);
          for (int i = 0; i < kExecutors; ++i) {
            CHECK(cluster->ControlExecutor(i, {{"late_percent", 0}}));
          }
        }},
-      {"the leader is killed as they restart", 300,
+      {"the leader is killed while they restart", 300,
        [](HostedCluster* cluster) {
          const int leader = cluster->Leader();
          cluster->entry(leader).Kill();
          Restart(cluster, 0, kExecutors);
          cluster->StartEntry(leader);
        }},
-      {"the directory cannot be read as they restart", 300,
+      {"the directory cannot be read while they restart", 300,
        [](HostedCluster* cluster) {
          CHECK(cluster->ControlStore({{"mode", "silent"}}));
          Restart(cluster, 0, kExecutors);
-         Wait(std::chrono::seconds(2));
+         Sleep(std::chrono::seconds(2));
          CHECK(cluster->ControlStore({{"mode", "up"}}));
        }},
   };
 }
 
-// Guards against ends of a new life that are taken for those of the life
-// before, and against room that is held by runs which ended with their worker's
-// life.
-TEST_CASE("work goes on, once, on workers that restart under their ids") {
+// Guards against two faults: run ends of a new incarnation that are mistaken
+// for those of the previous one, and capacity that stays occupied by runs that
+// ended with their worker's incarnation.
+TEST_CASE("tasks run exactly once on workers that restart under their ids") {
   for (const Row& row : Rows()) {
     CAPTURE(row.name);
     HostedScenario scenario;
@@ -95,16 +95,17 @@
       CHECK(cluster.ControlExecutor(i, {{"restart_ms", row.restart_ms}}));
     }
     scenario.Submit(2, {Step(18, 2)}, 1500);
-    Wait(Milliseconds(700));
+    Sleep(Milliseconds(700));
     row.fault(&cluster);
     for (int i = 3; i < 6; ++i) {
       scenario.Submit(i, {Step(6, 2), Step(4, 1, {0})}, 300);
     }
-    // A gang that needs all of them: no room may be held for nothing.
+    // The gang needs all executors, so that no ended run may still occupy
+    // capacity.
     TestStep gang = Step(kExecutors, 8);
     gang.gang = true;
     scenario.Submit(6, {gang}, 300);
-    scenario.Finish();
+    scenario.AwaitAndCheckJobs();
   }
 }
 
--- a/tests/integration/tst_jobs_gangs.cc
+++ b/tests/integration/tst_jobs_gangs.cc
@@ -1,5 +1,5 @@
-// Gangs run whole or not at all: lost members, bad workers, hung checkpoints,
-// drains and waves of cancellations.
+// Gangs run with all members or not at all, with lost members, failing workers,
+// hanging checkpoints, drains and many cancellations at a time.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -14,12 +14,13 @@
 namespace thornplank {
 namespace {
 
-constexpr int kWholeWorker = 8;
-constexpr Milliseconds kEndless{600000};
+constexpr int kAcceleratorsPerWorker = 8;
+constexpr Milliseconds kUnboundedRun{600000};
 constexpr Milliseconds kShortRun{300};
-// Stated in docs/design/jobs.md, with the settings below: 0.55 s to the next
-// renewal, 5 s until the worker counts as lost, 2 x 2 s for the stop.
-constexpr Milliseconds kSurvivorBound{9550};
+// Limit for the stop of a gang's other members, from docs/design/jobs.md with
+// the settings below: 0.55 s until the next renewal, 5 s until the worker is
+// regarded as lost, 2 x 2 s for the stop.
+constexpr Milliseconds kSurvivorStopLimit{9550};
 constexpr int kWorkerJudgedEvent = 510;
 
 TestClusterSettings Settings(int workers) {
@@ -36,7 +37,7 @@
   return std::find(workers.begin(), workers.end(), worker) != workers.end();
 }
 
-// Workers of the job's current gang, by the job stream.
+// Workers of the job's current gang, as an entry reports it.
 std::vector<int> CurrentWorkers(JobObserver* jobs, const std::string& id) {
   std::vector<int> workers;
   const Json job = jobs->Job(id);
@@ -60,7 +61,8 @@
       std::chrono::seconds(40));
 }
 
-TEST_CASE("a gang that loses a worker is stopped and runs whole elsewhere") {
+TEST_CASE(
+    "a gang that loses a worker is stopped and restarted on other workers") {
   const TestClusterSettings settings = Settings(6);
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
@@ -69,7 +71,7 @@
   for (const char* fault : {"dead", "freeze"}) {
     CAPTURE(fault);
     const std::string id =
-        jobs.Submit(0, JobObserver::MakeJob("north", 3, 6, kEndless));
+        jobs.Submit(0, JobObserver::MakeJob("north", 3, 6, kUnboundedRun));
     REQUIRE(jobs.AwaitPhase(id, "running"));
     const std::vector<int> before = CurrentWorkers(&jobs, id);
     REQUIRE(before.size() == 3);
@@ -77,15 +79,15 @@
     REQUIRE(cluster.Control(lost, {{fault, true}}));
     CHECK(AwaitRunningWithout(&jobs, id, before[0], 3));
     CHECK(jobs.Count(id, "started") == 6);
-    CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+    CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
     cluster.Call(1, "DELETE", "/v1/jobs/" + id);
     CHECK(jobs.AwaitPhase(id, "cancelled"));
     REQUIRE(cluster.Control(lost, {{"revive", true}}));
   }
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
-TEST_CASE("a gang does not start before each of its members is granted") {
+TEST_CASE("a gang does not start before all of its members are granted") {
   const TestClusterSettings settings = Settings(6);
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
@@ -94,9 +96,9 @@
   REQUIRE(jobs.AwaitCoordinator(-1) >= 0);
   const std::string silent = cluster.worker_address(5);
   REQUIRE(cluster.Control(silent, {{"freeze", true}}));
-  const std::string id =
-      jobs.Submit(0, JobObserver::MakeJob("north", 6, kWholeWorker, kShortRun));
-  // The others were granted, held back, and given back.
+  const std::string id = jobs.Submit(
+      0, JobObserver::MakeJob("north", 6, kAcceleratorsPerWorker, kShortRun));
+  // The other members were granted, not started, and released.
   CHECK(
       TestCluster::Eventually([&] { return jobs.Count(id, "stopped") >= 5; }));
   CHECK(jobs.Count(id, "granted") >= 5);
@@ -104,17 +106,17 @@
   REQUIRE(cluster.Control(silent, {{"revive", true}}));
   CHECK(jobs.AwaitPhase(id, "finished"));
   CHECK(jobs.Count(id, "started") == 6);
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
-TEST_CASE("a drained worker's gang is moved whole") {
+TEST_CASE("a gang on a drained worker is moved as a whole") {
   const TestClusterSettings settings = Settings(6);
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "north", {{"kind", "account"}}));
   JobObserver jobs(&cluster, settings);
   const std::string id =
-      jobs.Submit(0, JobObserver::MakeJob("north", 2, 6, kEndless));
+      jobs.Submit(0, JobObserver::MakeJob("north", 2, 6, kUnboundedRun));
   REQUIRE(jobs.AwaitPhase(id, "running"));
   const std::vector<int> before = CurrentWorkers(&jobs, id);
   REQUIRE(before.size() == 2);
@@ -125,7 +127,7 @@
   CHECK(AwaitRunningWithout(&jobs, id, before[0], 2));
   CHECK(jobs.Count(id, "checkpointed") == 2);
   CHECK(jobs.Count(id, "started") == 4);
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 
   const std::string later =
       jobs.Submit(2, JobObserver::MakeJob("north", 3, 6, kShortRun));
@@ -133,7 +135,7 @@
   CHECK_FALSE(Contains(jobs.WorkersOf(later), before[0]));
 }
 
-TEST_CASE("a worker that fails everything is judged and avoided") {
+TEST_CASE("a worker that fails all tasks is detected and avoided") {
   const TestClusterSettings settings = Settings(12);
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
@@ -141,8 +143,9 @@
   JobObserver jobs(&cluster, settings);
   REQUIRE(
       cluster.Control(cluster.worker_address(0), {{"fail_everything", true}}));
-  // Every worker is needed, so that the bad one is tried.
-  const Json job = JobObserver::MakeJob("north", 2, kWholeWorker, kShortRun);
+  // The jobs need every worker, so that the failing one is used.
+  const Json job =
+      JobObserver::MakeJob("north", 2, kAcceleratorsPerWorker, kShortRun);
   std::vector<std::string> ids = jobs.SubmitMany(0, job, 12);
   CHECK(jobs.AwaitPhases(ids, "finished"));
   const int coordinator = jobs.AwaitCoordinator(-1);
@@ -155,10 +158,10 @@
     CAPTURE(id);
     CHECK_FALSE(Contains(jobs.WorkersOf(id), 0));
   }
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
-TEST_CASE("a checkpoint that hangs does not keep the guaranteed job waiting") {
+TEST_CASE("a hanging checkpoint does not block a guaranteed job") {
   const TestClusterSettings settings = Settings(6);
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
@@ -170,14 +173,17 @@
       0, "south", {{"kind", "account"}, {"checkpoint_deadline_ms", 1000}}));
   JobObserver jobs(&cluster, settings);
   const std::vector<std::string> borrowers = jobs.SubmitMany(
-      0, JobObserver::MakeJob("south", 3, kWholeWorker, kEndless), 2);
+      0,
+      JobObserver::MakeJob("south", 3, kAcceleratorsPerWorker, kUnboundedRun),
+      2);
   REQUIRE(jobs.AwaitPhases(borrowers, "running"));
   for (int i = 0; i < settings.workers; ++i) {
     REQUIRE(cluster.Control(cluster.worker_address(i),
                             {{"hang_checkpoint", true}}));
   }
-  const std::string guaranteed =
-      jobs.Submit(1, JobObserver::MakeJob("north", 2, kWholeWorker, kEndless));
+  const std::string guaranteed = jobs.Submit(
+      1,
+      JobObserver::MakeJob("north", 2, kAcceleratorsPerWorker, kUnboundedRun));
   CHECK(jobs.AwaitPhase(guaranteed, "running"));
   const int stopped =
       jobs.Count(borrowers[0], "stopped") + jobs.Count(borrowers[1], "stopped");
@@ -188,19 +194,19 @@
   CHECK(jobs.Count(borrowers[0], "checkpointed") +
             jobs.Count(borrowers[1], "checkpointed") ==
         0);
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
-TEST_CASE("waves of cancellations, and jobs that cannot run") {
+TEST_CASE("many cancellations at a time, and jobs that cannot run") {
   const TestClusterSettings settings = Settings(6);
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "north", {{"kind", "account"}}));
   JobObserver jobs(&cluster, settings);
 
-  const auto impossible =
-      cluster.Call(0, "POST", "/v1/jobs",
-                   JobObserver::MakeJob("north", 7, kWholeWorker, kShortRun));
+  const auto impossible = cluster.Call(
+      0, "POST", "/v1/jobs",
+      JobObserver::MakeJob("north", 7, kAcceleratorsPerWorker, kShortRun));
   REQUIRE(impossible.has_value());
   CHECK(impossible->status == 422);
   const Json problem = ParseJson(impossible->body).value_or(Json::object());
@@ -211,12 +217,15 @@
   CHECK(jobs.AwaitPhase(failed, "failed"));
   CHECK_FALSE(StringField(jobs.Job(failed), "reason").value_or("").empty());
 
-  // Half of them are cancelled while what they wait for comes free.
-  const std::string blocker =
-      jobs.Submit(0, JobObserver::MakeJob("north", 6, kWholeWorker, kEndless));
+  // Half of the waiting jobs are cancelled while the blocker releases its
+  // workers.
+  const std::string blocker = jobs.Submit(
+      0,
+      JobObserver::MakeJob("north", 6, kAcceleratorsPerWorker, kUnboundedRun));
   REQUIRE(jobs.AwaitPhase(blocker, "running"));
   const std::vector<std::string> ids = jobs.SubmitMany(
-      0, JobObserver::MakeJob("north", 2, kWholeWorker, kShortRun), 40);
+      0, JobObserver::MakeJob("north", 2, kAcceleratorsPerWorker, kShortRun),
+      40);
   std::vector<int64_t> answered(ids.size(), 0);
   std::vector<std::thread> callers;
   callers.reserve(static_cast<size_t>(settings.entries));
@@ -252,7 +261,7 @@
     const int64_t cancelled_ms = answered[at - ids.begin()];
     CHECK((cancelled_ms == 0 || event.time_ms <= cancelled_ms));
   }
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
 }  // namespace
--- a/tests/integration/tst_jobs_guarantees.cc
+++ b/tests/integration/tst_jobs_guarantees.cc
@@ -1,4 +1,4 @@
-// Guarantees, urgent jobs and events with everything full, and the log's
+// Guarantees, urgent jobs and events while all accelerators are in use, and log
 // outages and lost answers.
 #include <doctest/doctest.h>
 
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr int kWorkers = 6;
-constexpr int kWholeWorker = 8;
-constexpr Milliseconds kEndless{600000};
+constexpr int kAcceleratorsPerWorker = 8;
+constexpr Milliseconds kUnboundedRun{600000};
 constexpr Milliseconds kShortRun{300};
 constexpr Milliseconds kLeaseTerm{3000};
-constexpr Milliseconds kSurvivorBound{9550};
+constexpr Milliseconds kSurvivorStopLimit{9550};
 constexpr int kShortfallEvent = 509;
 
 TestClusterSettings Settings() {
@@ -39,7 +39,7 @@
 
 Json RackShape(int members) {
   return {{"members", members},
-          {"accelerators", kWholeWorker},
+          {"accelerators", kAcceleratorsPerWorker},
           {"adjacency", "rack"},
           {"count", 1}};
 }
@@ -49,21 +49,22 @@
 }
 
 Json RackJob(const std::string& account, Milliseconds run) {
-  Json job = JobObserver::MakeJob(account, 3, kWholeWorker, run);
+  Json job = JobObserver::MakeJob(account, 3, kAcceleratorsPerWorker, run);
   job["adjacency"] = "rack";
   return job;
 }
 
-// Fills every accelerator with jobs of one account.
-std::vector<std::string> Fill(JobObserver* jobs, const std::string& account) {
-  const std::vector<std::string> ids =
-      jobs->SubmitMany(0, JobObserver::MakeJob(account, 2, 4, kEndless), 6);
+// Starts jobs of one account on all accelerators.
+std::vector<std::string> FillAccelerators(JobObserver* jobs,
+                                          const std::string& account) {
+  const std::vector<std::string> ids = jobs->SubmitMany(
+      0, JobObserver::MakeJob(account, 2, 4, kUnboundedRun), 6);
   REQUIRE(jobs->AwaitPhases(ids, "running"));
   return ids;
 }
 
-// "status body" of an answer, for the report of a failed check.
-std::string Text(const std::optional<HttpResponse>& response) {
+// Status and body of an answer, for the message of a failed check.
+std::string Describe(const std::optional<HttpResponse>& response) {
   if (!response.has_value()) return "no answer";
   return std::to_string(response->status) + " " + response->body;
 }
@@ -74,23 +75,26 @@
          !response->headers.Value("Retry-After").empty();
 }
 
-TEST_CASE("with everything full, guaranteed and urgent jobs start") {
+TEST_CASE(
+    "guaranteed and urgent jobs start while all accelerators are in use") {
   const TestClusterSettings settings = Settings();
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "north", Account(Json::array({RackShape(3)}))));
   REQUIRE(cluster.PutNode(0, "south", Account()));
   JobObserver jobs(&cluster, settings);
-  const std::vector<std::string> borrowers = Fill(&jobs, "south");
+  const std::vector<std::string> borrowers = FillAccelerators(&jobs, "south");
 
-  const std::string guaranteed = jobs.Submit(1, RackJob("north", kEndless));
+  const std::string guaranteed =
+      jobs.Submit(1, RackJob("north", kUnboundedRun));
   CHECK(jobs.AwaitPhase(guaranteed, "running"));
-  Json job = JobObserver::MakeJob("south", 2, kWholeWorker, kEndless);
+  Json job =
+      JobObserver::MakeJob("south", 2, kAcceleratorsPerWorker, kUnboundedRun);
   job["priority"] = "urgent";
   const std::string urgent = jobs.Submit(2, job);
   CHECK(jobs.AwaitPhase(urgent, "running"));
 
-  // What was reclaimed was saved first, waits again, and has not failed.
+  // Reclaimed jobs wrote a checkpoint, and wait again instead of failing.
   int checkpointed = 0;
   for (const std::string& id : borrowers) {
     CAPTURE(id);
@@ -101,7 +105,7 @@
   CHECK(checkpointed >= 5);
   CHECK(jobs.Phase(guaranteed) == "running");
   CHECK(jobs.Count(guaranteed, "started") == 3);
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
 TEST_CASE("guarantees that do not fit together are refused when declared") {
@@ -112,14 +116,14 @@
   const auto refused = cluster.Call(1, "PUT", "/v1/settings/south",
                                     Account(Json::array({RackShape(4)})));
   REQUIRE(refused.has_value());
-  INFO(Text(refused));
+  INFO(Describe(refused));
   CHECK(refused->status == 400);
   const Json problem = ParseJson(refused->body).value_or(Json::object());
   const Json* reasons = ArrayField(problem, "reasons");
   REQUIRE(reasons != nullptr);
   CHECK(reasons->size() == 1);
 
-  // Each of these fits beside north, both do not.
+  // Each of these guarantees fits beside the one of north, but not both.
   const std::vector<std::string> names = {"east", "west"};
   std::vector<int> statuses(names.size(), 0);
   std::vector<std::thread> operators;
@@ -141,18 +145,18 @@
   CHECK(declared <= 1);
 }
 
-TEST_CASE("through an outage of the log work goes on and urgent jobs start") {
+TEST_CASE("during a log outage running jobs continue and urgent jobs start") {
   const TestClusterSettings settings = Settings();
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "south", Account()));
   JobObserver jobs(&cluster, settings);
-  const std::vector<std::string> running = Fill(&jobs, "south");
+  const std::vector<std::string> running = FillAccelerators(&jobs, "south");
 
   REQUIRE(cluster.Control(cluster.log_address(), {{"outage", true}}));
   const int64_t outage_ms = NowMs();
   std::vector<std::string> urgent;
-  // The first one comes before any entry has noticed the outage.
+  // The first job is submitted before any entry has noticed the outage.
   Json early = JobObserver::MakeJob("south", 2, 4, kShortRun);
   early["id"] = "urgent-early";
   early["priority"] = "urgent";
@@ -194,17 +198,17 @@
     CHECK(event.type != "lapsed");
     CHECK(event.job_id.rfind("refused-", 0) != 0);
   }
-  // What did not have to give way to urgent jobs was never touched.
+  // Jobs that did not have to make room for urgent ones were not stopped.
   int untouched = 0;
   for (const std::string& id : running) {
     if (jobs.Count(id, "stopped") == 0) ++untouched;
     CHECK(jobs.AwaitPhase(id, "running"));
   }
   CHECK(untouched >= 3);
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
-TEST_CASE("lost answers of the log and of workers place nothing twice") {
+TEST_CASE("lost answers of the log and of workers cause no second placement") {
   const TestClusterSettings settings = Settings();
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
@@ -218,13 +222,13 @@
                             {{"lose_replies", 1}}));
     Json job = JobObserver::MakeJob("south", 2, 4, kShortRun);
     job["id"] = "lost-" + std::to_string(i);
-    // The caller repeats it elsewhere, whatever it was told.
+    // The caller repeats the submission at other entries, whatever the answer.
     for (int entry = 0; entry < 2; ++entry) {
       cluster.Call((i + entry) % settings.entries, "POST", "/v1/jobs", job);
     }
     const auto last =
         cluster.Call((i + 2) % settings.entries, "POST", "/v1/jobs", job);
-    INFO(Text(last));
+    INFO(Describe(last));
     REQUIRE(last.has_value());
     CHECK(last->status == 202);
     ids.push_back("lost-" + std::to_string(i));
@@ -235,25 +239,26 @@
     CHECK(jobs.Count(id, "started") == 2);
     CHECK(jobs.Count(id, "finished") == 2);
   }
-  // Nothing ran under another id either.
+  // Nothing ran under another job id either.
   int started = 0;
   for (const LeaseEvent& event : jobs.History()) {
     if (event.type == "started") ++started;
   }
   CHECK(started == 2 * static_cast<int>(ids.size()));
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
-TEST_CASE("an event finds its accelerators free at its start") {
+TEST_CASE("an event's accelerators are free when it starts") {
   const TestClusterSettings settings = Settings();
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "north", Account()));
   REQUIRE(cluster.PutNode(0, "south", Account()));
   JobObserver jobs(&cluster, settings);
-  const std::vector<std::string> borrowers = Fill(&jobs, "south");
+  const std::vector<std::string> borrowers = FillAccelerators(&jobs, "south");
 
-  // Without a measured checkpoint 10 s are assumed, and half of that more.
+  // Accelerators are reclaimed in time for a checkpoint. Until one was measured
+  // it is assumed to take 10 s, plus half of that as margin.
   const int64_t start_ms = NowMs() + 18000;
   const auto declared = cluster.Call(1, "PUT", "/v1/events/opening",
                                      {{"account", "north"},
@@ -274,7 +279,7 @@
          })));
 
   AwaitTime(start_ms);
-  Json job = RackJob("north", kEndless);
+  Json job = RackJob("north", kUnboundedRun);
   job["event"] = "opening";
   const std::string opened = jobs.Submit(2, job);
   CHECK(jobs.AwaitPhase(opened, "running"));
@@ -288,7 +293,7 @@
     ++moved;
   }
   CHECK(moved >= 6);
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
 }  // namespace
--- a/tests/integration/tst_jobs_takeover.cc
+++ b/tests/integration/tst_jobs_takeover.cc
@@ -1,4 +1,4 @@
-// Jobs across the death, the pause and the restart of entries.
+// Jobs while entries are killed, suspended and restarted.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr int kWorkers = 6;
-constexpr int kWholeWorker = 8;
-// Long enough to be running still when a takeover is done.
+constexpr int kAcceleratorsPerWorker = 8;
+// Long enough that the job is still running after a takeover.
 constexpr Milliseconds kLongRun{12000};
 constexpr Milliseconds kShortRun{300};
-constexpr Milliseconds kSurvivorBound{24000};
+constexpr Milliseconds kSurvivorStopLimit{24000};
 
 TestClusterSettings Settings(int lease_term_ms) {
   TestClusterSettings settings;
@@ -28,7 +28,7 @@
   return settings;
 }
 
-// Every member of the job was started once, and what ended it was its own end.
+// Checks that every member of the job was started once and finished by itself.
 void CheckRanOnceUndisturbed(JobObserver* jobs, const std::string& id,
                              int members) {
   std::map<std::string, std::vector<std::string>> leases;
@@ -51,7 +51,8 @@
   return gang_id.rfind("g" + std::to_string(epoch) + "-", 0) == 0;
 }
 
-TEST_CASE("an acknowledged job outlives its entry and the coordinator") {
+TEST_CASE(
+    "an acknowledged job survives the loss of its entry and the coordinator") {
   const TestClusterSettings settings = Settings(15000);
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
@@ -59,15 +60,17 @@
   JobObserver jobs(&cluster, settings);
   const int coordinator = jobs.AwaitCoordinator(-1);
   REQUIRE(coordinator >= 0);
-  const int taker = (coordinator + 1) % settings.entries;
+  const int accepting_entry = (coordinator + 1) % settings.entries;
 
   const std::string running = jobs.Submit(
-      taker, JobObserver::MakeJob("north", 4, kWholeWorker, kLongRun));
+      accepting_entry,
+      JobObserver::MakeJob("north", 4, kAcceleratorsPerWorker, kLongRun));
   REQUIRE(jobs.AwaitPhase(running, "running"));
   const std::string waiting = jobs.Submit(
-      taker, JobObserver::MakeJob("north", 3, kWholeWorker, kShortRun));
+      accepting_entry,
+      JobObserver::MakeJob("north", 3, kAcceleratorsPerWorker, kShortRun));
   REQUIRE_FALSE(waiting.empty());
-  cluster.entry(taker).Kill();
+  cluster.entry(accepting_entry).Kill();
   cluster.entry(coordinator).Kill();
 
   const int successor = jobs.AwaitCoordinator(coordinator);
@@ -76,10 +79,11 @@
   CHECK(jobs.AwaitPhase(waiting, "finished"));
   CheckRanOnceUndisturbed(&jobs, running, 4);
   CheckRanOnceUndisturbed(&jobs, waiting, 3);
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
-TEST_CASE("a coordinator that was paused past its epoch starts nothing") {
+TEST_CASE(
+    "a coordinator suspended beyond the end of its epoch starts nothing") {
   const TestClusterSettings settings = Settings(6000);
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
@@ -88,17 +92,20 @@
   const int former = jobs.AwaitCoordinator(-1);
   REQUIRE(former >= 0);
 
-  // The running gang ends while the former coordinator is paused, so that it
-  // would place the waiting ones at once when it goes on.
+  // The running gang ends while the former coordinator is suspended, so that it
+  // would place the waiting jobs as soon as it resumes.
   const std::string running = jobs.Submit(
-      0, JobObserver::MakeJob("north", kWorkers, kWholeWorker, kLongRun / 2));
+      0, JobObserver::MakeJob("north", kWorkers, kAcceleratorsPerWorker,
+                              kLongRun / 2));
   REQUIRE(jobs.AwaitPhase(running, "running"));
   const std::vector<std::string> waiting = jobs.SubmitMany(
-      0, JobObserver::MakeJob("north", kWorkers, kWholeWorker, kShortRun * 5),
+      0,
+      JobObserver::MakeJob("north", kWorkers, kAcceleratorsPerWorker,
+                           kShortRun * 5),
       3);
   const int64_t old_epoch = jobs.NewestEpoch(0);
-  cluster.entry(former).Freeze();
-  jobs.Avoid(former);
+  cluster.entry(former).Suspend();
+  jobs.ExcludeEntry(former);
   const int successor = jobs.AwaitCoordinator(former);
   REQUIRE(successor >= 0);
   for (int worker = 0; worker < kWorkers; ++worker) {
@@ -108,7 +115,7 @@
   }
   CHECK(TestCluster::Eventually(
       [&] { return jobs.Count(waiting[0], "started") == kWorkers; }));
-  cluster.entry(former).Thaw();
+  cluster.entry(former).Resume();
 
   CHECK(jobs.AwaitPhase(running, "finished"));
   CheckRanOnceUndisturbed(&jobs, running, kWorkers);
@@ -126,21 +133,21 @@
     }
     CHECK_FALSE(IsOfEpoch(event.gang_id, old_epoch));
   }
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
-TEST_CASE("jobs are there and running ones go on when all entries restart") {
+TEST_CASE("jobs survive a restart of all entries, and running ones continue") {
   const TestClusterSettings settings = Settings(15000);
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
   REQUIRE(cluster.PutNode(0, "north", {{"kind", "account"}}));
   JobObserver jobs(&cluster, settings);
   REQUIRE(jobs.AwaitCoordinator(-1) >= 0);
-  const std::string running =
-      jobs.Submit(0, JobObserver::MakeJob("north", 4, kWholeWorker, kLongRun));
+  const std::string running = jobs.Submit(
+      0, JobObserver::MakeJob("north", 4, kAcceleratorsPerWorker, kLongRun));
   REQUIRE(jobs.AwaitPhase(running, "running"));
-  const std::string waiting =
-      jobs.Submit(1, JobObserver::MakeJob("north", 3, kWholeWorker, kShortRun));
+  const std::string waiting = jobs.Submit(
+      1, JobObserver::MakeJob("north", 3, kAcceleratorsPerWorker, kShortRun));
   REQUIRE_FALSE(waiting.empty());
 
   for (int i = 0; i < settings.entries; ++i) cluster.entry(i).Kill();
@@ -152,7 +159,7 @@
   CHECK(jobs.AwaitPhase(waiting, "finished"));
   CheckRanOnceUndisturbed(&jobs, running, 4);
   CheckRanOnceUndisturbed(&jobs, waiting, 3);
-  CHECK(jobs.CheckGangs(kSurvivorBound) == "");
+  CHECK(jobs.CheckGangs(kSurvivorStopLimit) == "");
 }
 
 }  // namespace
--- a/tests/integration/tst_requests_history.cc
+++ b/tests/integration/tst_requests_history.cc
@@ -1,6 +1,6 @@
-// A history of concurrent requests under many faults, checked against the
-// executors' own records of what ran. The load and the faults come from one
-// seed; the interleaving of the processes does not.
+// Checks a history of concurrent requests under many faults against the records
+// of the executors. Load and faults are drawn from one seed; the interleaving
+// of the processes is not reproducible.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -14,7 +14,7 @@
 #include "history/history_checker.h"
 #include "loadgen/load_generator.h"
 #include "net/io_pool.h"
-#include "request_calls.h"
+#include "request_client.h"
 #include "test_cluster.h"
 
 namespace thornplank {
@@ -26,14 +26,14 @@
 constexpr double kRate = 50;
 constexpr Milliseconds kLoadTime{26000};
 
-// Injects one fault after the other, and ends each.
+// Injects one random fault at a time and ends it before the next.
 class FaultInjector {
  public:
   explicit FaultInjector(TestCluster* cluster)
       : cluster_(cluster), random_(kSeed) {}
 
   void Run(const std::future<std::vector<HistoryRecord>>& load) {
-    while (load.wait_for(Below(300)) != std::future_status::ready) InjectOne();
+    while (load.wait_for(Delay(300)) != std::future_status::ready) InjectOne();
   }
 
   std::string Summary() const {
@@ -48,41 +48,41 @@
  private:
   using Fault = void (FaultInjector::*)();
 
-  Milliseconds Below(int limit) {
+  Milliseconds Delay(int limit) {
     return Milliseconds(std::uniform_int_distribution<int>(50, limit)(random_));
   }
-  int Pick(int count) {
+  int PickIndex(int count) {
     return std::uniform_int_distribution<int>(0, count - 1)(random_);
   }
 
   void InjectOne() {
     constexpr Fault kFaults[] = {
-        &FaultInjector::KillEntry, &FaultInjector::FreezeEntry,
-        &FaultInjector::StopLog,   &FaultInjector::LoseReplies,
-        &FaultInjector::Silence,   &FaultInjector::CutExecutor,
-        &FaultInjector::Answers,   &FaultInjector::Answers};
-    (this->*kFaults[Pick(std::size(kFaults))])();
+        &FaultInjector::KillEntry,       &FaultInjector::SuspendEntry,
+        &FaultInjector::StopLog,         &FaultInjector::LoseReplies,
+        &FaultInjector::SilenceExecutor, &FaultInjector::CutExecutor,
+        &FaultInjector::CorruptAnswers,  &FaultInjector::CorruptAnswers};
+    (this->*kFaults[PickIndex(std::size(kFaults))])();
   }
 
   void KillEntry() {
-    const int entry = Pick(kEntries);
+    const int entry = PickIndex(kEntries);
     cluster_->entry(entry).Kill();
-    std::this_thread::sleep_for(Below(800));
+    std::this_thread::sleep_for(Delay(800));
     cluster_->StartEntry(entry);
     ++injected_["kills and restarts of an entry"];
   }
 
-  void FreezeEntry() {
-    const int entry = Pick(kEntries);
-    cluster_->entry(entry).Freeze();
-    std::this_thread::sleep_for(Below(3000));
-    cluster_->entry(entry).Thaw();
-    ++injected_["freezes of an entry"];
+  void SuspendEntry() {
+    const int entry = PickIndex(kEntries);
+    cluster_->entry(entry).Suspend();
+    std::this_thread::sleep_for(Delay(3000));
+    cluster_->entry(entry).Resume();
+    ++injected_["suspensions of an entry"];
   }
 
   void StopLog() {
     cluster_->Control(cluster_->log_address(), {{"outage", true}});
-    std::this_thread::sleep_for(Below(1500));
+    std::this_thread::sleep_for(Delay(1500));
     cluster_->Control(cluster_->log_address(), {{"outage", false}});
     ++injected_["log outages"];
   }
@@ -92,33 +92,33 @@
     ++injected_["losses of 4 log replies"];
   }
 
-  void Silence() {
-    cluster_->Control(cluster_->executor_proxy_control(Pick(kExecutors)),
+  void SilenceExecutor() {
+    cluster_->Control(cluster_->executor_proxy_control(PickIndex(kExecutors)),
                       {{"silent_existing", true}});
     ++injected_["silences of an executor's connections"];
   }
 
   void CutExecutor() {
     const std::string proxy =
-        cluster_->executor_proxy_control(Pick(kExecutors));
+        cluster_->executor_proxy_control(PickIndex(kExecutors));
     cluster_->Control(proxy, {{"cut", true}});
-    std::this_thread::sleep_for(Below(500));
+    std::this_thread::sleep_for(Delay(500));
     cluster_->Control(proxy, {{"heal", true}});
     ++injected_["cuts of an executor"];
   }
 
-  void Answers() {
+  void CorruptAnswers() {
     constexpr const char* kAnswerFaults[] = {"cross_next", "truncate_next",
                                              "close_after_request"};
-    const char* fault = kAnswerFaults[Pick(std::size(kAnswerFaults))];
-    cluster_->Control(cluster_->executor_address(Pick(kExecutors)),
+    const char* fault = kAnswerFaults[PickIndex(std::size(kAnswerFaults))];
+    cluster_->Control(cluster_->executor_address(PickIndex(kExecutors)),
                       {{fault, 4}});
     ++injected_[std::string("rounds of 4 ") + fault];
   }
 
   TestCluster* cluster_;
   std::mt19937_64 random_;
-  // Faults injected, by kind.
+  // Number of injected faults by kind.
   std::map<std::string, int> injected_;
 };
 
@@ -173,7 +173,7 @@
   CHECK(verdict.answered_without_run == 0);
   CHECK(verdict.double_runs == 0);
   CHECK(verdict.false_not_run == 0);
-  // The run was one of failures, and not one of failures alone.
+  // Faults had an effect, but most requests were answered.
   CHECK(verdict.requests >= 1300);
   CHECK(verdict.answered > verdict.requests / 2);
   CHECK(verdict.answered < verdict.requests);
--- a/tests/integration/tst_requests_shutdown.cc
+++ b/tests/integration/tst_requests_shutdown.cc
@@ -1,5 +1,5 @@
-// Rolling replacement of all entries under load: no request that an entry took
-// is cut off or lost.
+// Rolling restart of all entries under load: no request that an entry accepted
+// is aborted or lost.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "client/api_client.h"
-#include "request_calls.h"
+#include "request_client.h"
 #include "test_cluster.h"
 
 namespace thornplank {
@@ -21,43 +21,44 @@
 constexpr int kEntries = 3;
 constexpr int kCallers = 9;
 
-struct Asked {
-  CallerAsk ask;
-  CallerTold told;
+struct SentRequest {
+  TestRequest request;
+  RequestResult result;
 };
 
-// Sends one request after the other until `*stop`, on kept connections. The
-// next entry is tried only when a request provably did not leave.
-std::vector<Asked> SendUntil(const TestCluster& cluster, int caller,
-                             const std::atomic<bool>* stop) {
+// Sends one request after the other until `*stop`, on persistent connections.
+// The client tries the next entry only if a request was certainly not sent.
+std::vector<SentRequest> SendUntil(const TestCluster& cluster, int caller,
+                                   const std::atomic<bool>* stop) {
   ApiClientSettings settings;
   settings.token = "operator-secret";
   for (int i = 0; i < kEntries; ++i) {
     settings.entries.push_back(cluster.entry_address((caller + i) % kEntries));
   }
   ApiClient client(settings);
-  std::vector<Asked> all;
+  std::vector<SentRequest> all;
   while (!*stop) {
     const std::string id =
         std::to_string(caller) + "-" + std::to_string(all.size());
-    const CallerAsk ask{0, id, caller % 3 == 0 ? id : "", Milliseconds(8000)};
-    const auto response = client.Send("POST", kRequestTarget, BodyOf(ask),
-                                      HeadersOf(ask), nullptr);
-    all.push_back({ask, ReadTold(ask, response)});
+    const TestRequest request{0, id, caller % 3 == 0 ? id : "",
+                              Milliseconds(8000)};
+    const auto response = client.Send("POST", kRequestTarget, BodyOf(request),
+                                      HeadersOf(request), nullptr);
+    all.push_back({request, ParseResult(request, response)});
   }
   return all;
 }
 
-TEST_CASE("replacing every entry under load cuts off no request") {
+TEST_CASE("a rolling restart under load aborts no request") {
   TestClusterSettings settings;
-  // Long enough that some are in flight at every shutdown.
+  // Long enough that some requests are in flight at every shutdown.
   settings.service_time_ms = 250;
   TestCluster cluster{settings};
   REQUIRE(cluster.Start());
   REQUIRE(PrepareRequestAccount(&cluster, kEntries));
 
   std::atomic<bool> stop{false};
-  std::vector<std::future<std::vector<Asked>>> callers;
+  std::vector<std::future<std::vector<SentRequest>>> callers;
   callers.reserve(kCallers);
   for (int i = 0; i < kCallers; ++i) {
     callers.push_back(std::async(std::launch::async, SendUntil,
@@ -80,24 +81,25 @@
 
   size_t requests = 0;
   size_t answered = 0;
-  std::vector<Asked> all;
+  std::vector<SentRequest> all;
   for (auto& caller : callers) {
-    for (Asked& asked : caller.get()) all.push_back(std::move(asked));
+    for (SentRequest& sent : caller.get()) all.push_back(std::move(sent));
   }
   const RunCounts runs = CountRuns(&cluster);
-  for (const Asked& asked : all) {
-    CAPTURE(asked.ask.id);
-    CAPTURE(asked.told.body);
+  for (const SentRequest& sent : all) {
+    CAPTURE(sent.request.id);
+    CAPTURE(sent.result.body);
     ++requests;
-    CHECK(asked.told.outcome != Outcome::kNoAnswer);
-    CHECK(asked.told.outcome != Outcome::kUnknown);
-    if (asked.told.outcome == Outcome::kAnswered) {
+    CHECK(sent.result.outcome != Outcome::kNoAnswer);
+    CHECK(sent.result.outcome != Outcome::kUnknown);
+    if (sent.result.outcome == Outcome::kAnswered) {
       ++answered;
-      CHECK(asked.told.own_answer);
+      CHECK(sent.result.own_answer);
     }
-    // Once, as nothing failed: not sent again, and not lost.
-    CHECK(runs.OfId(asked.ask.id) ==
-          (asked.told.outcome == Outcome::kAnswered ? 1 : 0));
+    // Exactly one run for each answer, since no executor failed: no request was
+    // sent twice or lost.
+    CHECK(runs.OfId(sent.request.id) ==
+          (sent.result.outcome == Outcome::kAnswered ? 1 : 0));
   }
   MESSAGE(requests << " requests, " << answered << " answered, " << in_flight
                    << " in flight when a shutdown began");
--- a/tests/integration/tst_requests_upstream_faults.cc
+++ b/tests/integration/tst_requests_upstream_faults.cc
@@ -1,6 +1,6 @@
-// What callers get when one executor of several has a fault: an idempotent
-// request its own whole answer, a non-idempotent one a true outcome; and an
-// executor that leaves gets no new work.
+// Requests while one of several executors is faulty: an idempotent request gets
+// its own complete answer, a non-idempotent one the correct outcome. An
+// executor that is leaving gets no new work.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -12,7 +12,7 @@
 #include "history/history_checker.h"
 #include "loadgen/load_generator.h"
 #include "net/io_pool.h"
-#include "request_calls.h"
+#include "request_client.h"
 #include "test_cluster.h"
 
 namespace thornplank {
@@ -23,16 +23,16 @@
 constexpr int kMinRounds = 2;
 constexpr int kMaxRounds = 12;
 constexpr Milliseconds kDeadline{3000};
-// Events that say that an executor's fault was met.
+// Numbers of the events that entries log when they meet an executor's fault.
 constexpr int kFaultEvents[] = {304, 307, 412};
 
 struct FaultRow {
   std::string name;
   Json executor;
   Json proxy;
-  // Whether the fault can strike after the send. If not, a request with a key
-  // is told "answered" or "not run".
-  bool after_send = true;
+  // Whether the fault can occur after the request was sent. If not, the outcome
+  // of a request with a key is known: "answered" or "not run".
+  bool hits_after_send = true;
 };
 
 const std::vector<FaultRow>& FaultRows() {
@@ -56,7 +56,7 @@
   return rows;
 }
 
-const Json& NoFaults() {
+const Json& ClearedFaults() {
   static const Json none = {{"late_ms", 0},       {"cross_next", 0},
                             {"truncate_next", 0}, {"fail_fast", false},
                             {"leaving", false},   {"silent", false},
@@ -64,7 +64,8 @@
   return none;
 }
 
-size_t FaultsMet(const TestCluster& cluster, const std::string& executor) {
+size_t CountFaultEvents(const TestCluster& cluster,
+                        const std::string& executor) {
   size_t count = 0;
   for (int entry = 0; entry < kEntries; ++entry) {
     for (int number : kFaultEvents) {
@@ -90,47 +91,50 @@
   return load;
 }
 
-struct Asked {
-  CallerAsk ask;
-  CallerTold told;
+struct SentRequest {
+  TestRequest request;
+  RequestResult result;
 };
 
-// Six requests at each entry at the same moment, two of them with a key.
-std::vector<Asked> AskRound(TestCluster* cluster, const std::string& name) {
-  std::vector<Asked> round;
-  std::vector<std::future<CallerTold>> waiting;
+// Sends six concurrent requests to each entry, two of them with a key.
+std::vector<SentRequest> SendRound(TestCluster* cluster,
+                                   const std::string& name) {
+  std::vector<SentRequest> round;
+  std::vector<std::future<RequestResult>> futures;
   for (int i = 0; i < 6 * kEntries; ++i) {
     const std::string id = name + "-" + std::to_string(i);
-    const CallerAsk ask{i % kEntries, id, i < 2 * kEntries ? id : "",
-                        kDeadline};
-    round.push_back({ask, CallerTold()});
-    waiting.push_back(AskEntryLater(cluster, ask));
+    const TestRequest request{i % kEntries, id, i < 2 * kEntries ? id : "",
+                              kDeadline};
+    round.push_back({request, RequestResult()});
+    futures.push_back(SendToEntryAsync(cluster, request));
   }
-  for (size_t i = 0; i < round.size(); ++i) round[i].told = waiting[i].get();
+  for (size_t i = 0; i < round.size(); ++i) round[i].result = futures[i].get();
   return round;
 }
 
-void CheckRound(const FaultRow& row, const std::vector<Asked>& round,
+void CheckRound(const FaultRow& row, const std::vector<SentRequest>& round,
                 const RunCounts& runs) {
-  for (const Asked& asked : round) {
-    CAPTURE(asked.ask.id);
-    CAPTURE(asked.told.status);
-    CAPTURE(asked.told.body.substr(0, 300));
-    if (asked.ask.key.empty()) {
-      CHECK(asked.told.outcome == Outcome::kAnswered);
-      CHECK(asked.told.own_answer);
-      CHECK(runs.OfId(asked.ask.id) >= 1);
+  for (const SentRequest& sent : round) {
+    CAPTURE(sent.request.id);
+    CAPTURE(sent.result.status);
+    CAPTURE(sent.result.body.substr(0, 300));
+    if (sent.request.key.empty()) {
+      CHECK(sent.result.outcome == Outcome::kAnswered);
+      CHECK(sent.result.own_answer);
+      CHECK(runs.OfId(sent.request.id) >= 1);
       continue;
     }
-    CHECK(asked.told.outcome != Outcome::kNoAnswer);
-    if (!row.after_send) CHECK(asked.told.outcome != Outcome::kUnknown);
-    const int count = runs.OfKey(asked.ask.key);
-    // A whole answer of 500 is the executor's own; it doesn't say what ran.
-    if (asked.told.outcome == Outcome::kAnswered && asked.told.status == 500) {
+    CHECK(sent.result.outcome != Outcome::kNoAnswer);
+    if (!row.hits_after_send) CHECK(sent.result.outcome != Outcome::kUnknown);
+    const int count = runs.OfKey(sent.request.key);
+    // A complete answer with status 500 comes from the executor and does not
+    // tell whether the request ran.
+    if (sent.result.outcome == Outcome::kAnswered &&
+        sent.result.status == 500) {
       CHECK(count <= 1);
       continue;
     }
-    CheckKeyTruthful(asked.ask.key, count, {asked.told});
+    CheckKeyOutcomes(sent.request.key, count, {sent.result});
   }
 }
 
@@ -149,47 +153,47 @@
     CAPTURE(row.name);
     target = (target + 1) % kExecutors;
     const std::string executor = "x" + std::to_string(target);
-    // Healthy traffic opens connections that can fall silent, and earns the
-    // retries of this row: budgets allow a share of fresh requests only. Then
-    // the time passes for which a connection counts as proved live.
+    // Requests without faults open connections that can become silent, and fill
+    // the retry budget for this row, which is a share of the first attempts.
+    // Then the test waits until no connection is regarded as recently verified.
     LoadGenerator(pool, SteadyLoad(cluster, 800, Milliseconds(600))).Run();
     std::this_thread::sleep_for(Milliseconds(700));
-    const size_t met = FaultsMet(cluster, executor);
+    const size_t met = CountFaultEvents(cluster, executor);
     REQUIRE(cluster.Control(cluster.executor_address(target), row.executor));
     REQUIRE(cluster.Control(cluster.executor_proxy_control(target), row.proxy));
     int rounds = 0;
     const auto done = [&] {
-      return rounds >= kMinRounds && FaultsMet(cluster, executor) > met;
+      return rounds >= kMinRounds && CountFaultEvents(cluster, executor) > met;
     };
     while (rounds < kMaxRounds && !done()) {
       const std::string name = row.name + std::to_string(rounds++);
-      const std::vector<Asked> round = AskRound(&cluster, name);
+      const std::vector<SentRequest> round = SendRound(&cluster, name);
       CheckRound(row, round, CountRuns(&cluster));
     }
-    CHECK(FaultsMet(cluster, executor) > met);
+    CHECK(CountFaultEvents(cluster, executor) > met);
     MESSAGE(row.name << ": met in " << rounds << " rounds of 18 requests");
-    REQUIRE(cluster.Control(cluster.executor_address(target), NoFaults()));
+    REQUIRE(cluster.Control(cluster.executor_address(target), ClearedFaults()));
     const std::string proxy = cluster.executor_proxy_control(target);
     REQUIRE(cluster.Control(proxy, {{"cut", true}}));
     REQUIRE(cluster.Control(proxy, {{"heal", true}}));
   }
 }
 
-struct WorkGiven {
+struct ReceivedWork {
   int64_t runs = 0;
   int64_t refused = 0;
-  bool operator==(const WorkGiven& other) const {
+  bool operator==(const ReceivedWork& other) const {
     return runs == other.runs && refused == other.refused;
   }
 };
 
-WorkGiven WorkOf(TestCluster* cluster, int executor) {
+ReceivedWork ReceivedWorkOf(TestCluster* cluster, int executor) {
   const Json state = cluster->ControlState(cluster->executor_address(executor));
   return {IntField(state, "runs_total").value_or(-1),
           IntField(state, "refused").value_or(-1)};
 }
 
-TEST_CASE("an executor that leaves gets no new work") {
+TEST_CASE("a leaving executor gets no new work") {
   TestClusterSettings settings;
   settings.executors = kExecutors;
   TestCluster cluster{settings};
@@ -203,16 +207,16 @@
   auto running =
       std::async(std::launch::async, [&] { return generator.Run(); });
 
-  REQUIRE(
-      TestCluster::Eventually([&] { return WorkOf(&cluster, 1).runs > 10; }));
+  REQUIRE(TestCluster::Eventually(
+      [&] { return ReceivedWorkOf(&cluster, 1).runs > 10; }));
   REQUIRE(cluster.Control(cluster.executor_address(1), {{"leaving", true}}));
   std::this_thread::sleep_for(std::chrono::seconds(4));
-  const WorkGiven shortly_after = WorkOf(&cluster, 1);
-  const WorkGiven neighbour = WorkOf(&cluster, 2);
+  const ReceivedWork shortly_after = ReceivedWorkOf(&cluster, 1);
+  const ReceivedWork neighbour = ReceivedWorkOf(&cluster, 2);
   const std::vector<HistoryRecord> history = running.get();
-  // Neither run nor refused: nothing was sent to it.
-  CHECK(WorkOf(&cluster, 1) == shortly_after);
-  CHECK(WorkOf(&cluster, 2).runs > neighbour.runs + 20);
+  // It neither ran nor refused a request, so nothing was sent to it.
+  CHECK(ReceivedWorkOf(&cluster, 1) == shortly_after);
+  CHECK(ReceivedWorkOf(&cluster, 2).runs > neighbour.runs + 20);
   size_t answered = 0;
   for (const HistoryRecord& record : history) {
     if (record.outcome == Outcome::kAnswered && record.own_answer) ++answered;
--- a/tests/integration/tst_settings_file.cc
+++ b/tests/integration/tst_settings_file.cc
@@ -1,5 +1,5 @@
-// The daemon refuses a wrong settings file with one line and exit code 2, and
-// starts nothing half-configured.
+// The daemon rejects an invalid settings file with one line and exit code 2,
+// and exits if it cannot take a configured port.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -16,24 +16,25 @@
 namespace thornplank {
 namespace {
 
-struct Ended {
+struct ProcessResult {
   int code = -1;
   std::string output;
 };
 
-Ended RunEntry(const std::string& folder, const Json& settings, bool check) {
+ProcessResult RunEntry(const std::string& folder, const Json& settings,
+                       bool check) {
   const std::string file = folder + "/entry.json";
   const std::string log = folder + "/entry.log";
   std::ofstream(file) << settings.dump();
   std::vector<std::string> arguments = {"--settings", file};
   if (check) arguments.push_back("--check");
   ChildProcess process(THORNPLANK_ENTRY, arguments, log);
-  Ended ended;
-  ended.code = process.Wait(std::chrono::seconds(20)).value_or(-1);
+  ProcessResult result;
+  result.code = process.Wait(std::chrono::seconds(20)).value_or(-1);
   std::ostringstream text;
   text << std::ifstream(log).rdbuf();
-  ended.output = text.str();
-  return ended;
+  result.output = text.str();
+  return result;
 }
 
 Json ValidSettings() {
@@ -52,12 +53,12 @@
              {"role", "operator"}}}}};
 }
 
-TEST_CASE("a wrong settings file is refused in one line") {
+TEST_CASE("an invalid settings file is rejected with one line") {
   struct Row {
     const char* name;
     Json patch;
     int code;
-    const char* said;
+    const char* expected_text;
   };
   const std::vector<Row> rows = {
       {"valid", Json::object(), 0, "ok"},
@@ -76,30 +77,30 @@
     CAPTURE(row.name);
     Json settings = ValidSettings();
     settings.merge_patch(row.patch);
-    const Ended ended = RunEntry(folder, settings, /*check=*/true);
-    CAPTURE(ended.output);
-    CHECK(ended.code == row.code);
-    CHECK(ended.output.find(row.said) != std::string::npos);
-    CHECK(std::count(ended.output.begin(), ended.output.end(), '\n') == 1);
+    const ProcessResult result = RunEntry(folder, settings, /*check=*/true);
+    CAPTURE(result.output);
+    CHECK(result.code == row.code);
+    CHECK(result.output.find(row.expected_text) != std::string::npos);
+    CHECK(std::count(result.output.begin(), result.output.end(), '\n') == 1);
   }
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("a port in use is refused before anything runs") {
+TEST_CASE("a port in use ends the start with exit code 2") {
   const std::string folder = (std::filesystem::temp_directory_path() /
                               ("thornplank-port-" + std::to_string(::getpid())))
                                  .string();
   std::filesystem::create_directories(folder);
   Json settings = ValidSettings();
-  // The peer listener meets the address that the HTTP listener just took.
+  // The HTTP listener takes the address before the peer listener binds to it.
   const std::string address =
       "127.9.8." + std::to_string(::getpid() % 250 + 1) + ":9777";
   settings["listen_http"] = address;
   settings["listen_peers"] = address;
-  const Ended ended = RunEntry(folder, settings, /*check=*/false);
-  CAPTURE(ended.output);
-  CHECK(ended.code == 2);
-  CHECK(ended.output.find(address) != std::string::npos);
+  const ProcessResult result = RunEntry(folder, settings, /*check=*/false);
+  CAPTURE(result.output);
+  CHECK(result.code == 2);
+  CHECK(result.output.find(address) != std::string::npos);
   std::filesystem::remove_all(folder);
 }
 
--- a/tests/integration/tst_whole_path.cc
+++ b/tests/integration/tst_whole_path.cc
@@ -1,5 +1,5 @@
-// The whole path through real processes, without failures: settings, requests,
-// jobs, status, and a graceful shutdown.
+// Settings, requests, jobs, status and graceful shutdown with real processes
+// and without faults.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -15,7 +15,7 @@
     R"({"kind":"account","guaranteed_slots":4,"guaranteed_shapes":
         [{"members":3,"accelerators":8,"adjacency":"rack","count":1}]})";
 
-bool MakeAccount(TestCluster* cluster) {
+bool CreateAccount(TestCluster* cluster) {
   return cluster->PutNode(0, "north", *ParseJson(kAccountValues)) &&
          TestCluster::Eventually([cluster] {
            for (int entry = 0; entry < 3; ++entry) {
@@ -27,10 +27,10 @@
          });
 }
 
-TEST_CASE("settings, requests and a gang job go through every entry") {
+TEST_CASE("settings, requests and a gang job work through every entry") {
   TestCluster cluster{TestClusterSettings()};
   REQUIRE(cluster.Start());
-  REQUIRE(MakeAccount(&cluster));
+  REQUIRE(CreateAccount(&cluster));
 
   for (int entry = 0; entry < 3; ++entry) {
     CAPTURE(entry);
@@ -42,13 +42,13 @@
     CHECK(response->body.find(id) != std::string::npos);
 
     const std::string key = "key-" + std::to_string(entry);
-    const auto paid = cluster.SendRequest(entry, "north", id, key);
-    REQUIRE(paid.has_value());
-    CHECK(paid->headers.Value("Thornplank-Outcome") == "answered");
+    const auto keyed = cluster.SendRequest(entry, "north", id, key);
+    REQUIRE(keyed.has_value());
+    CHECK(keyed->headers.Value("Thornplank-Outcome") == "answered");
     const auto repeat = cluster.SendRequest((entry + 1) % 3, "north", id, key);
     REQUIRE(repeat.has_value());
     CHECK(repeat->headers.Value("Thornplank-Outcome") == "answered");
-    CHECK(repeat->body == paid->body);
+    CHECK(repeat->body == keyed->body);
     CHECK(cluster.RunsOfKey(key) == 1);
   }
 
@@ -70,7 +70,7 @@
     }));
   }
 
-  // Every member started on one rack, and each of them once.
+  // Each of the three members started once.
   int started = 0;
   for (int worker = 0; worker < 6; ++worker) {
     const Json state = cluster.ControlState(cluster.worker_address(worker));
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("an entry with the name of a live one does not start") {
+TEST_CASE("an entry does not start under the name of a live entry") {
   TestClusterSettings settings;
   settings.entries = 2;
   TestCluster cluster{settings};
--- a/tests/soak/soak_run.cc
+++ b/tests/soak/soak_run.cc
@@ -1,4 +1,4 @@
-// Callers, faults and the final checks of a soak run.
+// Callers, fault injection and final checks of a soak run.
 #include "soak_run.h"
 
 #include <atomic>
@@ -20,16 +20,16 @@
 
 constexpr Milliseconds kCallerPause{60};
 constexpr Milliseconds kCallerTimeout{1500};
-// A job that was accepted so long ago must be known everywhere.
-constexpr int64_t kVisibleMs = 3000;
-constexpr std::chrono::seconds kEndLimit{60};
-constexpr int kSubmitTries = 4;
-// So that the draws of crashes are others than those of a run's other faults.
+// Time after which every entry must know an accepted job.
+constexpr int64_t kVisibilityLimitMs = 3000;
+constexpr std::chrono::seconds kJobEndTimeout{60};
+constexpr int kSubmitAttempts = 4;
+// Separates the random sequence of the crashes from that of the other faults.
 constexpr uint32_t kCrashSeedOffset = 1000003;
-// One job of so many crashes its executors.
+// On average one of this many jobs crashes its executors.
 constexpr int kJobsPerCrash = 25;
 constexpr int kCrashAfterMs = 10;
-// A task may be given up when so many executors have crashed under it.
+// A task may be given up after this many executors crashed while running it.
 constexpr int kCrashesToGiveUp = 2;
 
 int64_t ClockMs() {
@@ -38,13 +38,13 @@
       .count();
 }
 
-bool HasEnded(const std::string& state) {
+bool IsFinalState(const std::string& state) {
   return state == "completed" || state == "cancelled" || state == "failed";
 }
 
-class Soak {
+class SoakRun {
  public:
-  explicit Soak(const SoakSettings& settings)
+  explicit SoakRun(const SoakSettings& settings)
       : settings_(settings),
         cluster_(ClusterSettings(settings)),
         random_(settings.seed),
@@ -53,13 +53,13 @@
   SoakReport Run() {
     report_.folder = cluster_.folder();
     if (!cluster_.Start()) {
-      report_.problems.push_back("the cluster did not start");
+      report_.violations.push_back("the cluster did not start");
       return report_;
     }
     std::vector<std::thread> callers;
     callers.reserve(static_cast<size_t>(settings_.callers));
     for (int i = 0; i < settings_.callers; ++i) {
-      callers.emplace_back([this, i] { CallUntilDone(i); });
+      callers.emplace_back([this, i] { RunCaller(i); });
     }
     if (settings_.crashes) {
       for (int i = 0; i < settings_.executors; ++i) {
@@ -71,8 +71,8 @@
     for (std::thread& caller : callers) {
       caller.join();
     }
-    Mend();
-    AwaitEnds();
+    EndAllFaults();
+    AwaitJobEnds();
     Check();
     return report_;
   }
@@ -87,12 +87,12 @@
     return cluster;
   }
 
-  // Draws of the thread that injects faults.
+  // Draws a number below `below` for the thread that injects faults.
   int Draw(int below) {
     return static_cast<int>(random_() % static_cast<uint32_t>(below));
   }
 
-  void Note(const std::string& fault) {
+  void RecordFault(const std::string& fault) {
     char time[16];
     std::snprintf(
         time, sizeof(time), "%6.2f ",
@@ -128,92 +128,94 @@
     return job;
   }
 
-  void CallUntilDone(int caller) {
+  void RunCaller(int caller) {
     std::mt19937 random(settings_.seed * 31 + static_cast<uint32_t>(caller));
     std::mt19937 crash_random(kCrashSeedOffset + settings_.seed * 31 +
                               static_cast<uint32_t>(caller));
-    std::vector<std::string> mine;
+    std::vector<std::string> own_job_ids;
     for (int number = 0; !done_; ++number) {
       const int entry =
           static_cast<int>(random() % static_cast<uint32_t>(settings_.entries));
       const uint32_t action = random() % 10;
-      if (action < 6 || mine.empty()) {
+      if (action < 6 || own_job_ids.empty()) {
         TestJob job = DrawJob(&random, caller, number);
         if (settings_.crashes && crash_random() % kJobsPerCrash == 0) {
           job.crash_after_ms = kCrashAfterMs;
         }
-        mine.push_back(job.id);
+        own_job_ids.push_back(job.id);
         Submit(job, entry);
       } else {
-        const JobAccount account = Account(mine[random() % mine.size()]);
+        const SubmittedJob submitted =
+            FindJob(own_job_ids[random() % own_job_ids.size()]);
         if (action == 9) {
-          Cancel(account, entry);
+          Cancel(submitted, entry);
         } else {
-          Ask(account, entry);
+          QueryState(submitted, entry);
         }
       }
       std::this_thread::sleep_for(kCallerPause);
     }
   }
 
-  JobAccount Account(const std::string& id) {
+  SubmittedJob FindJob(const std::string& id) {
     std::lock_guard lock(mutex_);
     return jobs_[id];
   }
 
-  // Like a real caller: without an acceptance the same job goes to another
-  // entry.
+  // Submits the job at the next entry if it was not accepted, as real callers
+  // do.
   void Submit(const TestJob& job, int entry) {
-    JobAccount account;
-    account.job = job;
+    SubmittedJob submitted;
+    submitted.job = job;
     {
       std::lock_guard lock(mutex_);
-      jobs_[job.id] = account;
+      jobs_[job.id] = submitted;
     }
-    account.refused = true;
-    for (int attempt = 0; attempt < kSubmitTries && !account.accepted;
+    submitted.refused = true;
+    for (int attempt = 0; attempt < kSubmitAttempts && !submitted.accepted;
          ++attempt) {
       const int status =
           cluster_.Submit((entry + attempt) % settings_.entries, job);
-      account.accepted = status == 200;
+      submitted.accepted = status == 200;
       const bool refused = status == 503 || status == 429;
-      account.refused = account.refused && refused;
+      submitted.refused = submitted.refused && refused;
     }
     std::lock_guard lock(mutex_);
-    jobs_[job.id] = account;
-    accepted_at_[job.id] = ClockMs();
+    jobs_[job.id] = submitted;
+    accepted_at_ms_[job.id] = ClockMs();
   }
 
-  void Cancel(const JobAccount& account, int entry) {
-    if (!account.accepted) return;
+  void Cancel(const SubmittedJob& submitted, int entry) {
+    if (!submitted.accepted) return;
     {
       std::lock_guard lock(mutex_);
-      cancel_tried_.insert(account.job.id);
+      cancel_requested_.insert(submitted.job.id);
     }
-    if (cluster_.Cancel(entry, account.job) != 200) return;
+    if (cluster_.Cancel(entry, submitted.job) != 200) return;
     std::lock_guard lock(mutex_);
-    JobAccount& stored = jobs_[account.job.id];
+    SubmittedJob& stored = jobs_[submitted.job.id];
     if (stored.cancelled_ms < 0) stored.cancelled_ms = ClockMs();
   }
 
-  void Ask(const JobAccount& account, int entry) {
-    if (!account.accepted) return;
-    int64_t accepted_at = 0;
+  void QueryState(const SubmittedJob& submitted, int entry) {
+    if (!submitted.accepted) return;
+    int64_t accepted_at_ms = 0;
     {
       std::lock_guard lock(mutex_);
-      accepted_at = accepted_at_[account.job.id];
+      accepted_at_ms = accepted_at_ms_[submitted.job.id];
     }
-    const int64_t asked_at = ClockMs();
-    const std::string state = cluster_.State(entry, account.job);
+    const int64_t queried_at_ms = ClockMs();
+    const std::string state = cluster_.State(entry, submitted.job);
     std::lock_guard lock(mutex_);
-    std::string& last = jobs_[account.job.id].final_state;
-    if (state == "gone" && asked_at > accepted_at + kVisibleMs) {
-      report_.problems.push_back(account.job.id +
-                                 " was accepted and an entry does not know it");
+    std::string& last = jobs_[submitted.job.id].final_state;
+    if (state == "gone" &&
+        queried_at_ms > accepted_at_ms + kVisibilityLimitMs) {
+      report_.violations.push_back(
+          submitted.job.id + " was accepted, but an entry does not know it");
     }
     if (last == "completed" && !state.empty() && state != "completed") {
-      report_.problems.push_back(account.job.id + " was completed, then " +
-                                 state);
+      report_.violations.push_back(submitted.job.id + " was completed, then " +
+                                   state);
     }
     if (state == "completed") last = state;
   }
@@ -223,14 +225,14 @@
   void InjectFaults() {
     begun_ = std::chrono::steady_clock::now();
     while (std::chrono::steady_clock::now() < begun_ + settings_.length) {
-      // Series: several at once, then a pause.
+      // Injects up to two faults at a time, then pauses.
       std::this_thread::sleep_for(Milliseconds(300 + Draw(1200)));
       const int together = 1 + Draw(2);
       for (int i = 0; i < together; ++i) {
         InjectFault();
       }
-      if (settings_.crashes) Resize();
-      if (settings_.crashes) Restart();
+      if (settings_.crashes) ShrinkExecutor();
+      if (settings_.crashes) RestartExecutors();
       std::this_thread::sleep_for(Milliseconds(200 + Draw(2500)));
       EndSomeFaults();
     }
@@ -243,57 +245,57 @@
     const std::string where = "executor " + std::to_string(executor);
     switch (Draw(16)) {
       case 0:
-        Note(who + " killed");
+        RecordFault(who + " killed");
         cluster_.entry(entry).Kill();
         return cluster_.StartEntry(entry);
       case 1:
-        Note(who + " stopped");
+        RecordFault(who + " stopped");
         return cluster_.entry(entry).Signal(SIGTERM);
       case 2:
-        Note(who + " frozen");
-        cluster_.entry(entry).Freeze();
-        return Later([this, entry] { cluster_.entry(entry).Thaw(); });
+        RecordFault(who + " suspended");
+        cluster_.entry(entry).Suspend();
+        return AddFaultEnd([this, entry] { cluster_.entry(entry).Resume(); });
       case 3:
-        Note(who + " told to reload");
+        RecordFault(who + " reloads its settings");
         return cluster_.entry(entry).Signal(SIGHUP);
       case 4:
-        Note(who + " cut off from the store, silently");
-        return StoreProxy(entry, {{"freeze", true}}, {{"freeze", false}});
+        RecordFault(who + " cut off from the store, without resets");
+        return FaultStoreProxy(entry, {{"freeze", true}}, {{"freeze", false}});
       case 5:
-        Note(who + " cut off from the store, with resets");
-        return StoreProxy(entry, {{"cut", true}}, {{"cut", false}});
+        RecordFault(who + " cut off from the store, with resets");
+        return FaultStoreProxy(entry, {{"cut", true}}, {{"cut", false}});
       case 6:
-        Note(who + " far from the store");
-        return StoreProxy(entry, {{"delay_ms", 150}}, {{"delay_ms", 0}});
+        RecordFault(who + " has high latency to the store");
+        return FaultStoreProxy(entry, {{"delay_ms", 150}}, {{"delay_ms", 0}});
       case 7:
-        Note("store silent");
-        return Store({{"mode", "silent"}}, {{"mode", "up"}});
+        RecordFault("store does not answer");
+        return FaultStore({{"mode", "silent"}}, {{"mode", "up"}});
       case 8:
-        Note("store refuses");
-        return Store({{"mode", "busy"}}, {{"mode", "up"}});
+        RecordFault("store refuses");
+        return FaultStore({{"mode", "busy"}}, {{"mode", "up"}});
       case 9:
-        Note("store slow");
-        return Store({{"slow_ms", 200}}, {{"slow_ms", 0}});
+        RecordFault("store slow");
+        return FaultStore({{"slow_ms", 200}}, {{"slow_ms", 0}});
       case 10:
-        Note("store loses answers and stores late");
-        return Store({{"lost_percent", 20}, {"late_percent", 15}},
-                     {{"lost_percent", 0}, {"late_percent", 0}});
+        RecordFault("store loses answers and appends late");
+        return FaultStore({{"lost_percent", 20}, {"late_percent", 15}},
+                          {{"lost_percent", 0}, {"late_percent", 0}});
       case 11:
-        Note("store drops its history");
-        return Store({{"drop_history", true}}, Json::object());
+        RecordFault("store drops its history");
+        return FaultStore({{"drop_history", true}}, Json::object());
       case 12:
-        Note(where + " carries out orders late");
-        return Executor(executor, {{"late_percent", 60}},
-                        {{"late_percent", 0}});
+        RecordFault(where + " carries out orders late");
+        return FaultExecutor(executor, {{"late_percent", 60}},
+                             {{"late_percent", 0}});
       case 13:
-        Note(where + " silent");
-        return Executor(executor, {{"silent", true}}, {{"silent", false}});
+        RecordFault(where + " does not answer");
+        return FaultExecutor(executor, {{"silent", true}}, {{"silent", false}});
       case 14:
-        Note(where + " begins a new life");
-        return Executor(executor, {{"crash", true}}, Json::object());
+        RecordFault(where + " crashes and starts a new incarnation");
+        return FaultExecutor(executor, {{"crash", true}}, Json::object());
       default:
         if (Draw(2) == 0) return;
-        Note("every entry killed");
+        RecordFault("every entry killed");
         for (int i = 0; i < settings_.entries; ++i) {
           cluster_.entry(i).Kill();
         }
@@ -303,14 +305,15 @@
     }
   }
 
-  // Some or all, of which some are away for longer than their leases.
-  void Restart() {
+  // Restarts some or all executors. Some draws keep them down for longer than
+  // their leases.
+  void RestartExecutors() {
     const uint32_t draw = crash_random_();
     if (draw % 2 == 0) return;
     const int restart_ms = draw % 5 == 0 ? 8000 : 300;
     const uint32_t share = draw % 3 + 1;
-    Note("a share of the executors restarts, within " +
-         std::to_string(restart_ms) + " ms");
+    RecordFault("a share of the executors restarts, within " +
+                std::to_string(restart_ms) + " ms");
     for (int i = 0; i < settings_.executors; ++i) {
       if (crash_random_() % share != 0) continue;
       cluster_.ControlExecutor(i,
@@ -318,109 +321,117 @@
     }
   }
 
-  void Resize() {
+  void ShrinkExecutor() {
     const uint32_t draw = crash_random_();
     if (draw % 2 == 0) return;
     const int executor =
         static_cast<int>(draw / 2 % static_cast<uint32_t>(settings_.executors));
-    Note("executor " + std::to_string(executor) + " shrinks");
-    Executor(executor, {{"capacity_percent", 40}}, {{"capacity_percent", 100}});
+    RecordFault("executor " + std::to_string(executor) + " shrinks");
+    FaultExecutor(executor, {{"capacity_percent", 40}},
+                  {{"capacity_percent", 100}});
   }
 
-  void Later(std::function<void()> end) { ends_.push_back(std::move(end)); }
+  void AddFaultEnd(std::function<void()> end) {
+    fault_ends_.push_back(std::move(end));
+  }
 
-  void StoreProxy(int entry, const Json& begin, const Json& end) {
+  void FaultStoreProxy(int entry, const Json& begin, const Json& end) {
     cluster_.ControlStoreProxy(entry, begin);
-    Later([this, entry, end] { cluster_.ControlStoreProxy(entry, end); });
+    AddFaultEnd([this, entry, end] { cluster_.ControlStoreProxy(entry, end); });
   }
 
-  void Store(const Json& begin, const Json& end) {
+  void FaultStore(const Json& begin, const Json& end) {
     cluster_.ControlStore(begin);
-    Later([this, end] { cluster_.ControlStore(end); });
+    AddFaultEnd([this, end] { cluster_.ControlStore(end); });
   }
 
-  void Executor(int executor, const Json& begin, const Json& end) {
+  void FaultExecutor(int executor, const Json& begin, const Json& end) {
     cluster_.ControlExecutor(executor, begin);
-    Later([this, executor, end] { cluster_.ControlExecutor(executor, end); });
+    AddFaultEnd(
+        [this, executor, end] { cluster_.ControlExecutor(executor, end); });
   }
 
-  // Ends most of what goes on, and starts entries that have ended.
+  // Ends most of the current faults, and starts entries that are not running.
   void EndSomeFaults() {
     std::vector<std::function<void()>> kept;
-    for (std::function<void()>& end : ends_) {
+    for (std::function<void()>& end : fault_ends_) {
       if (Draw(3) != 0) {
         end();
       } else {
         kept.push_back(std::move(end));
       }
     }
-    ends_ = std::move(kept);
-    StartEnded();
+    fault_ends_ = std::move(kept);
+    StartStoppedEntries();
   }
 
-  void StartEnded() {
+  void StartStoppedEntries() {
     for (int i = 0; i < settings_.entries; ++i) {
       if (!cluster_.entry(i).running()) cluster_.StartEntry(i);
     }
   }
 
-  void Mend() {
-    Note("all faults end");
-    for (const std::function<void()>& end : ends_) {
+  void EndAllFaults() {
+    RecordFault("all faults end");
+    for (const std::function<void()>& end : fault_ends_) {
       end();
     }
-    ends_.clear();
+    fault_ends_.clear();
     for (int i = 0; i < settings_.entries; ++i) {
-      cluster_.entry(i).Thaw();
+      cluster_.entry(i).Resume();
     }
-    StartEnded();
+    StartStoppedEntries();
   }
 
   // ---- Checks
 
-  void AwaitEnds() {
+  void AwaitJobEnds() {
     int next = 0;
-    for (auto& [id, account] : jobs_) {
-      if (!account.accepted) continue;
-      JobAccount& job = account;
+    for (auto& [id, submitted] : jobs_) {
+      if (!submitted.accepted) continue;
+      SubmittedJob& job = submitted;
       const bool ended = HostedCluster::Eventually(
           [&] {
-            StartEnded();
+            StartStoppedEntries();
             job.final_state =
                 cluster_.State(next++ % settings_.entries, job.job);
-            return HasEnded(job.final_state) || job.final_state == "gone";
+            return IsFinalState(job.final_state) || job.final_state == "gone";
           },
-          kEndLimit);
+          kJobEndTimeout);
       if (ended) continue;
-      report_.problems.push_back(id + " has not ended, but is " +
-                                 job.final_state);
+      report_.violations.push_back(id + " has not ended; its state is " +
+                                   job.final_state);
     }
   }
 
   void Check() {
     const std::vector<Json> runs = cluster_.Runs();
-    for (std::string& problem : CheckRuns(runs, jobs_)) {
-      report_.problems.push_back(std::move(problem));
+    for (std::string& violation : CheckRuns(runs, jobs_)) {
+      report_.violations.push_back(std::move(violation));
     }
     for (std::string& violation : cluster_.CapacityViolations()) {
-      report_.problems.push_back(std::move(violation));
+      report_.violations.push_back(std::move(violation));
     }
     report_.runs = static_cast<int>(runs.size());
-    for (const auto& [id, account] : jobs_) {
+    for (const auto& [id, submitted] : jobs_) {
       ++report_.jobs;
-      report_.accepted += account.accepted ? 1 : 0;
-      report_.completed += account.final_state == "completed" ? 1 : 0;
-      if (account.final_state == "failed" && !MayFail(account.job, runs)) {
-        report_.problems.push_back(id + " is shown as failed without cause");
+      report_.accepted += submitted.accepted ? 1 : 0;
+      report_.completed += submitted.final_state == "completed" ? 1 : 0;
+      if (submitted.final_state == "failed" && !MayFail(submitted.job, runs)) {
+        report_.violations.push_back(id +
+                                     " is reported as failed without a cause");
       }
-      // A cancellation without an answer may take effect.
-      if (account.final_state == "cancelled" && cancel_tried_.count(id) == 0) {
-        report_.problems.push_back(id + " is shown as cancelled by nobody");
+      // A requested cancellation may take effect without an answer.
+      if (submitted.final_state == "cancelled" &&
+          cancel_requested_.count(id) == 0) {
+        report_.violations.push_back(
+            id + " is reported as cancelled, but no caller requested it");
       }
     }
   }
 
-  // By its own fault, or since executors crashed under one of its tasks.
+  // Whether the job may fail: because its tasks fail, or because several
+  // executors crashed while running one of them.
   static bool MayFail(const TestJob& job, const std::vector<Json>& runs) {
     if (job.fails) return true;
     std::map<std::string, int> crashes;
@@ -440,20 +451,20 @@
   Time begun_{};
   std::atomic<bool> done_{false};
   std::mutex mutex_;
-  // Under mutex_ while callers run.
-  std::map<std::string, JobAccount> jobs_;
-  std::map<std::string, int64_t> accepted_at_;
-  std::set<std::string> cancel_tried_;
+  // Guarded by mutex_ while callers run.
+  std::map<std::string, SubmittedJob> jobs_;
+  std::map<std::string, int64_t> accepted_at_ms_;
+  std::set<std::string> cancel_requested_;
   SoakReport report_;
-  // What ends the faults that go on.
-  std::vector<std::function<void()>> ends_;
+  // Functions that end the current faults.
+  std::vector<std::function<void()>> fault_ends_;
 };
 
 }  // namespace
 
 SoakReport RunSoak(const SoakSettings& settings) {
-  Soak soak(settings);
-  return soak.Run();
+  SoakRun run(settings);
+  return run.Run();
 }
 
 }  // namespace thornplank
