--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -1,10 +1,10 @@
-// One randomized run of hosted entries under faults, all drawn from a seed.
+// A randomized run of hosted entries under faults, all drawn from one seed.
 //
-// Callers submit, ask and cancel on threads of their own while series of faults
-// overlap: entries killed, stopped, frozen, cut off from the store; the store
-// silent, refusing, slow, losing answers or history; executors late, silent,
-// reborn; signals. Afterwards everything is mended, and each promise is checked
-// against what executors and callers saw.
+// Caller threads submit, query and cancel jobs while series of faults overlap:
+// entries are killed, stopped, suspended, signalled or cut off from the store;
+// the store is silent, slow or refuses, or loses answers or its history;
+// executors are late, silent or restarted. Then all faults are ended, and the
+// invariants are checked against the records of executors and callers.
 #ifndef THORNPLANK_TESTS_SOAK_SOAK_RUN_H_
 #define THORNPLANK_TESTS_SOAK_SOAK_RUN_H_
 
@@ -22,9 +22,9 @@
   int entries = 4;
   int executors = 8;
   int callers = 2;
-  // Also: tasks that crash their executors, executors that shrink and grow, and
-  // such that restart under their ids.
-  // These are drawn apart, so that a seed's other draws stay as they were.
+  // Adds tasks that crash their executors, executors whose capacity shrinks and
+  // grows, and executors that restart under their ids. They are drawn from a
+  // separate random sequence, so that the other faults of a seed do not change.
   bool crashes = true;
 };
 
@@ -33,11 +33,11 @@
   int accepted = 0;
   int completed = 0;
   int runs = 0;
-  // What was done, in order, for the reader of a failed run.
+  // The injected faults in order, with their times, to analyse a failed run.
   std::vector<std::string> faults;
-  // Promises that were broken.
-  std::vector<std::string> problems;
-  // Where the logs are, when they are kept.
+  // Descriptions of the violated invariants.
+  std::vector<std::string> violations;
+  // The folder of the logs, if they are kept.
   std::string folder;
 };
 
--- a/tests/soak/tst_soak.cc
+++ b/tests/soak/tst_soak.cc
@@ -1,4 +1,5 @@
-// A short soak in CI: one seed of its own, and each seed that ever failed.
+// A short soak test for CI with two fixed seeds and every seed that once
+// failed.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -12,28 +13,30 @@
 struct Row {
   uint32_t seed;
   int seconds;
-  // What the seed showed when it failed.
+  // The fault that made the seed fail.
   const char* cause;
-  // Of the soak with tasks that crash executors.
+  // Whether tasks crash executors, as in SoakSettings.
   bool crashes = false;
 };
 
-TEST_CASE("every promise holds under randomized faults") {
+TEST_CASE("the invariants hold under randomized faults") {
   const std::vector<Row> rows = {
       {20261202, 8, "never failed"},
       {20261203, 10, "never failed", true},
-      {114, 12, "the stand-in carried a report over into a new life"},
-      {127, 12, "work went to a life that was proved to be over"},
-      {128, 12, "the stand-in carried a report over into a new life"},
-      {131, 12, "the stand-in carried a report over into a new life"},
-      {150, 12, "the stand-in carried a report over into a new life"},
-      {332, 12, "an entry without the store told an outdated state"},
-      {354, 12, "an entry without the store told an outdated state"},
-      {623, 15, "a sound job was given up for crashes", true},
-      {645, 15, "a sound job was given up for crashes", true},
-      {650, 15, "a new life forgot its ends by the numbers of the last", true},
-      {649, 15, "a sound job was given up for crashes", true},
-      {502, 15, "the checker counted ends that a lapsed lease had made void"},
+      {114, 12, "the stand-in kept a report across incarnations"},
+      {127, 12, "work was sent to an incarnation known to have ended"},
+      {128, 12, "the stand-in kept a report across incarnations"},
+      {131, 12, "the stand-in kept a report across incarnations"},
+      {150, 12, "the stand-in kept a report across incarnations"},
+      {332, 12, "an entry without the store reported an outdated state"},
+      {354, 12, "an entry without the store reported an outdated state"},
+      {623, 15, "a job was given up for crashes it did not cause", true},
+      {645, 15, "a job was given up for crashes it did not cause", true},
+      {650, 15,
+       "run ends of a new incarnation were dropped by old sequence numbers",
+       true},
+      {649, 15, "a job was given up for crashes it did not cause", true},
+      {502, 15, "the checker counted run ends after their lease had lapsed"},
   };
   for (const Row& row : rows) {
     CAPTURE(row.seed);
@@ -48,8 +51,8 @@
       faults += fault + "\n";
     }
     CAPTURE(faults);
-    for (const std::string& problem : report.problems) {
-      FAIL_CHECK(problem);
+    for (const std::string& violation : report.violations) {
+      FAIL_CHECK(violation);
     }
     CHECK(report.accepted > 0);
   }
