--- a/src/app/thornplankctl/log_commands.cc
+++ b/src/app/thornplankctl/log_commands.cc
@@ -1,4 +1,4 @@
-// thornplankctl logs …: reads log files; calls no entry.
+// thornplankctl logs …: evaluates log files; sends no requests.
 #include <fstream>
 #include <iomanip>
 #include <iostream>
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "command.h"
-#include "logging/log_story.h"
 #include "logging/log_summary.h"
+#include "logging/log_timeline.h"
 
 namespace thornplank {
 namespace {
@@ -16,9 +16,9 @@
   return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
-void PrintLine(const StoryLine& line, WallTime begin) {
+void PrintLine(const TimelineEvent& line, WallTime begin) {
   constexpr int kTimeWidth = 8;
-  std::cout << (line.own ? "  " : "~ ") << std::setw(kTimeWidth)
+  std::cout << (line.names_id ? "  " : "~ ") << std::setw(kTimeWidth)
             << ToMilliseconds(line.time - begin) << " ms  " << line.instance
             << "  " << line.event << " " << line.name;
   for (const auto& [field, value] : line.fields.items()) {
@@ -27,7 +27,7 @@
   std::cout << "\n";
 }
 
-void PrintGap(const std::vector<StoryLine>& lines, const StoryGap& gap) {
+void PrintGap(const std::vector<TimelineEvent>& lines, const TimelineGap& gap) {
   std::cout << "\nlongest wait: " << ToMilliseconds(gap.length) << " ms, from "
             << lines[gap.from].name << " to " << lines[gap.to].name << "\n";
   for (size_t i = gap.from + 1; i < gap.to; ++i) {
@@ -36,8 +36,8 @@
   }
 }
 
-// Gives every line of the files named from argument `first` on to `log`. False
-// when a file cannot be read.
+// Passes every line of the files that are named in the arguments from index
+// `first` on to `log`. Returns false if a file cannot be read.
 template <typename Log>
 bool ReadFiles(const std::vector<std::string>& arguments, size_t first,
                Log* log) {
@@ -61,24 +61,24 @@
 
 int Explain(const CommandContext& context) {
   const std::vector<std::string>& arguments = context.arguments;
-  LogStory story(arguments[0]);
-  if (!ReadFiles(arguments, 1, &story)) return kExitUsage;
-  const std::vector<StoryLine> lines = story.Lines();
+  LogTimeline timeline(arguments[0]);
+  if (!ReadFiles(arguments, 1, &timeline)) return kExitUsage;
+  const std::vector<TimelineEvent> lines = timeline.Events();
   if (lines.empty()) {
     std::cerr << "thornplankctl: no line names " << arguments[0]
               << ": no entry whose log is here took or refused it\n";
     return kExitRefused;
   }
-  for (const StoryLine& line : lines) {
+  for (const TimelineEvent& line : lines) {
     PrintLine(line, lines.front().time);
   }
-  const std::optional<StoryGap> gap = LogStory::LongestGap(lines);
+  const std::optional<TimelineGap> gap = LogTimeline::LongestGap(lines);
   if (gap) PrintGap(lines, *gap);
   return kExitOk;
 }
 
-// Of those that completed, so many that waited longest are told.
-constexpr size_t kSlowestTold = 20;
+// Of the jobs that completed, PrintJobs lists this many that waited longest.
+constexpr size_t kMaxSlowestJobs = 20;
 
 double ToSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -98,24 +98,24 @@
     jobs.push_back({{"job", job.job},
                     {"priority", job.priority ? Json(*job.priority) : Json()},
                     {"state", job.state},
-                    {"lasted_ms", ToMilliseconds(job.lasted)},
+                    {"lasted_ms", ToMilliseconds(job.duration)},
                     {"waits_ms", ToJson(job.waits)}});
   }
   Json discarded = Json::array();
-  for (const DiscardedRuns& runs : report.discarded) {
+  for (const DiscardedRuns& runs : report.discarded_runs) {
     discarded.push_back(
         {{"cause", runs.cause},
          {"priority", runs.priority},
          {"runs", runs.runs},
-         {"accelerator_ms", ToMilliseconds(runs.accelerator_time)},
-         {"kept_accelerator_ms", ToMilliseconds(runs.kept)}});
+         {"accelerator_ms", ToMilliseconds(runs.lost_accelerator_time)},
+         {"kept_accelerator_ms", ToMilliseconds(runs.kept_accelerator_time)}});
   }
   Json late = Json::array();
-  for (const LateByCause& jobs_late : report.late) {
+  for (const LateJobsByCause& jobs_late : report.late_jobs) {
     late.push_back({{"cause", jobs_late.cause},
                     {"priority", jobs_late.priority},
                     {"jobs", jobs_late.jobs},
-                    {"late_ms", ToMilliseconds(jobs_late.late)},
+                    {"late_ms", ToMilliseconds(jobs_late.total_lateness)},
                     {"accounts", jobs_late.accounts},
                     {"entries", jobs_late.entries}});
   }
@@ -153,21 +153,21 @@
 
 void PrintLate(const LogSummaryReport& report) {
   std::cout << "\nlate jobs  by s, together  priority  first cause\n";
-  for (const LateByCause& jobs : report.late) {
+  for (const LateJobsByCause& jobs : report.late_jobs) {
     std::cout << std::setw(9) << jobs.jobs << std::setw(16)
-              << ToSeconds(jobs.late) << std::setw(10) << jobs.priority << "  "
-              << jobs.cause << "\n";
+              << ToSeconds(jobs.total_lateness) << std::setw(10)
+              << jobs.priority << "  " << jobs.cause << "\n";
   }
 }
 
 void PrintDiscarded(const LogSummaryReport& report) {
   std::cout
       << "\nthrown away, accelerator s       kept   runs  priority  cause\n";
-  for (const DiscardedRuns& runs : report.discarded) {
-    std::cout << std::setw(26) << ToSeconds(runs.accelerator_time)
-              << std::setw(11) << ToSeconds(runs.kept) << std::setw(7)
-              << runs.runs << std::setw(10) << runs.priority << "  "
-              << runs.cause << "\n";
+  for (const DiscardedRuns& runs : report.discarded_runs) {
+    std::cout << std::setw(26) << ToSeconds(runs.lost_accelerator_time)
+              << std::setw(11) << ToSeconds(runs.kept_accelerator_time)
+              << std::setw(7) << runs.runs << std::setw(10) << runs.priority
+              << "  " << runs.cause << "\n";
   }
 }
 
@@ -175,10 +175,10 @@
   std::cout << "\nnot completed, and those that waited longest\n";
   size_t completed = 0;
   for (const JobSummary& job : report.jobs) {
-    if (job.completed() && ++completed > kSlowestTold) break;
+    if (job.completed() && ++completed > kMaxSlowestJobs) break;
     std::cout << job.job << "  "
               << (job.state.empty() ? "state not known" : job.state)
-              << "  lasted " << ToSeconds(job.lasted) << " s";
+              << "  lasted " << ToSeconds(job.duration) << " s";
     for (const auto& [cause, length] : job.waits) {
       std::cout << "; " << ToSeconds(length) << " s " << cause;
     }
@@ -208,14 +208,15 @@
 std::vector<Command> LogCommands() {
   return {
       {"logs", "explain", "ID FILE...",
-       "Tells the story of a job or request from the logs of all entries, in "
-       "order; lines with ~ are what went on around it. Calls no entry.",
+       "Shows the events of a job or request from the logs of all entries, in "
+       "order; lines with ~ are concurrent events that may have affected it. "
+       "Sends no requests.",
        "thornplankctl logs explain 5c0e7a21d94b36f8 logs/*", 2, Explain},
       {"logs", "summary", "FILE...",
-       "Tells from the logs of all entries which jobs were late and what made "
-       "them so first, for what the steps of all jobs waited, which work was "
-       "thrown away and why, and which jobs did not "
-       "complete or waited longest. Calls no entry.",
+       "Shows from the logs of all entries which jobs were late and the first "
+       "cause of each delay, what the steps of all jobs waited for, which work "
+       "was discarded and why, and which jobs did not complete or waited "
+       "longest. Sends no requests.",
        "thornplankctl logs summary logs/*", 1, Summarize},
   };
 }
--- a/src/libs/logging/events/coordination_events.h
+++ b/src/libs/logging/events/coordination_events.h
@@ -6,11 +6,13 @@
 
 namespace thornplank::events {
 
-inline constexpr Event kLeadClaimed{900, "lead-claimed", Severity::kInfo};
-inline constexpr Event kLeadTaken{901, "lead-taken", Severity::kInfo};
-inline constexpr Event kLeadLost{902, "lead-lost", Severity::kWarning};
-inline constexpr Event kLeadReleased{903, "lead-released", Severity::kInfo};
-inline constexpr Event kLeadRefused{904, "lead-refused", Severity::kInfo};
+inline constexpr Event kLeadershipClaimed{900, "lead-claimed", Severity::kInfo};
+inline constexpr Event kLeadershipAcquired{901, "lead-taken", Severity::kInfo};
+inline constexpr Event kLeadershipLost{902, "lead-lost", Severity::kWarning};
+inline constexpr Event kLeadershipReleased{903, "lead-released",
+                                           Severity::kInfo};
+inline constexpr Event kLeadershipClaimRejected{904, "lead-refused",
+                                                Severity::kInfo};
 inline constexpr Event kStoreLost{905, "store-lost", Severity::kWarning};
 inline constexpr Event kStoreBack{906, "store-back", Severity::kInfo};
 inline constexpr Event kConfigurationInForce{907, "configuration-in-force",
@@ -49,7 +51,8 @@
 inline constexpr Event kAdviceMissing{930, "advice-missing",
                                       Severity::kWarning};
 inline constexpr Event kStartRepeated{935, "start-repeated", Severity::kInfo};
-inline constexpr Event kStoreOutlook{936, "store-outlook", Severity::kInfo};
+inline constexpr Event kStoreStatusChanged{936, "store-outlook",
+                                           Severity::kInfo};
 inline constexpr Event kDomainClosed{937, "domain-closed", Severity::kWarning};
 inline constexpr Event kDomainOpened{938, "domain-opened", Severity::kInfo};
 inline constexpr Event kTaskGivenUp{939, "task-given-up", Severity::kWarning};
@@ -58,8 +61,8 @@
 
 inline constexpr Event kWorkerRestarted{942, "worker-restarted",
                                         Severity::kWarning};
-inline constexpr Event kBirthUnreadable{943, "birth-unreadable",
-                                        Severity::kWarning};
+inline constexpr Event kIncarnationStartUnreadable{943, "birth-unreadable",
+                                                   Severity::kWarning};
 
 }  // namespace thornplank::events
 
--- a/tests/auto/coordination/tst_cluster_coordinator.cc
+++ b/tests/auto/coordination/tst_cluster_coordinator.cc
@@ -48,7 +48,7 @@
   void SetPace(const WorkerAddress& worker, const PaceOrder& order,
                Milliseconds,
                std::function<void(CallOutcome, const Error&)> done) override {
-    const CallOutcome outcome = models.at(worker.id).Pace(order, ClockMs());
+    const CallOutcome outcome = models.at(worker.id).SetPace(order, ClockMs());
     boost::asio::post(
         io_, [done = std::move(done), outcome] { done(outcome, Error()); });
   }
@@ -57,7 +57,7 @@
               std::function<void(const StatusAnswer&)> done) override {
     auto answer = std::make_shared<StatusAnswer>();
     answer->outcome =
-        models.at(worker.id).Hold(query, ClockMs(), &answer->report);
+        models.at(worker.id).Status(query, ClockMs(), &answer->report);
     auto timer = std::make_shared<boost::asio::steady_timer>(
         io_, std::min(query.wait, Milliseconds(20)));
     timer->async_wait([timer, answer, done = std::move(done)](
@@ -201,7 +201,7 @@
     std::map<std::string, int> done;
     for (const auto& [id, model] : calls.models) {
       for (const auto& run : model.history()) {
-        done[run.task] += run.how == "done" ? 1 : 0;
+        done[run.task] += run.end_reason == "done" ? 1 : 0;
       }
     }
     return done;
