--- a/tests/integration/tst_requests_upstream_faults.cc
+++ b/tests/integration/tst_requests_upstream_faults.cc
@@ -28,8 +28,8 @@
 
 struct FaultRow {
   std::string name;
-  Json executor;
-  Json proxy;
+  Json executor_faults;
+  Json proxy_faults;
   // Whether the fault can occur after the request was sent. If not, the outcome
   // of a request with a key is known: "answered" or "not run".
   bool hits_after_send = true;
@@ -159,8 +159,10 @@
     LoadGenerator(pool, SteadyLoad(cluster, 800, Milliseconds(600))).Run();
     std::this_thread::sleep_for(Milliseconds(700));
     const size_t met = CountFaultEvents(cluster, executor);
-    REQUIRE(cluster.Control(cluster.executor_address(target), row.executor));
-    REQUIRE(cluster.Control(cluster.executor_proxy_control(target), row.proxy));
+    REQUIRE(
+        cluster.Control(cluster.executor_address(target), row.executor_faults));
+    REQUIRE(cluster.Control(cluster.executor_proxy_control(target),
+                            row.proxy_faults));
     int rounds = 0;
     const auto done = [&] {
       return rounds >= kMinRounds && CountFaultEvents(cluster, executor) > met;
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -22,7 +22,7 @@
   for (uint32_t i = 0; i < FLAGS_seeds; ++i) {
     thornplank::SoakSettings settings;
     settings.seed = FLAGS_first_seed + i;
-    settings.length = std::chrono::seconds(FLAGS_seconds);
+    settings.fault_duration = std::chrono::seconds(FLAGS_seconds);
     settings.entries = FLAGS_entries;
     settings.executors = FLAGS_executors;
     const thornplank::SoakReport report = thornplank::RunSoak(settings);
--- a/tests/soak/soak_run.cc
+++ b/tests/soak/soak_run.cc
@@ -224,7 +224,8 @@
 
   void InjectFaults() {
     begun_ = std::chrono::steady_clock::now();
-    while (std::chrono::steady_clock::now() < begun_ + settings_.length) {
+    while (std::chrono::steady_clock::now() <
+           begun_ + settings_.fault_duration) {
       // Injects up to two faults at a time, then pauses.
       std::this_thread::sleep_for(Milliseconds(300 + Draw(1200)));
       const int together = 1 + Draw(2);
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -18,7 +18,7 @@
 
 struct SoakSettings {
   uint32_t seed = 1;
-  std::chrono::seconds length{10};
+  std::chrono::seconds fault_duration{10};
   int entries = 4;
   int executors = 8;
   int callers = 2;
--- a/tests/soak/tst_soak.cc
+++ b/tests/soak/tst_soak.cc
@@ -43,7 +43,7 @@
     CAPTURE(row.cause);
     SoakSettings settings;
     settings.seed = row.seed;
-    settings.length = std::chrono::seconds(row.seconds);
+    settings.fault_duration = std::chrono::seconds(row.seconds);
     settings.crashes = row.crashes;
     const SoakReport report = RunSoak(settings);
     std::string faults;
