--- a/src/app/thornplankctl/log_commands.cc
+++ b/src/app/thornplankctl/log_commands.cc
@@ -16,23 +16,24 @@
   return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
-void PrintLine(const TimelineEvent& line, WallTime begin) {
+void PrintEvent(const TimelineEvent& event, WallTime begin) {
   constexpr int kTimeWidth = 8;
-  std::cout << (line.names_id ? "  " : "~ ") << std::setw(kTimeWidth)
-            << ToMilliseconds(line.time - begin) << " ms  " << line.instance
-            << "  " << line.event_number << " " << line.name;
-  for (const auto& [field, value] : line.fields.items()) {
+  std::cout << (event.names_id ? "  " : "~ ") << std::setw(kTimeWidth)
+            << ToMilliseconds(event.time - begin) << " ms  " << event.instance
+            << "  " << event.event_number << " " << event.name;
+  for (const auto& [field, value] : event.fields.items()) {
     std::cout << "  " << field << "=" << ToCell(value);
   }
   std::cout << "\n";
 }
 
-void PrintGap(const std::vector<TimelineEvent>& lines, const TimelineGap& gap) {
+void PrintGap(const std::vector<TimelineEvent>& events,
+              const TimelineGap& gap) {
   std::cout << "\nlongest wait: " << ToMilliseconds(gap.length) << " ms, from "
-            << lines[gap.from].name << " to " << lines[gap.to].name << "\n";
+            << events[gap.from].name << " to " << events[gap.to].name << "\n";
   for (size_t i = gap.from + 1; i < gap.to; ++i) {
-    std::cout << "  meanwhile at " << lines[i].instance << ": " << lines[i].name
-              << "\n";
+    std::cout << "  meanwhile at " << events[i].instance << ": "
+              << events[i].name << "\n";
   }
 }
 
@@ -63,17 +64,17 @@
   const std::vector<std::string>& arguments = context.arguments;
   LogTimeline timeline(arguments[0]);
   if (!ReadFiles(arguments, 1, &timeline)) return kExitUsage;
-  const std::vector<TimelineEvent> lines = timeline.Events();
-  if (lines.empty()) {
+  const std::vector<TimelineEvent> events = timeline.Events();
+  if (events.empty()) {
     std::cerr << "thornplankctl: no line names " << arguments[0]
               << ": no entry whose log is here took or refused it\n";
     return kExitRefused;
   }
-  for (const TimelineEvent& line : lines) {
-    PrintLine(line, lines.front().time);
+  for (const TimelineEvent& event : events) {
+    PrintEvent(event, events.front().time);
   }
-  const std::optional<TimelineGap> gap = LogTimeline::LongestGap(lines);
-  if (gap) PrintGap(lines, *gap);
+  const std::optional<TimelineGap> gap = LogTimeline::LongestGap(events);
+  if (gap) PrintGap(events, *gap);
   return kExitOk;
 }
 
